--- a/crates/sailcart-store/src/compaction.rs
+++ b/crates/sailcart-store/src/compaction.rs
@@ -1,154 +1,173 @@
-//! Compaction, in bounded steps: the log is a circle that is cleaned at its old end. What still counts in the oldest
-//! segment is appended anew, then the manifest names the next one as the first, then the file goes. So an end in the
-//! oldest segment has nothing before it that it could hide, and may go with it.
+//! Incremental compaction. The log is written at its new end and compacted at its old end: the live data of
+//! the oldest segment is appended again, then the manifest names the next segment as the first one, then the
+//! old file is removed. As no older segment exists, a tombstone in the oldest one hides nothing and is
+//! dropped with it.
 
-use crate::fault::Fault;
+use crate::error::Fault;
 use crate::files::Files;
 use crate::frame::{self, Change};
-use crate::index::Place;
+use crate::index::Location;
 use crate::manifest;
-use crate::room::{BLOCK, SEGMENTS};
-use crate::segment::{self, HEAD, Step, Walk};
+use crate::options::{BLOCK_BYTES, SEGMENTS_PER_STORE};
+use crate::segment::{self, FrameReader, NextFrame, SEGMENT_HEADER_BYTES};
 use crate::segmented_log::SegmentedLog;
 
-/// The least that a write spends on compaction when there is some to do, in bytes.
-const LEAST_STEP: u64 = 4096;
-/// Turns of the circle after which cleaning that frees nothing has nothing more to free.
-const IDLE_TURNS: u64 = 4;
-/// The target of this module's log lines, by which operators filter them.
+/// Minimum number of bytes that a write spends on compaction when it is due.
+const MIN_STEP_BYTES: u64 = 4096;
+/// Passes over the whole log without any gain after which compaction cannot free more space.
+const MAX_IDLE_PASSES: u64 = 4;
+/// Target of this module's log lines. It differs from the module path because operators filter by it.
 const LOG_TARGET: &str = "sailcart_store::store";
 
-/// How far the oldest segment is cleaned, and what compaction has done since the store was opened.
+/// Progress in the oldest segment, and counters since the store was opened.
 #[derive(Default)]
 pub(crate) struct Compaction {
-    /// Where in the oldest segment the next step goes on; at its beginning without one.
-    walk: Option<Walk>,
-    /// Bytes that it wrote.
-    pub carried: u64,
-    /// Segments that it removed.
+    /// Reader at the position in the oldest segment where the next step continues; `None` for its beginning.
+    reader: Option<FrameReader>,
+    /// Bytes written by compaction.
+    pub compacted_bytes: u64,
+    /// Segments that compaction made obsolete.
     pub segments_retired: u64,
-    /// Writes that had to wait for it to make room at once.
-    pub forced: u64,
+    /// Writes that had to wait for compaction to free space.
+    pub forced_compactions: u64,
 }
 
 impl Compaction {
-    /// Where there is much that does not count, a write also cleans, in step with its own size.
-    pub fn share<F: Files>(&mut self, log: &mut SegmentedLog<F>, size: u64) -> Result<(), Fault> {
-        let used = log.used();
-        if !worth_cleaning(log, used) {
+    /// If enough of the log is dead, runs a step in proportion to the size of the write just done.
+    pub fn step_after_write<F: Files>(
+        &mut self,
+        log: &mut SegmentedLog<F>,
+        write_size: u64,
+    ) -> Result<(), Fault> {
+        let used_bytes = log.used_bytes();
+        if !is_worthwhile(log, used_bytes) {
             return Ok(());
         }
-        // What one cleaned byte frees falls as more of it counts; twice that keeps ahead.
-        let dead = used.saturating_sub(log.live()).max(1);
-        let spent = (size.saturating_mul(2).saturating_mul(used) / dead).max(LEAST_STEP);
-        self.step(log, spent).map(|_| ())
+        // Each byte read frees dead/used bytes on average, which falls as more of the log is live. Reading
+        // twice as much as would free `write_size` keeps compaction ahead of the writes.
+        let dead_bytes = used_bytes.saturating_sub(log.live_bytes()).max(1);
+        let step_bytes =
+            (write_size.saturating_mul(2).saturating_mul(used_bytes) / dead_bytes).max(MIN_STEP_BYTES);
+        self.step(log, step_bytes).map(|_| ())
     }
 
-    /// Guards against a folder above its room: where a write would not fit, cleaning makes room first.
-    pub fn make_room<F: Files>(&mut self, log: &mut SegmentedLog<F>, size: u64) -> Result<(), Fault> {
-        // What cleaning itself may need: a new segment for what counts in the oldest, and its manifest.
-        let own = log.room.segment() + BLOCK * 4;
-        if log.used() + size + own > log.room.bytes {
-            self.forced += 1;
+    /// Keeps the folder within its capacity: compacts until a write of this size fits.
+    pub fn ensure_free_space<F: Files>(
+        &mut self,
+        log: &mut SegmentedLog<F>,
+        write_size: u64,
+    ) -> Result<(), Fault> {
+        // Compaction itself may need a new segment for the live data of the oldest one, and a manifest.
+        let overhead = log.options.segment_bytes() + BLOCK_BYTES * 4;
+        if log.used_bytes() + write_size + overhead > log.options.bytes {
+            self.forced_compactions += 1;
         }
-        let (mut least, mut idle) = (log.used(), 0);
-        while log.used() + size + own > log.room.bytes {
-            self.step(log, log.room.segment())?;
-            idle = if log.used() < least { 0 } else { idle + 1 };
-            least = least.min(log.used());
-            if idle > IDLE_TURNS * SEGMENTS {
-                let left = log.room.bytes.saturating_sub(log.used() + own);
-                return Err(Fault::Full { wanted: size, left });
+        let (mut lowest_used_bytes, mut idle_steps) = (log.used_bytes(), 0);
+        while log.used_bytes() + write_size + overhead > log.options.bytes {
+            self.step(log, log.options.segment_bytes())?;
+            idle_steps = if log.used_bytes() < lowest_used_bytes { 0 } else { idle_steps + 1 };
+            lowest_used_bytes = lowest_used_bytes.min(log.used_bytes());
+            if idle_steps > MAX_IDLE_PASSES * SEGMENTS_PER_STORE {
+                let available = log.options.bytes.saturating_sub(log.used_bytes() + overhead);
+                return Err(Fault::Full { needed: write_size, available });
             }
         }
         Ok(())
     }
 
-    /// After a failed sync: what counts in the suspect segments is written anew, from the oldest on, and they go. Until then nothing
-    /// is answered for.
-    pub fn replace_suspect<F: Files>(&mut self, log: &mut SegmentedLog<F>) -> Result<(), Fault> {
-        let Some(suspect) = log.suspect() else { return Ok(()) };
-        log.leave_suspect()?;
-        while log.oldest().is_some_and(|oldest| oldest.segment <= suspect) {
-            self.step(log, log.room.segment())?;
+    /// After a failed sync, writes the live data of the unsynced segments again, from the oldest segment on,
+    /// and retires those segments. Nothing is confirmed as durable before this has succeeded.
+    pub fn rewrite_unsynced<F: Files>(&mut self, log: &mut SegmentedLog<F>) -> Result<(), Fault> {
+        let Some(last_unsynced) = log.last_unsynced_segment() else { return Ok(()) };
+        log.leave_unsynced_segment()?;
+        while log.oldest_segment().is_some_and(|oldest| oldest.number <= last_unsynced) {
+            self.step(log, log.options.segment_bytes())?;
         }
         log.sync()?;
-        log.trust();
+        log.clear_unsynced_segment();
         Ok(())
     }
 
-    /// Cleans for about so many bytes read. Tells whether a segment went.
-    pub fn step<F: Files>(&mut self, log: &mut SegmentedLog<F>, bytes: u64) -> Result<bool, Fault> {
-        let Some(oldest) = log.oldest() else { return Ok(false) };
+    /// Runs one step, which reads about `max_read_bytes`. Returns whether a segment was retired.
+    pub fn step<F: Files>(&mut self, log: &mut SegmentedLog<F>, max_read_bytes: u64) -> Result<bool, Fault> {
+        let Some(oldest) = log.oldest_segment() else { return Ok(false) };
         if log.segments.len() == 1 {
-            if oldest.length == HEAD as u64 {
+            if oldest.length == SEGMENT_HEADER_BYTES as u64 {
                 return Ok(false);
             }
             log.roll()?;
         }
-        let mut walk = self.walk.take().unwrap_or_else(|| Walk::new(HEAD as u64, oldest.length));
-        let until = walk.offset + bytes;
-        while walk.offset < until {
-            let Some(segment) = log.segments.get(&oldest.segment) else { break };
-            let name = segment::name(oldest.segment);
-            let step = walk.next(&mut log.files, &segment.file).map_err(Fault::io("reading", &name))?;
-            match step {
-                Step::Frame(at) => {
-                    if let Err(fault) = self.carry(log, oldest.segment, at, &walk) {
-                        // This frame is looked at again.
-                        self.walk = Some(Walk::new(at, oldest.length));
-                        return Err(fault);
+        let mut reader = self
+            .reader
+            .take()
+            .unwrap_or_else(|| FrameReader::new(SEGMENT_HEADER_BYTES as u64, oldest.length));
+        let step_end = reader.offset + max_read_bytes;
+        while reader.offset < step_end {
+            let Some(segment) = log.segments.get(&oldest.number) else { break };
+            let name = segment::file_name(oldest.number);
+            let next = reader.next(&mut log.files, &segment.file).map_err(Fault::io("reading", &name))?;
+            match next {
+                NextFrame::Frame(frame_offset) => {
+                    if let Err(error) = self.copy_live_values(log, oldest.number, frame_offset, &reader) {
+                        // The next step reads this frame again.
+                        self.reader = Some(FrameReader::new(frame_offset, oldest.length));
+                        return Err(error);
                     }
                 }
-                Step::End => return self.retire(log, oldest.segment).map(|()| true),
-                Step::Stuck(_) => {
-                    let expected = "the record that was read at the start";
-                    return Err(Fault::Damaged { file: name, offset: walk.offset, expected });
+                NextFrame::End => return self.retire(log, oldest.number).map(|()| true),
+                NextFrame::Unreadable(_) => {
+                    let expected = "the frame that was read at the start";
+                    return Err(Fault::Damaged { file: name, offset: reader.offset, expected });
                 }
             }
         }
-        self.walk = Some(walk);
+        self.reader = Some(reader);
         Ok(false)
     }
 
-    /// What still counts of a frame is appended anew.
-    fn carry<F: Files>(
+    /// Appends the values of a frame that are still live to the end of the log.
+    fn copy_live_values<F: Files>(
         &mut self,
         log: &mut SegmentedLog<F>,
         number: u64,
-        at: u64,
-        walk: &Walk,
+        frame_offset: u64,
+        reader: &FrameReader,
     ) -> Result<(), Fault> {
-        for (nth, change) in frame::changes(walk.body(at)).flatten().enumerate() {
+        for (change_index, change) in frame::decode_changes(reader.body(frame_offset)).flatten().enumerate() {
             let Change::Put(key, _) = change else { continue };
-            let here =
-                |place: &Place| place.segment == number && place.offset == at && place.nth == nth as u32;
-            if log.index.get(key).as_ref().is_some_and(here) {
-                let place = log.append(&[change])?;
-                log.index.moved(key, place);
-                log.unsynced |= log.room.is_durable();
-                self.carried += u64::from(place.length);
+            let is_here = |location: &Location| {
+                location.segment == number
+                    && location.offset == frame_offset
+                    && location.change_index == change_index as u32
+            };
+            if log.index.get(key).as_ref().is_some_and(is_here) {
+                let location = log.append(&[change])?;
+                log.index.relocate(key, location);
+                log.needs_sync |= log.options.is_durable();
+                self.compacted_bytes += u64::from(location.length);
             }
         }
         Ok(())
     }
 
-    /// The oldest segment holds nothing that counts: the manifest says so, then it goes.
+    /// Takes the oldest segment, which holds no live data any more, out of the manifest and removes its file.
     fn retire<F: Files>(&mut self, log: &mut SegmentedLog<F>, oldest: u64) -> Result<(), Fault> {
-        let durable = log.room.is_durable();
+        let durable = log.options.is_durable();
         if durable {
             log.sync()?;
         }
         manifest::write(&mut log.files, oldest + 1, durable)?;
         log.retire(oldest);
         self.segments_retired += 1;
-        if log.left_over.contains(&oldest) {
-            log::warn!(target: LOG_TARGET, "store: code=not_removed {}", segment::name(oldest));
+        if log.obsolete_segments.contains(&oldest) {
+            log::warn!(target: LOG_TARGET, "store: code=not_removed {}", segment::file_name(oldest));
         }
         Ok(())
     }
 }
 
-fn worth_cleaning<F: Files>(log: &SegmentedLog<F>, used: u64) -> bool {
-    used > log.room.bytes / 2 || used > log.live() * 4 + log.room.segment() * 4
+/// Whether compaction is due: more than half of the capacity is used, or the log exceeds four times its live
+/// data by more than four segments.
+fn is_worthwhile<F: Files>(log: &SegmentedLog<F>, used_bytes: u64) -> bool {
+    used_bytes > log.options.bytes / 2 || used_bytes > log.live_bytes() * 4 + log.options.segment_bytes() * 4
 }
--- a/crates/sailcart-store/src/disk.rs
+++ b/crates/sailcart-store/src/disk.rs
@@ -1,4 +1,4 @@
-//! A folder of the operating system's.
+//! The store's files in a folder of the operating system.
 
 use std::fs::{self, File, OpenOptions, TryLockError};
 use std::io::{self, Write};
@@ -7,17 +7,17 @@
 
 use crate::files::Files;
 
-/// The name that other processes lock; never written to.
-const LOCK: &str = "lock";
+/// The file that a process locks to own the folder. Nothing is ever written to it.
+const LOCK_FILE: &str = "lock";
 
-/// [`Files`] in a folder of the operating system.
+/// [`Files`] in a folder of the operating system, locked through a lock file.
 pub struct Disk {
     folder: PathBuf,
     lock: Option<File>,
 }
 
 impl Disk {
-    /// The files of a folder, which must be there.
+    /// Accesses the files of a folder, which must exist.
     pub fn new(folder: &Path) -> Self {
         Disk { folder: folder.to_owned(), lock: None }
     }
@@ -27,15 +27,15 @@
     type File = File;
 
     fn lock(&mut self) -> io::Result<()> {
-        let path = self.folder.join(LOCK);
-        // One that is there is opened as it is, which a full disk allows.
+        let path = self.folder.join(LOCK_FILE);
+        // An existing lock file is only opened, which also works on a full disk.
         let lock = match OpenOptions::new().write(true).open(&path) {
-            Err(fault) if fault.kind() == io::ErrorKind::NotFound => File::create(&path)?,
+            Err(error) if error.kind() == io::ErrorKind::NotFound => File::create(&path)?,
             other => other?,
         };
         match lock.try_lock() {
             Err(TryLockError::WouldBlock) => Err(io::ErrorKind::WouldBlock.into()),
-            // A file system that knows no locks must do without.
+            // On a file system without lock support the folder stays unlocked.
             Ok(()) | Err(TryLockError::Error(_)) => {
                 self.lock = Some(lock);
                 Ok(())
@@ -44,16 +44,16 @@
     }
 
     fn list(&mut self) -> io::Result<Vec<(String, u64)>> {
-        let mut all = Vec::new();
+        let mut listing = Vec::new();
         for entry in fs::read_dir(&self.folder)? {
             let entry = entry?;
-            let data = entry.metadata()?;
-            if let (true, Ok(name)) = (data.is_file(), entry.file_name().into_string()) {
-                all.push((name, data.len()));
+            let metadata = entry.metadata()?;
+            if let (true, Ok(name)) = (metadata.is_file(), entry.file_name().into_string()) {
+                listing.push((name, metadata.len()));
             }
         }
-        all.sort();
-        Ok(all)
+        listing.sort();
+        Ok(listing)
     }
 
     fn create(&mut self, name: &str) -> io::Result<File> {
@@ -64,8 +64,8 @@
         OpenOptions::new().read(true).append(true).open(self.folder.join(name))
     }
 
-    fn read_at(&mut self, file: &File, offset: u64, into: &mut [u8]) -> io::Result<usize> {
-        file.read_at(into, offset)
+    fn read_at(&mut self, file: &File, offset: u64, buffer: &mut [u8]) -> io::Result<usize> {
+        file.read_at(buffer, offset)
     }
 
     fn append(&mut self, file: &mut File, bytes: &[u8]) -> io::Result<usize> {
--- a/crates/sailcart-store/src/files.rs
+++ b/crates/sailcart-store/src/files.rs
@@ -1,64 +1,67 @@
-//! All file work, so that tests can put a folder in its place that fails on purpose.
+//! The file operations that the store needs, as a trait, so that tests can replace the folder by one that
+//! injects failures.
 
 use std::io;
 
-/// One folder. Names are plain file names in it.
+/// The files of one folder. Names are plain file names in that folder.
 pub trait Files {
     /// An open file.
     type File;
 
-    /// Keeps other processes out for as long as `self` lives; [`io::ErrorKind::WouldBlock`] if one is in.
+    /// Locks the folder against other processes for the lifetime of `self`. Returns
+    /// [`io::ErrorKind::WouldBlock`] if another process holds the lock.
     fn lock(&mut self) -> io::Result<()>;
-    /// Every file, with its length.
+    /// Every file with its length in bytes.
     fn list(&mut self) -> io::Result<Vec<(String, u64)>>;
-    /// A new, empty file, which must not be there yet.
+    /// Creates an empty file, which must not exist yet.
     fn create(&mut self, name: &str) -> io::Result<Self::File>;
-    /// An existing file, to be read and appended to.
+    /// Opens an existing file for reading and appending.
     fn open(&mut self, name: &str) -> io::Result<Self::File>;
-    /// Reads at an offset; perhaps only a first part, whose length it tells, and 0 at the end.
-    fn read_at(&mut self, file: &Self::File, offset: u64, into: &mut [u8]) -> io::Result<usize>;
-    /// Writes at the end; perhaps only a first part, whose length it tells.
+    /// Reads at an offset and returns the number of bytes read, which may be fewer than asked for; 0 at the
+    /// end.
+    fn read_at(&mut self, file: &Self::File, offset: u64, buffer: &mut [u8]) -> io::Result<usize>;
+    /// Appends to the file and returns the number of bytes written, which may be fewer than given.
     fn append(&mut self, file: &mut Self::File, bytes: &[u8]) -> io::Result<usize>;
-    /// Cuts a file to a length.
+    /// Truncates a file to a length in bytes.
     fn truncate(&mut self, file: &mut Self::File, length: u64) -> io::Result<()>;
-    /// What was written to the file outlives the power.
+    /// Makes the contents of the file durable: they survive a power loss.
     fn sync(&mut self, file: &Self::File) -> io::Result<()>;
-    /// Which files there are outlives the power.
+    /// Makes the folder's entries durable: created, renamed and removed files stay so after a power loss.
     fn sync_folder(&mut self) -> io::Result<()>;
-    /// Puts one file in the place of another, as one step.
+    /// Atomically replaces one file by another.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
     /// Removes a file.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 }
 
-/// Writes all, in as many parts as it takes.
+/// Appends all bytes, in as many calls as it takes.
 pub(crate) fn append_all<F: Files>(files: &mut F, file: &mut F::File, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         match files.append(file, bytes) {
             Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
             Ok(written) => bytes = &bytes[written..],
-            Err(fault) if fault.kind() == io::ErrorKind::Interrupted => {}
-            Err(fault) => return Err(fault),
+            Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+            Err(error) => return Err(error),
         }
     }
     Ok(())
 }
 
-/// Reads as much as there is, up to the length asked for.
-pub(crate) fn read_most<F: Files>(
+/// Fills the buffer as far as the file reaches and returns the number of bytes read.
+pub(crate) fn read_available<F: Files>(
     files: &mut F,
     file: &F::File,
     offset: u64,
-    into: &mut [u8],
+    buffer: &mut [u8],
 ) -> io::Result<usize> {
-    let mut read = 0;
-    while read < into.len() {
-        match files.read_at(file, offset + read as u64, &mut into[read..]) {
+    let mut filled = 0;
+    while filled < buffer.len() {
+        match files.read_at(file, offset + filled as u64, &mut buffer[filled..]) {
             Ok(0) => break,
-            Ok(more) => read += more,
-            Err(fault) if fault.kind() == io::ErrorKind::Interrupted => {}
-            Err(fault) => return Err(fault),
+            Ok(read) => filled += read,
+            Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+            Err(error) => return Err(error),
         }
     }
-    Ok(read)
+    Ok(filled)
 }
--- a/crates/sailcart-store/src/index.rs
+++ b/crates/sailcart-store/src/index.rs
@@ -1,82 +1,87 @@
-//! Where each key's value stands in the log. Never written: it is read from the log at every start.
+//! The in-memory index: where in the log the value of each key is. It is never written to disk, but rebuilt
+//! from the log at every start.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
 
-/// The frame that holds a value, and which of its changes it is.
+/// Where a value is stored: the frame, and which of the frame's changes puts the value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Place {
+pub(crate) struct Location {
     pub segment: u64,
     pub offset: u64,
     pub length: u32,
-    pub nth: u32,
+    pub change_index: u32,
 }
 
 #[derive(Default)]
 pub(crate) struct Index {
-    places: BTreeMap<Box<[u8]>, (Place, u32)>,
-    /// Bytes that all values would take, each as a frame of its own.
-    live: u64,
-    /// Bytes that their ends will take.
-    ends: u64,
+    /// Location of each value, and its size in bytes as a frame of its own.
+    entries: BTreeMap<Box<[u8]>, (Location, u32)>,
+    /// Bytes of all values, each counted as a frame of its own.
+    value_bytes: u64,
+    /// Bytes of the tombstones that will delete them.
+    tombstone_bytes: u64,
 }
 
 impl Index {
-    /// `size` is that of the value as a frame of its own, `end` that of its end.
-    pub fn put(&mut self, key: &[u8], place: Place, size: u64, end: u64) {
-        match self.places.get_mut(key) {
+    /// Sets the location of a key's value. `value_size` and `tombstone_size` count the bytes of the value and
+    /// of its tombstone, each as a frame of its own.
+    pub fn put(&mut self, key: &[u8], location: Location, value_size: u64, tombstone_size: u64) {
+        match self.entries.get_mut(key) {
             Some((old, old_size)) => {
-                self.live = self.live - u64::from(*old_size) + size;
-                (*old, *old_size) = (place, size as u32);
+                self.value_bytes = self.value_bytes - u64::from(*old_size) + value_size;
+                (*old, *old_size) = (location, value_size as u32);
             }
             None => {
-                self.places.insert(key.into(), (place, size as u32));
-                self.live += size;
-                self.ends += end;
+                self.entries.insert(key.into(), (location, value_size as u32));
+                self.value_bytes += value_size;
+                self.tombstone_bytes += tombstone_size;
             }
         }
     }
 
-    /// The same value stands elsewhere.
-    pub fn moved(&mut self, key: &[u8], to: Place) {
-        if let Some((place, _)) = self.places.get_mut(key) {
-            *place = to;
+    /// Records that the same value has been copied to another location.
+    pub fn relocate(&mut self, key: &[u8], to: Location) {
+        if let Some((location, _)) = self.entries.get_mut(key) {
+            *location = to;
         }
     }
 
-    pub fn end(&mut self, key: &[u8], end: u64) {
-        if let Some((_, size)) = self.places.remove(key) {
-            self.live -= u64::from(size);
-            self.ends -= end;
+    pub fn remove(&mut self, key: &[u8], tombstone_size: u64) {
+        if let Some((_, value_size)) = self.entries.remove(key) {
+            self.value_bytes -= u64::from(value_size);
+            self.tombstone_bytes -= tombstone_size;
         }
     }
 
-    pub fn get(&self, key: &[u8]) -> Option<Place> {
-        self.places.get(key).map(|(place, _)| *place)
+    pub fn get(&self, key: &[u8]) -> Option<Location> {
+        self.entries.get(key).map(|(location, _)| *location)
     }
 
-    pub fn size(&self, key: &[u8]) -> u64 {
-        self.places.get(key).map_or(0, |(_, size)| u64::from(*size))
+    /// Bytes of a key's value as a frame of its own; 0 for an unknown key.
+    pub fn value_size(&self, key: &[u8]) -> u64 {
+        self.entries.get(key).map_or(0, |(_, value_size)| u64::from(*value_size))
     }
 
+    /// The keys from `from` (inclusive) to `until` (exclusive), in order.
     pub fn range<'a>(
         &'a self,
         from: &[u8],
         until: Option<&[u8]>,
     ) -> impl Iterator<Item = &'a [u8]> + use<'a> {
         let until = until.map_or(Bound::Unbounded, Bound::Excluded);
-        self.places.range::<[u8], _>((Bound::Included(from), until)).map(|(key, _)| &**key)
+        self.entries.range::<[u8], _>((Bound::Included(from), until)).map(|(key, _)| &**key)
     }
 
-    pub fn live(&self) -> u64 {
-        self.live
+    pub fn value_bytes(&self) -> u64 {
+        self.value_bytes
     }
 
-    pub fn ends(&self) -> u64 {
-        self.ends
+    pub fn tombstone_bytes(&self) -> u64 {
+        self.tombstone_bytes
     }
 
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.entries.len()
     }
 }
--- a/crates/sailcart-store/src/lib.rs
+++ b/crates/sailcart-store/src/lib.rs
@@ -1,30 +1,31 @@
-//! A small embedded store for what must outlive a process: keys and values in a segmented, append-only log, an index
-//! in memory that is read from the log at every start, compaction in bounded steps, and recovery that restores a
-//! consistent state or refuses. It knows nothing of packets, and has no thread and no clock of its own.
+//! An embedded key-value store for state that must survive the process: a segmented, append-only log, an
+//! in-memory index that is rebuilt from the log at every start, incremental compaction, and recovery that
+//! either restores a consistent state or refuses to open. The store knows nothing of packets and has no
+//! threads and no clock.
 //!
-//! [`Store::open`] recovers; [`Store::write`] appends several changes as one; [`Store::step`] does a bounded part of
-//! compaction, and every write does its share. All file work goes through [`Files`]. The format stands in
-//! `docs/store.md`.
+//! [`Store::open`] recovers a folder, [`Store::write`] appends several changes atomically, and
+//! [`Store::compact`] runs one bounded step of compaction; every write also runs such a step where compaction
+//! is due. All file access goes through [`Files`]. The on-disk format is described in `docs/store.md`.
 
 mod compaction;
 mod disk;
-mod fault;
+mod error;
 mod files;
 mod frame;
 mod index;
 mod manifest;
+mod options;
 mod recovery;
-mod room;
 mod salvage;
 mod segment;
 mod segmented_log;
 mod store;
 
 pub use disk::Disk;
-pub use fault::Fault;
+pub use error::Fault;
 pub use files::Files;
-pub use frame::{Change, MOST_KEY};
+pub use frame::{Change, MAX_KEY_BYTES};
+pub use options::{Room, Sync};
 pub use recovery::{Standing, check};
-pub use room::{Room, Sync};
 pub use salvage::{Salvaged, salvage};
-pub use store::{Effort, Store};
+pub use store::{Store, StoreStats};
--- a/crates/sailcart-store/src/manifest.rs
+++ b/crates/sailcart-store/src/manifest.rs
@@ -1,60 +1,65 @@
-//! Which segment is the first that counts. It is put in place by one rename; what stands before it is left over.
+//! The manifest, a file that names the first segment in use. It is replaced by an atomic rename; segments
+//! with lower numbers are obsolete.
 
-use crate::fault::Fault;
-use crate::files::{Files, append_all, read_most};
-use crate::segment::VERSION;
+use crate::error::Fault;
+use crate::files::{Files, append_all, read_available};
+use crate::segment::FORMAT_VERSION;
 
-pub(crate) const NAME: &str = "manifest";
-const NEW: &str = "manifest.new";
-const HEAD: &[u8; 15] = b"sailcart store ";
-const SIZE: usize = 15 + 4 + 8 + 4;
+pub(crate) const FILE_NAME: &str = "manifest";
+const TEMPORARY_FILE_NAME: &str = "manifest.new";
+const MAGIC: &[u8; 15] = b"sailcart store ";
+const MANIFEST_BYTES: usize = 15 + 4 + 8 + 4;
 
-/// The first segment; `None` where there is no manifest.
-pub(crate) fn read<F: Files>(files: &mut F, there: &[(String, u64)]) -> Result<Option<u64>, Fault> {
-    if !there.iter().any(|(name, _)| name == NAME) {
+/// Reads the number of the first segment in use; `None` if there is no manifest.
+pub(crate) fn read<F: Files>(files: &mut F, listing: &[(String, u64)]) -> Result<Option<u64>, Fault> {
+    if !listing.iter().any(|(name, _)| name == FILE_NAME) {
         return Ok(None);
     }
-    let file = files.open(NAME).map_err(Fault::io("opening", NAME))?;
-    let mut bytes = [0u8; SIZE + 1];
-    let length = read_most(files, &file, 0, &mut bytes).map_err(Fault::io("reading", NAME))?;
-    let damaged = |offset, expected| Fault::Damaged { file: NAME.to_owned(), offset, expected };
-    let bytes = bytes.get(..SIZE).filter(|_| length == SIZE);
+    let file = files.open(FILE_NAME).map_err(Fault::io("opening", FILE_NAME))?;
+    let mut bytes = [0u8; MANIFEST_BYTES + 1];
+    let length = read_available(files, &file, 0, &mut bytes).map_err(Fault::io("reading", FILE_NAME))?;
+    let damaged = |offset, expected| Fault::Damaged { file: FILE_NAME.to_owned(), offset, expected };
+    let bytes = bytes.get(..MANIFEST_BYTES).filter(|_| length == MANIFEST_BYTES);
     let bytes = bytes.ok_or(damaged(length as u64, "31 bytes"))?;
-    if &bytes[..15] != HEAD {
+    if &bytes[..15] != MAGIC {
         return Err(damaged(0, "a manifest of this store"));
     }
-    let sum = crc32fast::hash(&bytes[..SIZE - 4]).to_be_bytes();
-    if sum != bytes[SIZE - 4..] {
-        return Err(damaged(SIZE as u64 - 4, "the checksum of what stands before"));
+    let sum = crc32fast::hash(&bytes[..MANIFEST_BYTES - 4]).to_be_bytes();
+    if sum != bytes[MANIFEST_BYTES - 4..] {
+        return Err(damaged(MANIFEST_BYTES as u64 - 4, "the checksum of the preceding bytes"));
     }
     let version = u32::from_be_bytes([bytes[15], bytes[16], bytes[17], bytes[18]]);
-    if version > VERSION {
-        return Err(Fault::Newer { file: NAME.to_owned(), found: version, known: VERSION });
+    if version > FORMAT_VERSION {
+        return Err(Fault::NewerVersion {
+            file: FILE_NAME.to_owned(),
+            found: version,
+            supported: FORMAT_VERSION,
+        });
     }
-    let mut first = [0u8; 8];
-    first.copy_from_slice(&bytes[19..27]);
-    Ok(Some(u64::from_be_bytes(first)))
+    let mut first_segment = [0u8; 8];
+    first_segment.copy_from_slice(&bytes[19..27]);
+    Ok(Some(u64::from_be_bytes(first_segment)))
 }
 
-/// Puts a manifest in place. With `durable` it outlives the power.
-pub(crate) fn write<F: Files>(files: &mut F, first: u64, durable: bool) -> Result<(), Fault> {
-    let mut bytes = Vec::with_capacity(SIZE);
-    bytes.extend_from_slice(HEAD);
-    bytes.extend_from_slice(&VERSION.to_be_bytes());
-    bytes.extend_from_slice(&first.to_be_bytes());
+/// Replaces the manifest. With `durable`, the new one survives a power loss once this returns.
+pub(crate) fn write<F: Files>(files: &mut F, first_segment: u64, durable: bool) -> Result<(), Fault> {
+    let mut bytes = Vec::with_capacity(MANIFEST_BYTES);
+    bytes.extend_from_slice(MAGIC);
+    bytes.extend_from_slice(&FORMAT_VERSION.to_be_bytes());
+    bytes.extend_from_slice(&first_segment.to_be_bytes());
     bytes.extend_from_slice(&crc32fast::hash(&bytes).to_be_bytes());
-    match files.remove(NEW) {
-        Err(fault) if fault.kind() != std::io::ErrorKind::NotFound => {
-            return Err(Fault::io("removing", NEW)(fault));
+    match files.remove(TEMPORARY_FILE_NAME) {
+        Err(error) if error.kind() != std::io::ErrorKind::NotFound => {
+            return Err(Fault::io("removing", TEMPORARY_FILE_NAME)(error));
         }
         _ => {}
     }
-    let mut file = files.create(NEW).map_err(Fault::io("creating", NEW))?;
-    append_all(files, &mut file, &bytes).map_err(Fault::io("writing", NEW))?;
+    let mut file = files.create(TEMPORARY_FILE_NAME).map_err(Fault::io("creating", TEMPORARY_FILE_NAME))?;
+    append_all(files, &mut file, &bytes).map_err(Fault::io("writing", TEMPORARY_FILE_NAME))?;
     if durable {
-        files.sync(&file).map_err(Fault::io("syncing", NEW))?;
+        files.sync(&file).map_err(Fault::io("syncing", TEMPORARY_FILE_NAME))?;
     }
-    files.rename(NEW, NAME).map_err(Fault::io("renaming", NEW))?;
+    files.rename(TEMPORARY_FILE_NAME, FILE_NAME).map_err(Fault::io("renaming", TEMPORARY_FILE_NAME))?;
     if durable {
         files.sync_folder().map_err(Fault::io("syncing", "the folder"))?;
     }
--- a/crates/sailcart-store/src/recovery.rs
+++ b/crates/sailcart-store/src/recovery.rs
@@ -1,229 +1,255 @@
-//! Start: the log is read, and either stands as a whole or is refused. Only what a crash explains is mended: a torn
-//! end of the last segment, a segment or a manifest that was being made, files that the manifest has left behind.
-
-use crate::fault::Fault;
-use crate::files::{Files, read_most};
-use crate::frame::{self, Found};
-use crate::index::Place;
+//! Recovery at start: reads the whole log, and either restores it completely or refuses to open it. Only what
+//! a crash can cause is repaired: a torn write at the end of the last segment, a segment or a manifest whose
+//! creation was interrupted, and files that the manifest no longer names.
+
+use crate::error::Fault;
+use crate::files::{Files, read_available};
+use crate::frame::{self, FrameCheck};
+use crate::index::Location;
 use crate::manifest;
-use crate::room::{Room, Sync, blocks};
-use crate::segment::{self, HEAD, Listed, Step, Walk};
+use crate::options::{Room, Sync, round_up_to_blocks};
+use crate::segment::{self, FrameReader, NextFrame, SEGMENT_HEADER_BYTES, SegmentFile};
 use crate::segmented_log::{Segment, SegmentedLog};
 
-/// What was found at a start.
+/// What recovery found in a folder.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Standing {
-    /// Keys that stand for something.
+    /// Number of keys that have a value.
     pub keys: usize,
-    /// Files of the log.
+    /// Number of segments.
     pub segments: usize,
-    /// Bytes of all segments, each counted in whole 512.
+    /// Bytes of all segments, each rounded up to blocks of 512 bytes.
     pub bytes: u64,
-    /// Frames that were read.
+    /// Number of frames read.
     pub records: u64,
-    /// Bytes of a torn end that were cut: their record never counted.
+    /// Bytes of a torn write that are discarded. Its changes never took effect.
     pub cut: u64,
 }
 
-/// A log that was read, and what was found in it.
+/// A log read from its folder, and a summary of it.
 pub(crate) struct Recovered<F: Files> {
     pub log: SegmentedLog<F>,
-    pub standing: Standing,
+    pub summary: Standing,
 }
 
-/// Locks a folder, reads its log, and mends what a crash explains. Where nothing can be written just now, what stands is read all the
-/// same, and mended by the first write that succeeds.
-pub(crate) fn open<F: Files>(files: F, room: Room) -> Result<Recovered<F>, Fault> {
-    let mut recovery = Recovery::new(files, room, true);
+/// Locks a folder, reads its log and repairs what a crash can cause. If nothing can be written at the moment,
+/// the log is read all the same, and the first write that succeeds repairs it.
+pub(crate) fn open<F: Files>(files: F, options: Room) -> Result<Recovered<F>, Fault> {
+    let mut recovery = Recovery::new(files, options, true);
     let locked = recovery.log.lock();
-    let there = recovery.log.files.list().map_err(Fault::io("listing", "the folder"))?;
+    let listing = recovery.log.files.list().map_err(Fault::io("listing", "the folder"))?;
     match locked {
-        // Only a folder that no process has begun on has no lock.
-        Err(fault @ Fault::Io { .. }) if segment::listed(&there).is_empty() => put_off(&fault),
+        // Only a folder that no process has written to yet has no lock file.
+        Err(error @ Fault::Io { .. }) if segment::segment_files(&listing).is_empty() => {
+            log_deferred_repair(&error)
+        }
         other => other?,
     }
     let mut recovered = recovery.read()?;
-    if let Err(fault) = recovered.log.tidy() {
-        put_off(&fault);
+    if let Err(error) = recovered.log.prepare_write() {
+        log_deferred_repair(&error);
     }
     Ok(recovered)
 }
 
-fn put_off(fault: &Fault) {
-    log::warn!("store: code=mended_later {fault}; nothing can be written yet");
+fn log_deferred_repair(error: &Fault) {
+    log::warn!(
+        "store: code=mended_later {error}; the folder cannot be written yet; the first write that succeeds repairs it"
+    );
 }
 
-/// Reads a folder without changing it: what stands in it, or the first fault.
+/// Reads a folder without changing it and calls `visit` with each key and its value.
 ///
 /// # Errors
-/// As for [`Store::open`](crate::Store::open); a folder without a store has none to read and is [`Fault::Missing`].
-pub fn check<F: Files>(files: F, each: &mut dyn FnMut(&[u8], &[u8])) -> Result<Standing, Fault> {
-    let room = Room { bytes: u64::MAX / 2, sync: Sync::None };
-    let Recovered { mut log, standing } = Recovery::new(files, room, false).read()?;
+/// As for [`Store::open`](crate::Store::open), except that a folder without a store is [`Fault::Missing`].
+pub fn check<F: Files>(files: F, visit: &mut dyn FnMut(&[u8], &[u8])) -> Result<Standing, Fault> {
+    let options = Room { bytes: u64::MAX / 2, sync: Sync::None };
+    let Recovered { mut log, summary } = Recovery::new(files, options, false).read()?;
     let keys: Vec<Vec<u8>> = log.index.range(&[], None).map(<[u8]>::to_vec).collect();
     for key in keys {
         if let Some(value) = log.get(&key)? {
-            each(&key, &value);
+            visit(&key, &value);
         }
     }
-    Ok(standing)
+    Ok(summary)
 }
 
 /// A log that is being read.
 struct Recovery<F: Files> {
     log: SegmentedLog<F>,
-    standing: Standing,
-    /// What a crash explains is mended; else the folder stays as it is.
-    mend: bool,
+    summary: Standing,
+    /// Whether to repair what a crash can cause; otherwise the folder is not changed.
+    repair: bool,
 }
 
-/// Where in the log a segment stands.
+/// Position of a segment in the log.
 #[derive(Clone, Copy)]
-struct Neighbours {
-    /// How long the segment before it has become, unless it is the first.
-    before: Option<u64>,
-    last: bool,
+struct SegmentContext {
+    /// Length of the preceding segment; `None` for the first one.
+    previous_length: Option<u64>,
+    is_last: bool,
 }
 
 impl<F: Files> Recovery<F> {
-    fn new(files: F, room: Room, mend: bool) -> Self {
-        Recovery { log: SegmentedLog::new(files, room), standing: Standing::default(), mend }
+    fn new(files: F, options: Room, repair: bool) -> Self {
+        Recovery { log: SegmentedLog::new(files, options), summary: Standing::default(), repair }
     }
 
     fn read(mut self) -> Result<Recovered<F>, Fault> {
-        let there = self.log.files.list().map_err(Fault::io("listing", "the folder"))?;
-        let listed = segment::listed(&there);
-        match manifest::read(&mut self.log.files, &there)? {
-            None => self.begin(&listed)?,
-            Some(first) => self.read_from(first, &listed)?,
+        let listing = self.log.files.list().map_err(Fault::io("listing", "the folder"))?;
+        let segment_files = segment::segment_files(&listing);
+        match manifest::read(&mut self.log.files, &listing)? {
+            None => self.prepare_new_log(&segment_files)?,
+            Some(first_segment) => self.read_segments(first_segment, &segment_files)?,
         }
-        self.standing.keys = self.log.index.len();
-        self.standing.segments = self.log.segments.len();
-        self.standing.bytes = self.log.segments.values().map(|segment| blocks(segment.length)).sum();
-        Ok(Recovered { log: self.log, standing: self.standing })
+        self.summary.keys = self.log.index.len();
+        self.summary.segments = self.log.segments.len();
+        self.summary.bytes =
+            self.log.segments.values().map(|segment| round_up_to_blocks(segment.length)).sum();
+        Ok(Recovered { log: self.log, summary: self.summary })
     }
 
-    /// A folder without a manifest is new, or its first start was cut short: then no record stands in it.
-    fn begin(&mut self, listed: &[Listed]) -> Result<(), Fault> {
-        let begun = listed.iter().all(|file| file.number == 1 && file.length <= HEAD as u64);
-        if !begun || !self.mend {
-            return Err(Fault::Missing { file: manifest::NAME.to_owned() });
+    /// A folder without a manifest is new, or its first start was interrupted. In either case it holds no
+    /// frames.
+    fn prepare_new_log(&mut self, segment_files: &[SegmentFile]) -> Result<(), Fault> {
+        let is_new =
+            segment_files.iter().all(|file| file.number == 1 && file.length <= SEGMENT_HEADER_BYTES as u64);
+        if !is_new || !self.repair {
+            return Err(Fault::Missing { file: manifest::FILE_NAME.to_owned() });
         }
-        self.log.stray = listed.first().map(|file| file.number);
+        self.log.orphaned_segment = segment_files.first().map(|file| file.number);
         Ok(())
     }
 
-    /// Reads all segments from the first that counts; what stands before it is left over and goes.
-    fn read_from(&mut self, first: u64, listed: &[Listed]) -> Result<(), Fault> {
-        let (left_over, kept): (Vec<Listed>, Vec<Listed>) =
-            listed.iter().partition(|file| file.number < first);
-        if self.mend {
-            self.log.left_over.extend(left_over.iter().map(|file| file.number));
-            self.log.remove_left_over();
+    /// Reads all segments from the first one in use. Earlier ones are obsolete and are removed.
+    fn read_segments(&mut self, first_segment: u64, segment_files: &[SegmentFile]) -> Result<(), Fault> {
+        let (obsolete, current): (Vec<SegmentFile>, Vec<SegmentFile>) =
+            segment_files.iter().partition(|file| file.number < first_segment);
+        if self.repair {
+            self.log.obsolete_segments.extend(obsolete.iter().map(|file| file.number));
+            self.log.remove_obsolete_segments();
         }
-        check_complete(first, &kept)?;
-        let mut before = None;
-        for (at, file) in kept.iter().enumerate() {
-            let last = at + 1 == kept.len();
-            before = self.read_segment(*file, Neighbours { before, last })?;
+        check_complete(first_segment, &current)?;
+        let mut previous_length = None;
+        for (position, file) in current.iter().enumerate() {
+            let is_last = position + 1 == current.len();
+            previous_length = self.read_segment(*file, SegmentContext { previous_length, is_last })?;
         }
         Ok(())
     }
 
-    /// Reads one segment into the index. Tells its length, for the next one's head to agree with.
-    fn read_segment(&mut self, listed: Listed, neighbours: Neighbours) -> Result<Option<u64>, Fault> {
-        let number = listed.number;
-        let name = segment::name(number);
+    /// Reads one segment into the index. Returns its length, which the next segment's header must confirm.
+    fn read_segment(
+        &mut self,
+        segment_file: SegmentFile,
+        context: SegmentContext,
+    ) -> Result<Option<u64>, Fault> {
+        let number = segment_file.number;
+        let name = segment::file_name(number);
         let file = self.log.files.open(&name).map_err(Fault::io("opening", &name))?;
-        let mut head = [0u8; HEAD];
-        let read = read_most(&mut self.log.files, &file, 0, &mut head);
-        let head = &head[..read.map_err(Fault::io("reading", &name))?];
-        if self.is_torn_head(head, number, neighbours) {
-            // It counts for nothing yet: it goes before the segment before it is written to.
-            self.standing.cut += listed.length;
-            self.log.stray = Some(number);
-            return Ok(neighbours.before);
+        let mut header = [0u8; SEGMENT_HEADER_BYTES];
+        let read = read_available(&mut self.log.files, &file, 0, &mut header);
+        let header = &header[..read.map_err(Fault::io("reading", &name))?];
+        if self.is_torn_header(header, number, context) {
+            // The file holds no frames yet. It is removed before the preceding segment is written to.
+            self.summary.cut += segment_file.length;
+            self.log.orphaned_segment = Some(number);
+            return Ok(context.previous_length);
         }
-        let told = segment::read_head(head, number)?;
-        if neighbours.before.is_some_and(|before| before != told) {
-            let file = segment::name(number - 1);
-            let expected = "as many bytes as the next segment tells";
-            return Err(Fault::Damaged { file, offset: neighbours.before.unwrap_or(0), expected });
+        let recorded_length = segment::decode_header(header, number)?;
+        if context.previous_length.is_some_and(|previous_length| previous_length != recorded_length) {
+            let file = segment::file_name(number - 1);
+            let expected = "the length recorded in the next segment";
+            return Err(Fault::Damaged { file, offset: context.previous_length.unwrap_or(0), expected });
         }
-        self.read_records(file, listed, neighbours).map(Some)
+        self.read_frames(file, segment_file, context).map(Some)
     }
 
-    /// A new segment whose head was being written; the one before it is whole.
-    fn is_torn_head(&self, head: &[u8], number: u64, neighbours: Neighbours) -> bool {
-        let short = head.len() < HEAD;
-        let unreadable = self.log.room.is_durable() && segment::read_head(head, number).is_err();
-        neighbours.last && neighbours.before.is_some() && (short || unreadable)
+    /// Whether a new segment was interrupted while its header was written; the preceding segment is then
+    /// complete.
+    fn is_torn_header(&self, header: &[u8], number: u64, context: SegmentContext) -> bool {
+        let is_short = header.len() < SEGMENT_HEADER_BYTES;
+        let is_unreadable = self.log.options.is_durable() && segment::decode_header(header, number).is_err();
+        context.is_last && context.previous_length.is_some() && (is_short || is_unreadable)
     }
 
-    /// Reads a segment's records into the index, up to its end or a torn one. Tells where that is.
-    fn read_records(&mut self, file: F::File, listed: Listed, neighbours: Neighbours) -> Result<u64, Fault> {
-        let name = segment::name(listed.number);
-        let mut walk = Walk::new(HEAD as u64, listed.length);
+    /// Reads a segment's frames into the index, up to its end or a torn write. Returns the offset of that.
+    fn read_frames(
+        &mut self,
+        file: F::File,
+        segment_file: SegmentFile,
+        context: SegmentContext,
+    ) -> Result<u64, Fault> {
+        let name = segment::file_name(segment_file.number);
+        let mut reader = FrameReader::new(SEGMENT_HEADER_BYTES as u64, segment_file.length);
         loop {
-            match walk.next(&mut self.log.files, &file).map_err(Fault::io("reading", &name))? {
-                Step::Frame(at) => self.apply(&walk, listed.number, at),
-                Step::End => break,
-                Step::Stuck(found) => {
-                    self.check_torn_end(&file, listed, walk.offset, &found, neighbours.last)?;
-                    self.standing.cut += listed.length - walk.offset;
-                    self.log.torn = true;
+            match reader.next(&mut self.log.files, &file).map_err(Fault::io("reading", &name))? {
+                NextFrame::Frame(frame_offset) => self.apply(&reader, segment_file.number, frame_offset),
+                NextFrame::End => break,
+                NextFrame::Unreadable(failure) => {
+                    self.check_torn_tail(&file, segment_file, reader.offset, &failure, context.is_last)?;
+                    self.summary.cut += segment_file.length - reader.offset;
+                    self.log.has_torn_tail = true;
                     break;
                 }
             }
         }
-        self.log.segments.insert(listed.number, Segment { file, length: walk.offset });
-        Ok(walk.offset)
+        self.log.segments.insert(segment_file.number, Segment { file, length: reader.offset });
+        Ok(reader.offset)
     }
 
-    /// Takes the frame that a walk found last, which began at `at`, into the index.
-    fn apply(&mut self, walk: &Walk, number: u64, at: u64) {
-        let place = Place { segment: number, offset: at, length: (walk.offset - at) as u32, nth: 0 };
-        self.log.apply(frame::changes(walk.body(at)).flatten(), place);
-        self.standing.records += 1;
+    /// Applies the frame that the reader read last to the index.
+    fn apply(&mut self, reader: &FrameReader, number: u64, frame_offset: u64) {
+        let location = Location {
+            segment: number,
+            offset: frame_offset,
+            length: (reader.offset - frame_offset) as u32,
+            change_index: 0,
+        };
+        self.log.apply(frame::decode_changes(reader.body(frame_offset)).flatten(), location);
+        self.summary.records += 1;
     }
 
-    /// Whether what the walk got stuck at is a torn end, and not damage.
-    fn check_torn_end(
+    /// Returns an error unless the unreadable bytes at this offset are a torn write at the end of the log.
+    fn check_torn_tail(
         &mut self,
         file: &F::File,
-        listed: Listed,
-        at: u64,
-        found: &Found,
-        last: bool,
+        segment_file: SegmentFile,
+        frame_offset: u64,
+        failure: &FrameCheck,
+        is_last: bool,
     ) -> Result<(), Fault> {
-        let name = segment::name(listed.number);
-        let expected = match found {
-            Found::Damaged(expected) => expected,
-            _ => "a whole record",
+        let name = segment::file_name(segment_file.number);
+        let expected = match failure {
+            FrameCheck::Damaged(expected) => expected,
+            _ => "a complete frame",
         };
-        let damaged = Fault::Damaged { file: name.clone(), offset: at, expected };
-        // Writes come in order: what a killed process leaves is short, never changed. Lost power may change it.
-        if !last || (!self.log.room.is_durable() && *found != Found::Short) {
+        let damaged = Fault::Damaged { file: name.clone(), offset: frame_offset, expected };
+        // Writes are in order, so a killed process leaves a short frame, never a changed one. A power loss
+        // may leave a changed one.
+        if !is_last || (!self.log.options.is_durable() && *failure != FrameCheck::Incomplete) {
             return Err(damaged);
         }
-        let rest = segment::find(&mut self.log.files, file, at + 1, listed.length);
-        match rest.map_err(Fault::io("reading", &name))? {
-            // A whole record behind it: it was no end.
+        let next_frame =
+            segment::find_next_frame(&mut self.log.files, file, frame_offset + 1, segment_file.length);
+        match next_frame.map_err(Fault::io("reading", &name))? {
+            // A complete frame follows, so this was not the end of the log.
             Some(_) => Err(damaged),
             None => Ok(()),
         }
     }
 }
 
-/// From the first segment on none may be missing.
-fn check_complete(first: u64, kept: &[Listed]) -> Result<(), Fault> {
-    for (expected, file) in (first..).zip(kept) {
+/// Checks that the segments are numbered without a gap from the first one in use, and that there is at least
+/// one.
+fn check_complete(first_segment: u64, segment_files: &[SegmentFile]) -> Result<(), Fault> {
+    for (expected, file) in (first_segment..).zip(segment_files) {
         if file.number != expected {
-            return Err(Fault::Missing { file: segment::name(expected) });
+            return Err(Fault::Missing { file: segment::file_name(expected) });
         }
     }
-    if kept.is_empty() {
-        return Err(Fault::Missing { file: segment::name(first) });
+    if segment_files.is_empty() {
+        return Err(Fault::Missing { file: segment::file_name(first_segment) });
     }
     Ok(())
 }
--- a/crates/sailcart-store/src/salvage.rs
+++ b/crates/sailcart-store/src/salvage.rs
@@ -1,91 +1,103 @@
-//! Salvage: by hand only, where a folder was refused. What can be read of a damaged log goes into a new folder, and
-//! what is given up is told. The damaged folder stays as it is.
+//! Salvage, which an operator starts by hand after a folder was refused: copies the readable part of a
+//! damaged log into a new store and reports what could not be read. The damaged folder is not changed.
 
-use crate::fault::Fault;
-use crate::files::{Files, read_most};
+use crate::error::Fault;
+use crate::files::{Files, read_available};
 use crate::frame::{self, Change};
-use crate::index::{Index, Place};
+use crate::index::{Index, Location};
 use crate::manifest;
-use crate::segment::{self, HEAD, Listed, Step, Walk};
+use crate::segment::{self, FrameReader, NextFrame, SEGMENT_HEADER_BYTES, SegmentFile};
 use crate::store::Store;
 
-/// What came over, and what did not.
+/// What a salvage copied, and what it could not read.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Salvaged {
-    /// Keys whose value came over.
+    /// Number of keys whose value was copied.
     pub keys: usize,
-    /// Stretches that could not be read: file, from, length.
+    /// Ranges that could not be read, as file name, offset and length in bytes. The length is 0 for a missing
+    /// file.
     pub given_up: Vec<(String, u64, u64)>,
 }
 
-/// Reads all whole records of a folder, in order, and writes what counts by them into an empty store. A record that
-/// is lost may have been an end: its key then stands for something again. Whoever uses what came over must reckon
-/// with that.
+/// Reads all complete frames of a folder in order and writes the resulting values to an empty store. An
+/// unreadable frame may have deleted a key, which then has a value again; the caller must allow for that.
 ///
 /// # Errors
-/// [`Fault::Io`] as the files fail, and what [`Store::write`] tells of the new folder.
-pub fn salvage<F: Files, G: Files>(mut from: F, into: &mut Store<G>) -> Result<Salvaged, Fault> {
-    let there = from.list().map_err(Fault::io("listing", "the folder"))?;
-    let mut listed = segment::listed(&there);
-    // A manifest that cannot be read leaves nothing out: segments before the first hold nothing that counts.
-    let first = manifest::read(&mut from, &there).ok().flatten().unwrap_or(0);
-    listed.retain(|segment| segment.number >= first);
-    let (mut index, mut done) = (Index::default(), Salvaged::default());
-    for (before, after) in listed.iter().zip(listed.iter().skip(1)) {
-        if before.number + 1 != after.number {
-            done.given_up.push((segment::name(before.number + 1), 0, 0));
+/// [`Fault::Io`] if a file operation fails, and the errors of [`Store::write`] for the new store.
+pub fn salvage<F: Files, G: Files>(mut source: F, target: &mut Store<G>) -> Result<Salvaged, Fault> {
+    let listing = source.list().map_err(Fault::io("listing", "the folder"))?;
+    let mut segments = segment::segment_files(&listing);
+    // If the manifest is unreadable, all segments are read: those before the first one in use hold no live
+    // values.
+    let first_segment = manifest::read(&mut source, &listing).ok().flatten().unwrap_or(0);
+    segments.retain(|segment| segment.number >= first_segment);
+    let (mut index, mut report) = (Index::default(), Salvaged::default());
+    for (previous, next) in segments.iter().zip(segments.iter().skip(1)) {
+        if previous.number + 1 != next.number {
+            report.given_up.push((segment::file_name(previous.number + 1), 0, 0));
         }
     }
-    for segment in listed {
-        read_segment(&mut from, segment, &mut index, &mut done)?;
+    for segment in segments {
+        read_segment(&mut source, segment, &mut index, &mut report)?;
     }
-    let keys: Vec<(Vec<u8>, Place)> =
+    let locations: Vec<(Vec<u8>, Location)> =
         index.range(&[], None).filter_map(|key| Some((key.to_vec(), index.get(key)?))).collect();
-    for (key, place) in keys {
-        let name = segment::name(place.segment);
-        let file = from.open(&name).map_err(Fault::io("opening", &name))?;
-        let mut bytes = vec![0; place.length as usize];
-        read_most(&mut from, &file, place.offset, &mut bytes).map_err(Fault::io("reading", &name))?;
-        let change = frame::changes(&bytes[frame::HEAD..]).nth(place.nth as usize).flatten();
-        if let Some(change @ Change::Put(found, _)) = change
-            && found == key.as_slice()
+    for (key, location) in locations {
+        let name = segment::file_name(location.segment);
+        let file = source.open(&name).map_err(Fault::io("opening", &name))?;
+        let mut bytes = vec![0; location.length as usize];
+        read_available(&mut source, &file, location.offset, &mut bytes)
+            .map_err(Fault::io("reading", &name))?;
+        let change = frame::decode_changes(&bytes[frame::HEADER_BYTES..])
+            .nth(location.change_index as usize)
+            .flatten();
+        if let Some(change @ Change::Put(stored_key, _)) = change
+            && stored_key == key.as_slice()
         {
-            into.write(&[change])?;
-            done.keys += 1;
+            target.write(&[change])?;
+            report.keys += 1;
         }
     }
-    Ok(done)
+    Ok(report)
 }
 
-/// Reads one segment into an index, past what cannot be read.
+/// Reads one segment into the index, skipping what cannot be read.
 fn read_segment<F: Files>(
-    from: &mut F,
-    Listed { number, length }: Listed,
+    source: &mut F,
+    SegmentFile { number, length }: SegmentFile,
     index: &mut Index,
-    done: &mut Salvaged,
+    report: &mut Salvaged,
 ) -> Result<(), Fault> {
-    let name = segment::name(number);
-    let file = from.open(&name).map_err(Fault::io("opening", &name))?;
-    let mut walk = Walk::new((HEAD as u64).min(length), length);
+    let name = segment::file_name(number);
+    let file = source.open(&name).map_err(Fault::io("opening", &name))?;
+    let mut reader = FrameReader::new((SEGMENT_HEADER_BYTES as u64).min(length), length);
     loop {
-        match walk.next(from, &file).map_err(Fault::io("reading", &name))? {
-            Step::Frame(at) => {
-                for (nth, change) in frame::changes(walk.body(at)).flatten().enumerate() {
-                    let length = (walk.offset - at) as u32;
-                    let place = Place { segment: number, offset: at, length, nth: nth as u32 };
+        match reader.next(source, &file).map_err(Fault::io("reading", &name))? {
+            NextFrame::Frame(frame_offset) => {
+                for (change_index, change) in
+                    frame::decode_changes(reader.body(frame_offset)).flatten().enumerate()
+                {
+                    let length = (reader.offset - frame_offset) as u32;
+                    let location = Location {
+                        segment: number,
+                        offset: frame_offset,
+                        length,
+                        change_index: change_index as u32,
+                    };
                     match change {
-                        Change::Put(key, _) => index.put(key, place, 0, 0),
-                        Change::End(key) => index.end(key, 0),
+                        Change::Put(key, _) => index.put(key, location, 0, 0),
+                        Change::End(key) => index.remove(key, 0),
                     }
                 }
             }
-            Step::End => return Ok(()),
-            Step::Stuck(_) => {
-                let at = walk.offset;
-                let next = segment::find(from, &file, at + 1, length).map_err(Fault::io("reading", &name))?;
-                done.given_up.push((name.clone(), at, next.unwrap_or(length) - at));
+            NextFrame::End => return Ok(()),
+            NextFrame::Unreadable(_) => {
+                let start = reader.offset;
+                let next = segment::find_next_frame(source, &file, start + 1, length)
+                    .map_err(Fault::io("reading", &name))?;
+                report.given_up.push((name.clone(), start, next.unwrap_or(length) - start));
                 match next {
-                    Some(next) => walk = Walk::new(next, length),
+                    Some(next) => reader = FrameReader::new(next, length),
                     None => return Ok(()),
                 }
             }
--- a/crates/sailcart-store/src/segment.rs
+++ b/crates/sailcart-store/src/segment.rs
@@ -1,147 +1,157 @@
-//! One file of the log: a head, then frames. The head tells how long the segment before it had become, so that a
-//! cut at the end of a frame is seen too.
+//! Segments, the files of the log: a header, then frames. The header records the final length of the
+//! preceding segment, so that a truncation at a frame boundary is detected too.
 
-use crate::fault::Fault;
-use crate::files::{Files, read_most};
-use crate::frame::{self, Found};
+use crate::error::Fault;
+use crate::files::{Files, read_available};
+use crate::frame::{self, FrameCheck};
 
-/// The format that this code writes. 1 was the single file `journal`; 2 had the same files, and values of callers that knew the wall
-/// clock alone. Both are read.
-pub(crate) const VERSION: u32 = 3;
-const MARK: &[u8; 4] = b"SCSL";
-pub(crate) const HEAD: usize = 4 + 4 + 8 + 8 + 4;
-/// Bytes read at once while a log is walked.
-const CHUNK: usize = 64 * 1024;
+/// The format version that this code writes. Version 1 was the single file `journal`. Version 2 had the same
+/// files as version 3, but its callers' values held wall-clock times only. Both can still be read.
+pub(crate) const FORMAT_VERSION: u32 = 3;
+const MAGIC: &[u8; 4] = b"SCSL";
+pub(crate) const SEGMENT_HEADER_BYTES: usize = 4 + 4 + 8 + 8 + 4;
+/// Minimum number of bytes read at once while scanning a segment, unless the segment ends earlier.
+const READ_CHUNK_BYTES: usize = 64 * 1024;
 
-/// The name of a segment's file.
-pub(crate) fn name(number: u64) -> String {
+/// The file name of a segment.
+pub(crate) fn file_name(number: u64) -> String {
     format!("segment-{number:016x}")
 }
 
-/// A segment's file as the folder lists it.
+/// A segment file in the listing of the folder.
 #[derive(Clone, Copy)]
-pub(crate) struct Listed {
+pub(crate) struct SegmentFile {
     pub number: u64,
     pub length: u64,
 }
 
-/// The segments among a folder's files, in order.
-pub(crate) fn listed(there: &[(String, u64)]) -> Vec<Listed> {
-    let mut segments: Vec<Listed> = there
+/// The segments among the files of a folder, in order.
+pub(crate) fn segment_files(listing: &[(String, u64)]) -> Vec<SegmentFile> {
+    let mut segments: Vec<SegmentFile> = listing
         .iter()
-        .filter_map(|(name, length)| Some(Listed { number: number(name)?, length: *length }))
+        .filter_map(|(name, length)| Some(SegmentFile { number: parse_file_name(name)?, length: *length }))
         .collect();
     segments.sort_by_key(|segment| (segment.number, segment.length));
     segments
 }
 
-fn number(name: &str) -> Option<u64> {
+fn parse_file_name(name: &str) -> Option<u64> {
     let digits = name.strip_prefix("segment-").filter(|digits| digits.len() == 16)?;
     u64::from_str_radix(digits, 16).ok()
 }
 
-/// A segment's head, with the length that the segment before it had become.
-pub(crate) fn head(number: u64, before: u64) -> [u8; HEAD] {
-    let mut head = [0u8; HEAD];
-    head[..4].copy_from_slice(MARK);
-    head[4..8].copy_from_slice(&VERSION.to_be_bytes());
-    head[8..16].copy_from_slice(&number.to_be_bytes());
-    head[16..24].copy_from_slice(&before.to_be_bytes());
-    let sum = crc32fast::hash(&head[..24]);
-    head[24..].copy_from_slice(&sum.to_be_bytes());
-    head
+/// Encodes a segment's header, which records the final length of the preceding segment.
+pub(crate) fn encode_header(number: u64, previous_length: u64) -> [u8; SEGMENT_HEADER_BYTES] {
+    let mut header = [0u8; SEGMENT_HEADER_BYTES];
+    header[..4].copy_from_slice(MAGIC);
+    header[4..8].copy_from_slice(&FORMAT_VERSION.to_be_bytes());
+    header[8..16].copy_from_slice(&number.to_be_bytes());
+    header[16..24].copy_from_slice(&previous_length.to_be_bytes());
+    let sum = crc32fast::hash(&header[..24]);
+    header[24..].copy_from_slice(&sum.to_be_bytes());
+    header
 }
 
-/// Reads a head: how long the segment before it had become.
-pub(crate) fn read_head(bytes: &[u8], number: u64) -> Result<u64, Fault> {
-    let damaged = |offset, expected| Fault::Damaged { file: name(number), offset, expected };
-    let bytes = bytes.get(..HEAD).ok_or_else(|| damaged(bytes.len() as u64, "a whole head"))?;
-    let four = |at: usize| u32::from_be_bytes([bytes[at], bytes[at + 1], bytes[at + 2], bytes[at + 3]]);
-    if &bytes[..4] != MARK || four(24) != crc32fast::hash(&bytes[..24]) {
-        return Err(damaged(0, "the head of a segment"));
+/// Decodes a segment's header and returns the final length of the preceding segment.
+pub(crate) fn decode_header(bytes: &[u8], number: u64) -> Result<u64, Fault> {
+    let damaged = |offset, expected| Fault::Damaged { file: file_name(number), offset, expected };
+    let bytes =
+        bytes.get(..SEGMENT_HEADER_BYTES).ok_or_else(|| damaged(bytes.len() as u64, "a complete header"))?;
+    let u32_at = |at: usize| u32::from_be_bytes([bytes[at], bytes[at + 1], bytes[at + 2], bytes[at + 3]]);
+    if &bytes[..4] != MAGIC || u32_at(24) != crc32fast::hash(&bytes[..24]) {
+        return Err(damaged(0, "a segment header"));
     }
-    if four(4) > VERSION {
-        return Err(Fault::Newer { file: name(number), found: four(4), known: VERSION });
+    if u32_at(4) > FORMAT_VERSION {
+        return Err(Fault::NewerVersion {
+            file: file_name(number),
+            found: u32_at(4),
+            supported: FORMAT_VERSION,
+        });
     }
-    let eight = |at: usize| u64::from(four(at)) << 32 | u64::from(four(at + 4));
-    if eight(8) != number { Err(damaged(8, "the number in the file's name")) } else { Ok(eight(16)) }
+    let u64_at = |at: usize| u64::from(u32_at(at)) << 32 | u64::from(u32_at(at + 4));
+    if u64_at(8) != number { Err(damaged(8, "the segment number of the file name")) } else { Ok(u64_at(16)) }
 }
 
-/// Walks a segment's frames with a buffer that holds little more than the largest of them.
-pub(crate) struct Walk {
-    /// Bytes read; of them, how many are used up.
-    bytes: Vec<u8>,
-    used: usize,
-    /// Where in the file the used ones end.
+/// Reads the frames of a segment one by one. Its buffer is little larger than the largest frame.
+pub(crate) struct FrameReader {
+    /// Bytes read from the file, and how many of them belong to frames already returned.
+    buffer: Vec<u8>,
+    consumed: usize,
+    /// Offset in the file at which the returned frames end.
     pub offset: u64,
-    until: u64,
+    end: u64,
 }
 
-/// Where a walk has come.
-pub(crate) enum Step {
-    /// The frame that begins at this offset.
+/// Result of reading the next frame.
+pub(crate) enum NextFrame {
+    /// A valid frame, which begins at this offset.
     Frame(u64),
     End,
-    /// It cannot go on from `offset`.
-    Stuck(Found),
+    /// No valid frame at the reader's `offset`; the reader cannot continue.
+    Unreadable(FrameCheck),
 }
 
-impl Walk {
-    pub fn new(from: u64, until: u64) -> Self {
-        Walk { bytes: Vec::new(), used: 0, offset: from, until }
+impl FrameReader {
+    pub fn new(start: u64, end: u64) -> Self {
+        FrameReader { buffer: Vec::new(), consumed: 0, offset: start, end }
     }
 
-    /// The next frame; its bytes stand in [`Walk::body`] until the one after it.
-    pub fn next<F: Files>(&mut self, files: &mut F, file: &F::File) -> std::io::Result<Step> {
+    /// Reads the next frame. [`FrameReader::body`] returns its body until the next call.
+    pub fn next<F: Files>(&mut self, files: &mut F, file: &F::File) -> std::io::Result<NextFrame> {
         loop {
-            let left = &self.bytes[self.used..];
-            let missing = match frame::look(left) {
-                Found::Whole(length) => {
-                    let at = self.offset;
-                    self.used += length;
+            let unconsumed = &self.buffer[self.consumed..];
+            let missing = match frame::check(unconsumed) {
+                FrameCheck::Complete(length) => {
+                    let frame_offset = self.offset;
+                    self.consumed += length;
                     self.offset += length as u64;
-                    return Ok(Step::Frame(at));
+                    return Ok(NextFrame::Frame(frame_offset));
                 }
-                Found::Short => match frame::length(left) {
-                    Ok(length) => frame::HEAD + length - left.len(),
-                    Err(_) => frame::HEAD - left.len(),
+                FrameCheck::Incomplete => match frame::body_length(unconsumed) {
+                    Ok(length) => frame::HEADER_BYTES + length - unconsumed.len(),
+                    Err(_) => frame::HEADER_BYTES - unconsumed.len(),
                 },
-                damaged => return Ok(Step::Stuck(damaged)),
+                damaged => return Ok(NextFrame::Unreadable(damaged)),
             };
-            let next = self.offset + left.len() as u64;
-            if next >= self.until {
-                return Ok(if left.is_empty() { Step::End } else { Step::Stuck(Found::Short) });
+            let read_offset = self.offset + unconsumed.len() as u64;
+            if read_offset >= self.end {
+                return Ok(if unconsumed.is_empty() {
+                    NextFrame::End
+                } else {
+                    NextFrame::Unreadable(FrameCheck::Incomplete)
+                });
             }
-            self.bytes.drain(..self.used);
-            self.used = 0;
-            let (had, more) = (self.bytes.len(), missing.max(CHUNK).min((self.until - next) as usize));
-            self.bytes.resize(had + more, 0);
-            let read = read_most(files, file, next, &mut self.bytes[had..])?;
-            self.bytes.truncate(had + read);
+            self.buffer.drain(..self.consumed);
+            self.consumed = 0;
+            let (buffered, wanted) =
+                (self.buffer.len(), missing.max(READ_CHUNK_BYTES).min((self.end - read_offset) as usize));
+            self.buffer.resize(buffered + wanted, 0);
+            let read = read_available(files, file, read_offset, &mut self.buffer[buffered..])?;
+            self.buffer.truncate(buffered + read);
             if read == 0 {
-                self.until = next; // shorter than it was listed
+                self.end = read_offset; // the file is shorter than it was listed
             }
         }
     }
 
-    /// The body of the frame that was found last, which began at `at`.
-    pub fn body(&self, at: u64) -> &[u8] {
-        let length = (self.offset - at) as usize;
-        &self.bytes[self.used - length + frame::HEAD..self.used]
+    /// The body of the frame read last, which begins at `frame_offset`.
+    pub fn body(&self, frame_offset: u64) -> &[u8] {
+        let length = (self.offset - frame_offset) as usize;
+        &self.buffer[self.consumed - length + frame::HEADER_BYTES..self.consumed]
     }
 }
 
-/// The next whole record from an offset on, where the chain of them is broken.
-pub(crate) fn find<F: Files>(
+/// Searches for the next complete frame from an offset on, past bytes that are not a valid frame.
+pub(crate) fn find_next_frame<F: Files>(
     files: &mut F,
     file: &F::File,
-    from: u64,
-    until: u64,
+    start: u64,
+    end: u64,
 ) -> std::io::Result<Option<u64>> {
-    let mut bytes = vec![0; until.saturating_sub(from) as usize];
-    let read = read_most(files, file, from, &mut bytes)?;
+    let mut bytes = vec![0; end.saturating_sub(start) as usize];
+    let read = read_available(files, file, start, &mut bytes)?;
     bytes.truncate(read);
-    let mut marks = memchr::memmem::find_iter(&bytes, &frame::MARK);
-    let found = marks.find(|at| matches!(frame::look(&bytes[*at..]), Found::Whole(_)));
-    Ok(found.map(|at| from + at as u64))
+    let mut candidates = memchr::memmem::find_iter(&bytes, &frame::MAGIC);
+    let found = candidates.find(|at| matches!(frame::check(&bytes[*at..]), FrameCheck::Complete(_)));
+    Ok(found.map(|at| start + at as u64))
 }
--- a/crates/sailcart-store/src/segmented_log.rs
+++ b/crates/sailcart-store/src/segmented_log.rs
@@ -1,253 +1,259 @@
-//! The append-only log in segments, with the index of what counts in it: appending, syncing and reading.
+//! The append-only log, split into segments, with the index of its live values: appending, syncing and
+//! reading.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::ErrorKind;
 
-use crate::fault::Fault;
-use crate::files::{Files, append_all, read_most};
-use crate::frame::{self, Change, Found};
-use crate::index::{Index, Place};
+use crate::error::Fault;
+use crate::files::{Files, append_all, read_available};
+use crate::frame::{self, Change, FrameCheck};
+use crate::index::{Index, Location};
 use crate::manifest;
-use crate::room::{BLOCK, Room, blocks};
-use crate::segment::{self, HEAD};
+use crate::options::{BLOCK_BYTES, Room, round_up_to_blocks};
+use crate::segment::{self, SEGMENT_HEADER_BYTES};
 
-/// The number of a new folder's first segment.
-const FIRST: u64 = 1;
+/// Number of the first segment in a new folder.
+const FIRST_SEGMENT: u64 = 1;
 
-/// One open file of the log.
+/// An open segment file of the log.
 pub(crate) struct Segment<File> {
     pub file: File,
     pub length: u64,
 }
 
-/// A segment, and how long it is.
+/// Number and length in bytes of a segment.
 #[derive(Clone, Copy)]
-pub(crate) struct Position {
-    pub segment: u64,
+pub(crate) struct SegmentExtent {
+    pub number: u64,
     pub length: u64,
 }
 
-/// All segments of a folder. Only the last is appended to.
+/// All segments of a folder. Only the last one is appended to.
 pub(crate) struct SegmentedLog<F: Files> {
     pub files: F,
-    pub room: Room,
-    /// By number.
+    pub options: Room,
+    /// Segments by number.
     pub segments: BTreeMap<u64, Segment<F::File>>,
     pub index: Index,
-    /// Something was written that has not been synced.
-    pub unsynced: bool,
-    /// Bytes that count for nothing may stand behind the length of the last segment.
-    pub torn: bool,
-    /// A file that counts for nothing may stand under the number of the next segment.
-    pub stray: Option<u64>,
-    /// Segments that no longer count and could not be removed.
-    pub left_over: BTreeSet<u64>,
-    /// A sync failed: what this segment and those before it hold may never reach the disk.
-    suspect: Option<u64>,
-    /// Other processes are kept out.
-    locked: bool,
-    buffer: Vec<u8>,
+    /// Whether written data awaits a sync.
+    pub needs_sync: bool,
+    /// Whether bytes of a torn write may follow the recorded length of the last segment.
+    pub has_torn_tail: bool,
+    /// Number of the next segment, if an orphaned file of that number may exist.
+    pub orphaned_segment: Option<u64>,
+    /// Segments that are no longer in use, but whose files could not be removed yet.
+    pub obsolete_segments: BTreeSet<u64>,
+    /// Last segment in use when a sync failed: its data and that of earlier segments may never reach the
+    /// disk.
+    last_unsynced_segment: Option<u64>,
+    /// Whether the folder is locked against other processes.
+    is_locked: bool,
+    write_buffer: Vec<u8>,
 }
 
 impl<F: Files> SegmentedLog<F> {
-    /// A log without segments; recovery adds them.
-    pub fn new(files: F, room: Room) -> Self {
+    /// A log without segments, for recovery to fill.
+    pub fn new(files: F, options: Room) -> Self {
         SegmentedLog {
             files,
-            room,
+            options,
             segments: BTreeMap::new(),
             index: Index::default(),
-            unsynced: false,
-            torn: false,
-            stray: None,
-            left_over: BTreeSet::new(),
-            suspect: None,
-            locked: false,
-            buffer: Vec::new(),
+            needs_sync: false,
+            has_torn_tail: false,
+            orphaned_segment: None,
+            obsolete_segments: BTreeSet::new(),
+            last_unsynced_segment: None,
+            is_locked: false,
+            write_buffer: Vec::new(),
         }
     }
 
-    /// Bytes that the folder takes.
-    pub fn used(&self) -> u64 {
-        let segments: u64 = self.segments.values().map(|segment| blocks(segment.length)).sum();
-        segments + BLOCK + self.left_over.len() as u64 * self.room.segment()
+    /// Bytes that the folder's files take, rounded up to blocks.
+    pub fn used_bytes(&self) -> u64 {
+        let segments: u64 = self.segments.values().map(|segment| round_up_to_blocks(segment.length)).sum();
+        segments + BLOCK_BYTES + self.obsolete_segments.len() as u64 * self.options.segment_bytes()
     }
 
-    /// Bytes of what counts, and of the ends that it will take.
-    pub fn live(&self) -> u64 {
-        self.index.live() + self.index.ends()
+    /// Bytes of all current values and of the tombstones that will delete them.
+    pub fn live_bytes(&self) -> u64 {
+        self.index.value_bytes() + self.index.tombstone_bytes()
     }
 
-    /// Keeps other processes out. A new folder on which nothing can be written is locked later, by the first write.
+    /// Locks the folder against other processes. If nothing can be written to a new folder, the first write
+    /// locks it instead.
     ///
     /// # Errors
-    /// [`Fault::InUse`] beside another process.
+    /// [`Fault::InUse`] if another process holds the lock.
     pub fn lock(&mut self) -> Result<(), Fault> {
         match self.files.lock() {
             Ok(()) => {
-                self.locked = true;
+                self.is_locked = true;
                 Ok(())
             }
-            Err(fault) if fault.kind() == ErrorKind::WouldBlock => Err(Fault::InUse),
-            Err(fault) => Err(Fault::io("locking", "lock")(fault)),
+            Err(error) if error.kind() == ErrorKind::WouldBlock => Err(Fault::InUse),
+            Err(error) => Err(Fault::io("locking", "lock")(error)),
         }
     }
 
-    /// Where the segments of a folder are new, the first one and the manifest that names it.
-    pub fn begin(&mut self) -> Result<(), Fault> {
+    /// In a new folder, creates the first segment and the manifest that names it.
+    pub fn create_if_new(&mut self) -> Result<(), Fault> {
         if !self.segments.is_empty() {
             return Ok(());
         }
-        if !self.locked {
+        if !self.is_locked {
             self.lock()?;
-            let there = self.files.list().map_err(Fault::io("listing", "the folder"))?;
-            if there.iter().any(|(name, _)| name == manifest::NAME) {
-                return Err(Fault::InUse); // another process was here before the lock
+            let listing = self.files.list().map_err(Fault::io("listing", "the folder"))?;
+            if listing.iter().any(|(name, _)| name == manifest::FILE_NAME) {
+                return Err(Fault::InUse); // another process used the folder before it was locked
             }
         }
-        let segment = self.new_segment(FIRST, 0)?;
-        manifest::write(&mut self.files, FIRST, self.room.is_durable())?;
-        self.stray = None;
-        self.segments.insert(FIRST, segment);
+        let segment = self.create_segment(FIRST_SEGMENT, 0)?;
+        manifest::write(&mut self.files, FIRST_SEGMENT, self.options.is_durable())?;
+        self.orphaned_segment = None;
+        self.segments.insert(FIRST_SEGMENT, segment);
         Ok(())
     }
 
-    /// What the failure of an earlier call left behind goes before anything else is written: bytes behind the last segment's
-    /// length, and a file under the number of the next one. Else a segment that is no longer the last would end in half a record.
-    pub fn tidy(&mut self) -> Result<(), Fault> {
-        self.begin()?;
-        self.remove_stray()?;
-        if self.torn {
-            self.cut_torn_end()?;
+    /// Creates the log in a new folder and removes what an earlier failure left behind: bytes after the
+    /// recorded length of the last segment, and an orphaned file under the number of the next one. Without
+    /// this, a segment that is no longer the last could end in a partial frame.
+    pub fn prepare_write(&mut self) -> Result<(), Fault> {
+        self.create_if_new()?;
+        self.remove_orphaned_segment()?;
+        if self.has_torn_tail {
+            self.truncate_torn_tail()?;
         }
         Ok(())
     }
 
-    fn remove_stray(&mut self) -> Result<(), Fault> {
-        let Some(number) = self.stray else { return Ok(()) };
-        let name = segment::name(number);
+    fn remove_orphaned_segment(&mut self) -> Result<(), Fault> {
+        let Some(number) = self.orphaned_segment else { return Ok(()) };
+        let name = segment::file_name(number);
         match self.files.remove(&name) {
-            Err(fault) if fault.kind() != ErrorKind::NotFound => {
-                return Err(Fault::io("removing", &name)(fault));
+            Err(error) if error.kind() != ErrorKind::NotFound => {
+                return Err(Fault::io("removing", &name)(error));
             }
             _ => {}
         }
-        if self.room.is_durable() {
+        if self.options.is_durable() {
             self.files.sync_folder().map_err(Fault::io("syncing", "the folder"))?;
         }
-        self.stray = None;
+        self.orphaned_segment = None;
         Ok(())
     }
 
-    fn cut_torn_end(&mut self) -> Result<(), Fault> {
+    fn truncate_torn_tail(&mut self) -> Result<(), Fault> {
         if let Some((number, segment)) = self.segments.iter_mut().next_back() {
-            let cut = self.files.truncate(&mut segment.file, segment.length);
-            cut.map_err(Fault::io("cutting", &segment::name(*number)))?;
+            let truncated = self.files.truncate(&mut segment.file, segment.length);
+            truncated.map_err(Fault::io("cutting", &segment::file_name(*number)))?;
         }
-        self.torn = false;
+        self.has_torn_tail = false;
         Ok(())
     }
 
-    /// The segment that was begun first, unless there is none.
-    pub fn oldest(&self) -> Option<Position> {
+    /// The oldest segment, if the log has any.
+    pub fn oldest_segment(&self) -> Option<SegmentExtent> {
         let (number, segment) = self.segments.first_key_value()?;
-        Some(Position { segment: *number, length: segment.length })
+        Some(SegmentExtent { number: *number, length: segment.length })
     }
 
-    /// The segment that is appended to.
-    fn last(&self) -> Position {
+    /// The segment that is appended to; number 0 and length 0 for a log without segments.
+    fn last_segment(&self) -> SegmentExtent {
         let last = self.segments.last_key_value();
-        last.map_or(Position { segment: 0, length: 0 }, |(number, segment)| Position {
-            segment: *number,
+        last.map_or(SegmentExtent { number: 0, length: 0 }, |(number, segment)| SegmentExtent {
+            number: *number,
             length: segment.length,
         })
     }
 
-    /// Takes the changes of the frame at a place into the index.
-    pub fn apply<'c>(&mut self, changes: impl IntoIterator<Item = Change<'c>>, frame: Place) {
-        for (nth, change) in changes.into_iter().enumerate() {
-            let end = frame::size(&[Change::End(change.key())]) as u64;
+    /// Applies the changes of the frame at this location to the index.
+    pub fn apply<'c>(&mut self, changes: impl IntoIterator<Item = Change<'c>>, frame_location: Location) {
+        for (change_index, change) in changes.into_iter().enumerate() {
+            let tombstone_size = frame::frame_size(&[Change::End(change.key())]) as u64;
             match change {
                 Change::Put(key, _) => {
-                    let place = Place { nth: nth as u32, ..frame };
-                    self.index.put(key, place, frame::size(&[change]) as u64, end);
+                    let location = Location { change_index: change_index as u32, ..frame_location };
+                    self.index.put(key, location, frame::frame_size(&[change]) as u64, tombstone_size);
                 }
-                Change::End(key) => self.index.end(key, end),
+                Change::End(key) => self.index.remove(key, tombstone_size),
             }
         }
     }
 
-    /// Appends one frame to the last segment, or to a new one once that is full.
-    pub fn append(&mut self, changes: &[Change]) -> Result<Place, Fault> {
-        self.tidy()?;
-        let size = frame::size(changes) as u64;
-        let mut last = self.last();
-        if last.length > HEAD as u64 && last.length + size > self.room.segment() {
+    /// Appends one frame to the last segment, or to a new segment if it would not fit.
+    pub fn append(&mut self, changes: &[Change]) -> Result<Location, Fault> {
+        self.prepare_write()?;
+        let size = frame::frame_size(changes) as u64;
+        let mut last = self.last_segment();
+        if last.length > SEGMENT_HEADER_BYTES as u64 && last.length + size > self.options.segment_bytes() {
             self.roll()?;
-            last = self.last();
+            last = self.last_segment();
         }
-        let mut buffer = std::mem::take(&mut self.buffer);
+        let mut buffer = std::mem::take(&mut self.write_buffer);
         buffer.clear();
-        frame::write(changes, &mut buffer);
-        let written = self.append_bytes(last.segment, &buffer);
-        self.buffer = buffer;
+        frame::encode(changes, &mut buffer);
+        let written = self.append_bytes(last.number, &buffer);
+        self.write_buffer = buffer;
         written?;
-        Ok(Place { segment: last.segment, offset: last.length, length: size as u32, nth: 0 })
+        Ok(Location { segment: last.number, offset: last.length, length: size as u32, change_index: 0 })
     }
 
     fn append_bytes(&mut self, number: u64, bytes: &[u8]) -> Result<(), Fault> {
-        let name = segment::name(number);
+        let name = segment::file_name(number);
         let Some(segment) = self.segments.get_mut(&number) else {
             return Err(Fault::Missing { file: name });
         };
-        if let Err(fault) = append_all(&mut self.files, &mut segment.file, bytes) {
-            // Half a frame would hide all that come after it: it goes at once, or before the next write.
-            self.torn = self.files.truncate(&mut segment.file, segment.length).is_err();
-            return Err(Fault::io("writing", &name)(fault));
+        if let Err(error) = append_all(&mut self.files, &mut segment.file, bytes) {
+            // A partial frame would hide all frames after it. It is truncated now or, if that fails, before
+            // the next write.
+            self.has_torn_tail = self.files.truncate(&mut segment.file, segment.length).is_err();
+            return Err(Fault::io("writing", &name)(error));
         }
         segment.length += bytes.len() as u64;
         Ok(())
     }
 
-    /// Starts a new segment. The one before it is whole and, where that is asked for, on the disk.
+    /// Starts a new segment. The previous one is complete and, in a durable store, synced first.
     pub fn roll(&mut self) -> Result<(), Fault> {
-        self.tidy()?;
-        if self.room.is_durable() {
-            self.sync_last()?;
+        self.prepare_write()?;
+        if self.options.is_durable() {
+            self.sync_last_segment()?;
         }
-        self.roll_unsynced()
+        self.roll_without_sync()
     }
 
-    fn roll_unsynced(&mut self) -> Result<(), Fault> {
-        let before = self.last();
-        let number = before.segment + 1;
-        let segment = self.new_segment(number, before.length)?;
-        if self.room.is_durable() {
+    fn roll_without_sync(&mut self) -> Result<(), Fault> {
+        let previous = self.last_segment();
+        let number = previous.number + 1;
+        let segment = self.create_segment(number, previous.length)?;
+        if self.options.is_durable() {
             self.files.sync_folder().map_err(Fault::io("syncing", "the folder"))?;
         }
-        self.stray = None;
+        self.orphaned_segment = None;
         self.segments.insert(number, segment);
         Ok(())
     }
 
-    /// A new file with its head. Until it stands among the segments, it is a stray one.
-    fn new_segment(&mut self, number: u64, before: u64) -> Result<Segment<F::File>, Fault> {
-        self.remove_stray()?;
-        let name = segment::name(number);
-        self.stray = Some(number);
-        let mut file = self.create(&name)?;
-        let head = segment::head(number, before);
-        append_all(&mut self.files, &mut file, &head).map_err(Fault::io("writing", &name))?;
-        if self.room.is_durable() {
+    /// Creates a segment file with its header. The file counts as orphaned until the caller adds it to the
+    /// segments.
+    fn create_segment(&mut self, number: u64, previous_length: u64) -> Result<Segment<F::File>, Fault> {
+        self.remove_orphaned_segment()?;
+        let name = segment::file_name(number);
+        self.orphaned_segment = Some(number);
+        let mut file = self.create_file(&name)?;
+        let header = segment::encode_header(number, previous_length);
+        append_all(&mut self.files, &mut file, &header).map_err(Fault::io("writing", &name))?;
+        if self.options.is_durable() {
             self.files.sync(&file).map_err(Fault::io("syncing", &name))?;
         }
-        Ok(Segment { file, length: HEAD as u64 })
+        Ok(Segment { file, length: SEGMENT_HEADER_BYTES as u64 })
     }
 
-    /// A new file, in place of one that a try left which failed half-way.
-    fn create(&mut self, name: &str) -> Result<F::File, Fault> {
+    /// Creates a file, replacing one that an earlier failed attempt left behind.
+    fn create_file(&mut self, name: &str) -> Result<F::File, Fault> {
         let file = match self.files.create(name) {
-            Err(fault) if fault.kind() == ErrorKind::AlreadyExists => {
+            Err(error) if error.kind() == ErrorKind::AlreadyExists => {
                 self.files.remove(name).map_err(Fault::io("removing", name))?;
                 self.files.create(name)
             }
@@ -256,80 +262,86 @@
         file.map_err(Fault::io("creating", name))
     }
 
-    /// What was written until now outlives the power.
+    /// Makes everything written so far durable.
     ///
     /// # Errors
-    /// [`Fault::Unsure`] as a sync fails. The kernel may take the bytes for written then, so that a later sync of the same file
-    /// says nothing of them: they are [written anew](Self::suspect) first.
+    /// [`Fault::Unsure`] if a sync fails. The kernel may then consider the bytes written, so that a later
+    /// sync of the same file succeeds without them: they must be rewritten first, see
+    /// [`last_unsynced_segment`](Self::last_unsynced_segment).
     pub fn sync(&mut self) -> Result<(), Fault> {
-        self.sync_last()?;
-        self.unsynced = false;
+        self.sync_last_segment()?;
+        self.needs_sync = false;
         Ok(())
     }
 
-    fn sync_last(&mut self) -> Result<(), Fault> {
+    fn sync_last_segment(&mut self) -> Result<(), Fault> {
         let Some((number, segment)) = self.segments.last_key_value() else { return Ok(()) };
         if let Err(source) = self.files.sync(&segment.file) {
-            self.suspect = Some(*number);
-            self.unsynced = true;
-            return Err(Fault::Unsure { file: segment::name(*number), source });
+            self.last_unsynced_segment = Some(*number);
+            self.needs_sync = true;
+            return Err(Fault::Unsure { file: segment::file_name(*number), source });
         }
         Ok(())
     }
 
-    /// The last segment of which a failed sync has left open what the disk holds, if there is one.
-    pub fn suspect(&self) -> Option<u64> {
-        self.suspect
+    /// The last segment that a failed sync has left in an unknown state on disk, if there is one.
+    pub fn last_unsynced_segment(&self) -> Option<u64> {
+        self.last_unsynced_segment
     }
 
-    /// What is written from here on goes to a segment that a sync has reached, and not to a suspect one.
-    pub fn leave_suspect(&mut self) -> Result<(), Fault> {
-        self.tidy()?;
-        if self.suspect.is_some_and(|suspect| self.last().segment <= suspect) {
-            self.roll_unsynced()?;
+    /// Starts a new segment if the last one is unsynced, so that later writes go to a file whose syncs have
+    /// succeeded.
+    pub fn leave_unsynced_segment(&mut self) -> Result<(), Fault> {
+        self.prepare_write()?;
+        if self.last_unsynced_segment.is_some_and(|unsynced| self.last_segment().number <= unsynced) {
+            self.roll_without_sync()?;
         }
         Ok(())
     }
 
-    /// No segment that counts is suspect any more.
-    pub fn trust(&mut self) {
-        self.suspect = None;
+    /// Records that no segment in use is unsynced any more.
+    pub fn clear_unsynced_segment(&mut self) {
+        self.last_unsynced_segment = None;
     }
 
-    /// A segment counts no more: the manifest names a later one. Files that cannot be removed are tried again with the next.
+    /// Drops a segment after the manifest has named a later one as the first. If its file cannot be removed,
+    /// removal is retried when the next segment is retired.
     pub fn retire(&mut self, number: u64) {
         self.segments.remove(&number);
-        self.left_over.insert(number);
-        self.remove_left_over();
+        self.obsolete_segments.insert(number);
+        self.remove_obsolete_segments();
     }
 
-    /// Removes what is left over, as far as that goes now.
-    pub fn remove_left_over(&mut self) {
+    /// Removes the files of obsolete segments, as far as that succeeds.
+    pub fn remove_obsolete_segments(&mut self) {
         let files = &mut self.files;
-        self.left_over.retain(|number| {
-            let removed = files.remove(&segment::name(*number));
-            removed.is_err_and(|fault| fault.kind() != ErrorKind::NotFound)
+        self.obsolete_segments.retain(|number| {
+            let removed = files.remove(&segment::file_name(*number));
+            removed.is_err_and(|error| error.kind() != ErrorKind::NotFound)
         });
     }
 
-    /// The value that a key stands for, read from the log and checked.
+    /// Reads the value of a key from the log and verifies it; `None` for an unknown key.
     pub fn get(&mut self, key: &[u8]) -> Result<Option<Vec<u8>>, Fault> {
-        let Some(place) = self.index.get(key) else { return Ok(None) };
-        let name = segment::name(place.segment);
-        let Some(segment) = self.segments.get(&place.segment) else {
+        let Some(location) = self.index.get(key) else { return Ok(None) };
+        let name = segment::file_name(location.segment);
+        let Some(segment) = self.segments.get(&location.segment) else {
             return Err(Fault::Missing { file: name });
         };
-        let mut bytes = vec![0; place.length as usize];
-        let read = read_most(&mut self.files, &segment.file, place.offset, &mut bytes);
+        let mut bytes = vec![0; location.length as usize];
+        let read = read_available(&mut self.files, &segment.file, location.offset, &mut bytes);
         let read = read.map_err(Fault::io("reading", &name))?;
-        let expected = "the record that was read at the start";
-        let damaged = || Fault::Damaged { file: name.clone(), offset: place.offset, expected };
-        if read < bytes.len() || frame::look(&bytes) != Found::Whole(bytes.len()) {
+        let expected = "the frame that was read at the start";
+        let damaged = || Fault::Damaged { file: name.clone(), offset: location.offset, expected };
+        if read < bytes.len() || frame::check(&bytes) != FrameCheck::Complete(bytes.len()) {
             return Err(damaged());
         }
-        // The index is believed only as far as the log agrees.
-        match frame::changes(&bytes[frame::HEAD..]).nth(place.nth as usize).flatten() {
-            Some(Change::Put(found, value)) if found == key => Ok(Some(value.to_vec())),
+        // The index is trusted only as far as the log agrees with it.
+        match frame::decode_changes(&bytes[frame::HEADER_BYTES..])
+            .nth(location.change_index as usize)
+            .flatten()
+        {
+            Some(Change::Put(stored_key, value)) if stored_key == key => Ok(Some(value.to_vec())),
             _ => Err(damaged()),
         }
     }
--- a/crates/sailcart-store/src/store.rs
+++ b/crates/sailcart-store/src/store.rs
@@ -1,174 +1,177 @@
-//! The store: what callers write, read and list. The log, its recovery and its compaction stand beside it.
+//! The store's interface: writing, reading and listing keys. The log, its recovery and its compaction are
+//! implemented in the neighbouring modules.
 
 use crate::compaction::Compaction;
-use crate::fault::Fault;
+use crate::error::Fault;
 use crate::files::Files;
-use crate::frame::{self, Change, MOST_KEY};
+use crate::frame::{self, Change, MAX_KEY_BYTES};
+use crate::options::{Room, Sync};
 use crate::recovery::{self, Standing};
-use crate::room::{Room, Sync};
 use crate::segmented_log::SegmentedLog;
 
-/// What the store has done since it was opened.
+/// Counters since the store was opened.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Effort {
-    /// Bytes that callers wrote, as frames.
-    pub written: u64,
-    /// Bytes that compaction wrote.
-    pub carried: u64,
-    /// Segments that compaction removed.
+pub struct StoreStats {
+    /// Bytes written by callers, as frames.
+    pub written_bytes: u64,
+    /// Bytes written by compaction, as frames.
+    pub compacted_bytes: u64,
+    /// Segments that compaction made obsolete.
     pub segments_retired: u64,
-    /// Writes that had to wait for compaction to make room at once.
-    pub forced: u64,
+    /// Writes that had to wait for compaction to free space.
+    pub forced_compactions: u64,
 }
 
-/// Keys and values in one folder.
+/// A key-value store in one folder.
 pub struct Store<F: Files> {
     log: SegmentedLog<F>,
     compaction: Compaction,
-    /// Bytes that callers wrote.
-    written: u64,
+    /// Bytes written by callers.
+    written_bytes: u64,
 }
 
 impl<F: Files> Store<F> {
-    /// Opens a folder, a new one too, and restores what stands in it or says why that cannot be.
+    /// Opens a folder, which may be empty, and recovers its contents.
     ///
     /// # Errors
-    /// [`Fault::InUse`] beside another process; [`Fault::Damaged`], [`Fault::Missing`] and [`Fault::Newer`] with the
-    /// folder as it was; [`Fault::Io`] as the files fail.
-    pub fn open(files: F, room: Room) -> Result<(Self, Standing), Fault> {
-        let recovered = recovery::open(files, room)?;
-        let store = Store { log: recovered.log, compaction: Compaction::default(), written: 0 };
-        Ok((store, recovered.standing))
+    /// [`Fault::InUse`] if another process has the folder open. [`Fault::Damaged`], [`Fault::Missing`] and
+    /// [`Fault::NewerVersion`] if the contents cannot be recovered; the folder is then unchanged.
+    /// [`Fault::Io`] if a file operation fails.
+    pub fn open(files: F, options: Room) -> Result<(Self, Standing), Fault> {
+        let recovered = recovery::open(files, options)?;
+        let store = Store { log: recovered.log, compaction: Compaction::default(), written_bytes: 0 };
+        Ok((store, recovered.summary))
     }
 
-    /// Bytes that the folder takes.
-    pub fn used(&self) -> u64 {
-        self.log.used()
+    /// Bytes that the folder's files take, rounded up to blocks.
+    pub fn used_bytes(&self) -> u64 {
+        self.log.used_bytes()
     }
 
-    /// Bytes of what counts, and of the ends that it will take.
+    /// Bytes of the live data: all current values and the tombstones that will delete them.
     pub fn live(&self) -> u64 {
-        self.log.live()
+        self.log.live_bytes()
     }
 
-    /// Bytes that a value takes of [`Room::budget`], with its end.
+    /// Bytes of [`Room::budget`] that a value takes, with the tombstone that will delete it.
     pub fn cost(key: &[u8], value: &[u8]) -> u64 {
-        (frame::size(&[Change::Put(key, value)]) + frame::size(&[Change::End(key)])) as u64
+        (frame::frame_size(&[Change::Put(key, value)]) + frame::frame_size(&[Change::End(key)])) as u64
     }
 
-    /// The room that the store was opened with.
+    /// The options that the store was opened with.
     pub fn room(&self) -> Room {
-        self.log.room
+        self.log.options
     }
 
-    /// Keys that stand for something.
+    /// Number of keys that have a value.
     pub fn len(&self) -> usize {
         self.log.index.len()
     }
 
-    /// No key stands for anything.
+    /// Whether no key has a value.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// What the store has done since it was opened.
-    pub fn effort(&self) -> Effort {
-        Effort {
-            written: self.written,
-            carried: self.compaction.carried,
+    /// Counters since the store was opened.
+    pub fn stats(&self) -> StoreStats {
+        StoreStats {
+            written_bytes: self.written_bytes,
+            compacted_bytes: self.compaction.compacted_bytes,
             segments_retired: self.compaction.segments_retired,
-            forced: self.compaction.forced,
+            forced_compactions: self.compaction.forced_compactions,
         }
     }
 
-    /// Writes changes that count together or not at all. Ends always fit: room is kept for them.
+    /// Writes changes atomically. Deletions always fit, because space for the tombstones is reserved.
     ///
     /// # Errors
-    /// [`Fault::Full`] and [`Fault::TooLarge`] with nothing changed; [`Fault::Io`] as the disk fails, after which
-    /// nothing of these changes counts and the next write may do; [`Fault::Unsure`] as a sync fails, after which these changes
-    /// may count or not, and are synced with the next write or sync that succeeds if they do.
+    /// [`Fault::Full`] and [`Fault::TooLarge`] with nothing changed. [`Fault::Io`] if the disk fails: none of
+    /// these changes takes effect, and the next write may succeed. [`Fault::Unsure`] if a sync fails: these
+    /// changes may or may not have taken effect; if they have, the next successful write or sync makes them
+    /// durable.
     pub fn write(&mut self, changes: &[Change]) -> Result<(), Fault> {
         self.check_sizes(changes)?;
-        self.admit(changes)?;
-        self.log.tidy()?;
-        self.compaction.replace_suspect(&mut self.log).map_err(Fault::unwritten)?;
-        let size = frame::size(changes) as u64;
-        self.compaction.make_room(&mut self.log, size)?;
-        let place = self.log.append(changes)?;
-        self.written += size;
-        self.log.apply(changes.iter().copied(), place);
-        match self.log.room.sync {
+        self.check_budget(changes)?;
+        self.log.prepare_write()?;
+        self.compaction.rewrite_unsynced(&mut self.log).map_err(Fault::into_not_written)?;
+        let write_size = frame::frame_size(changes) as u64;
+        self.compaction.ensure_free_space(&mut self.log, write_size)?;
+        let location = self.log.append(changes)?;
+        self.written_bytes += write_size;
+        self.log.apply(changes.iter().copied(), location);
+        match self.log.options.sync {
             Sync::Each => self.log.sync()?,
-            Sync::Every(_) => self.log.unsynced = true,
+            Sync::Every(_) => self.log.needs_sync = true,
             Sync::None => {}
         }
-        // The write counts, whatever becomes of its share of cleaning: what stands in the way there is told by the
-        // first write that finds no room.
-        if let Err(fault) = self.compaction.share(&mut self.log, size) {
-            log::warn!("store: code=compaction_put_off {fault}");
+        // The write has taken effect even if its compaction step fails. A lasting failure is reported by the
+        // first write that finds no free space.
+        if let Err(error) = self.compaction.step_after_write(&mut self.log, write_size) {
+            log::warn!("store: code=compaction_put_off {error}");
         }
         Ok(())
     }
 
-    /// Whether the keys and the whole may be so large.
+    /// Checks the keys and the whole write against their maximum sizes.
     fn check_sizes(&self, changes: &[Change]) -> Result<(), Fault> {
-        if changes.iter().any(|change| change.key().len() > MOST_KEY) {
-            return Err(Fault::TooLarge { wanted: MOST_KEY as u64 + 1, most: MOST_KEY as u64 });
+        if changes.iter().any(|change| change.key().len() > MAX_KEY_BYTES) {
+            return Err(Fault::TooLarge { size: MAX_KEY_BYTES as u64 + 1, max: MAX_KEY_BYTES as u64 });
         }
-        let size = frame::size(changes) as u64;
-        let most = self.log.room.most_change();
-        if size > most {
-            return Err(Fault::TooLarge { wanted: size, most });
+        let write_size = frame::frame_size(changes) as u64;
+        let max = self.log.options.max_write_bytes();
+        if write_size > max {
+            return Err(Fault::TooLarge { size: write_size, max });
         }
         Ok(())
     }
 
-    /// Whether what will count afterwards, with its ends, still fits.
-    fn admit(&self, changes: &[Change]) -> Result<(), Fault> {
-        let more: i64 = changes.iter().map(|change| self.growth(change)).sum();
-        let (live, budget) = (self.live(), self.log.room.budget());
-        if more > 0 && live + more as u64 > budget {
-            return Err(Fault::Full { wanted: more as u64, left: budget.saturating_sub(live) });
+    /// Checks that the live data after the changes, with its tombstones, fits the budget.
+    fn check_budget(&self, changes: &[Change]) -> Result<(), Fault> {
+        let growth: i64 = changes.iter().map(|change| self.live_growth(change)).sum();
+        let (live, budget) = (self.live(), self.log.options.budget());
+        if growth > 0 && live + growth as u64 > budget {
+            return Err(Fault::Full { needed: growth as u64, available: budget.saturating_sub(live) });
         }
         Ok(())
     }
 
-    /// Bytes that a change adds to what counts, with its end.
-    fn growth(&self, change: &Change) -> i64 {
-        let before = self.log.index.size(change.key()) as i64;
-        let end = frame::size(&[Change::End(change.key())]) as i64;
+    /// Bytes that a change adds to the live data, with its tombstone; negative if it frees some.
+    fn live_growth(&self, change: &Change) -> i64 {
+        let old_size = self.log.index.value_size(change.key()) as i64;
+        let tombstone_size = frame::frame_size(&[Change::End(change.key())]) as i64;
         match change {
-            Change::Put(..) if before > 0 => frame::size(&[*change]) as i64 - before,
-            Change::Put(..) => frame::size(&[*change]) as i64 + end,
-            Change::End(_) if before > 0 => -before - end,
+            Change::Put(..) if old_size > 0 => frame::frame_size(&[*change]) as i64 - old_size,
+            Change::Put(..) => frame::frame_size(&[*change]) as i64 + tombstone_size,
+            Change::End(_) if old_size > 0 => -old_size - tombstone_size,
             Change::End(_) => 0,
         }
     }
 
-    /// What was written until now outlives the power.
+    /// Makes everything written so far durable.
     ///
     /// # Errors
-    /// [`Fault::Unsure`] as a sync fails: what was written since the last one that succeeded is written anew, into new files, by
-    /// the next call that writes or syncs.
+    /// [`Fault::Unsure`] if a sync fails: the next call that writes or syncs first rewrites, to new files,
+    /// what was written since the last successful sync.
     pub fn sync(&mut self) -> Result<(), Fault> {
-        self.compaction.replace_suspect(&mut self.log)?;
+        self.compaction.rewrite_unsynced(&mut self.log)?;
         self.log.sync()
     }
 
-    /// Whether something waits for [`Store::sync`].
+    /// Whether written data awaits a [`Store::sync`].
     pub fn wants_sync(&self) -> bool {
-        self.log.unsynced
+        self.log.needs_sync
     }
 
-    /// The value that a key stands for, read from the log and checked.
+    /// Reads the value of a key from the log and verifies it; `None` for an unknown key.
     ///
     /// # Errors
-    /// [`Fault::Damaged`] where the log no longer holds what was read at the start.
+    /// [`Fault::Damaged`] if the log has changed since it was read at the start.
     pub fn get(&mut self, key: &[u8]) -> Result<Option<Vec<u8>>, Fault> {
         self.log.get(key)
     }
 
-    /// The keys from one on, up to but without another, in order.
+    /// The keys from `from` (inclusive) to `until` (exclusive), in order.
     pub fn keys<'a>(
         &'a self,
         from: &[u8],
@@ -177,11 +180,12 @@
         self.log.index.range(from, until)
     }
 
-    /// Cleans for about so many bytes read: a bounded part of compaction. Tells whether a segment went.
+    /// Runs one step of compaction, which reads about `max_read_bytes`. Returns whether a segment was
+    /// retired.
     ///
     /// # Errors
-    /// As for [`Store::write`]. What counts stands in the log at every moment, once or twice.
-    pub fn step(&mut self, bytes: u64) -> Result<bool, Fault> {
-        self.compaction.step(&mut self.log, bytes)
+    /// As for [`Store::write`]. Live data is in the log at every moment, at times in two copies.
+    pub fn compact(&mut self, max_read_bytes: u64) -> Result<bool, Fault> {
+        self.compaction.step(&mut self.log, max_read_bytes)
     }
 }
--- a/crates/sailcart-store/tests/crashes.rs
+++ b/crates/sailcart-store/tests/crashes.rs
@@ -1,62 +1,65 @@
-//! Death, lost power, a full disk and a failing device at every file call there is.
+//! A crash, a power loss, a full disk or a device error at every single file call.
 
 mod common;
 
-use common::{Act, Memory, Plain, contents, open, room, stands, until_death};
+use common::{MemoryFiles, Model, Operation, contents, matches_model, open, options, write_until_crash};
 use sailcart_store::{Change, Fault, Store, Sync};
 
-/// Acts that fill the folder more than once, so that compaction runs throughout.
-fn busy() -> Vec<Act> {
-    Act::some(7, 260, 3000)
+/// Operations that fill the folder more than once, so that compaction runs throughout.
+fn operations_that_compact() -> Vec<Operation> {
+    Operation::random(7, 260, 3000)
 }
 
-/// How many file calls these acts take without a crash.
-fn calls(acts: &[Act], sync: Sync) -> u64 {
-    let files = Memory::default();
+/// Number of file calls that the operations take without a crash.
+fn count_calls(operations: &[Operation], sync: Sync) -> u64 {
+    let files = MemoryFiles::default();
     let mut store = open(&files, sync);
-    until_death(&mut store, acts, &mut Plain::new());
-    assert!(store.effort().segments_retired > 3, "compaction ran: {:?}", store.effort());
-    files.calls()
+    write_until_crash(&mut store, operations, &mut Model::new());
+    assert!(store.stats().segments_retired > 3, "compaction ran: {:?}", store.stats());
+    files.call_count()
 }
 
 #[test]
-fn death_at_every_call_loses_nothing_answered_for_and_revives_nothing() {
-    let acts = busy();
-    let all = calls(&acts, Sync::None);
-    assert!(all > 300, "{all} points");
-    for call in 1..=all {
-        for part in [0.0, 0.3, 0.9] {
-            let files = Memory::default();
-            files.dies_at(call, part);
-            let mut plain = Plain::new();
-            let under_way = match Store::open(files.clone(), room(Sync::None)) {
-                Ok((mut store, _)) => until_death(&mut store, &acts, &mut plain),
+fn a_crash_at_any_call_keeps_confirmed_writes_and_deletions() {
+    let operations = operations_that_compact();
+    let total_calls = count_calls(&operations, Sync::None);
+    assert!(total_calls > 300, "{total_calls} calls");
+    for call in 1..=total_calls {
+        for completed_share in [0.0, 0.3, 0.9] {
+            let files = MemoryFiles::default();
+            files.crash_at(call, completed_share);
+            let mut model = Model::new();
+            let interrupted = match Store::open(files.clone(), options(Sync::None)) {
+                Ok((mut store, _)) => write_until_crash(&mut store, &operations, &mut model),
                 Err(_) => None,
             };
             let mut store = open(&files, Sync::None);
             let found = contents(&mut store);
-            assert!(stands(&found, &plain, under_way.as_ref()), "call {call}, part {part}");
+            assert!(
+                matches_model(&found, &model, interrupted.as_ref()),
+                "call {call}, share {completed_share}"
+            );
         }
     }
 }
 
 #[test]
-fn a_second_death_during_recovery_changes_nothing() {
-    let acts = busy();
-    let all = calls(&acts, Sync::None);
-    for call in (1..=all).step_by(7) {
-        let files = Memory::default();
-        let mut plain = Plain::new();
+fn a_second_crash_during_recovery_changes_nothing() {
+    let operations = operations_that_compact();
+    let total_calls = count_calls(&operations, Sync::None);
+    for call in (1..=total_calls).step_by(7) {
+        let files = MemoryFiles::default();
+        let mut model = Model::new();
         let mut store = open(&files, Sync::None);
-        files.dies_at(call, 0.4);
-        let under_way = until_death(&mut store, &acts, &mut plain);
-        for second in 1..40 {
+        files.crash_at(call, 0.4);
+        let interrupted = write_until_crash(&mut store, &operations, &mut model);
+        for second_call in 1..40 {
             let files = files.copy();
-            files.dies_at(second, 0.6);
-            let died = Store::open(files.clone(), room(Sync::None)).is_err();
+            files.crash_at(second_call, 0.6);
+            let crashed = Store::open(files.clone(), options(Sync::None)).is_err();
             let found = contents(&mut open(&files, Sync::None));
-            assert!(stands(&found, &plain, under_way.as_ref()), "calls {call} and {second}");
-            if !died {
+            assert!(matches_model(&found, &model, interrupted.as_ref()), "calls {call} and {second_call}");
+            if !crashed {
                 break;
             }
         }
@@ -64,86 +67,91 @@
 }
 
 #[test]
-fn lost_power_at_every_call_keeps_what_was_synced() {
-    let acts = Act::some(9, 120, 3000);
-    let all = {
-        let files = Memory::default();
-        until_death(&mut open(&files, Sync::Each), &acts, &mut Plain::new());
-        files.calls()
+fn a_power_loss_at_any_call_keeps_synced_writes() {
+    let operations = Operation::random(9, 120, 3000);
+    let total_calls = {
+        let files = MemoryFiles::default();
+        write_until_crash(&mut open(&files, Sync::Each), &operations, &mut Model::new());
+        files.call_count()
     };
-    for call in 1..=all {
-        let files = Memory::default();
-        let mut plain = Plain::new();
+    for call in 1..=total_calls {
+        let files = MemoryFiles::default();
+        let mut model = Model::new();
         let mut store = open(&files, Sync::Each);
-        files.dies_at(call, 0.5);
-        let under_way = until_death(&mut store, &acts, &mut plain);
+        files.crash_at(call, 0.5);
+        let interrupted = write_until_crash(&mut store, &operations, &mut model);
         files.lose_power(call);
         let found = contents(&mut open(&files, Sync::Each));
-        assert!(stands(&found, &plain, under_way.as_ref()), "call {call}");
+        assert!(matches_model(&found, &model, interrupted.as_ref()), "call {call}");
     }
 }
 
 #[test]
-fn lost_power_with_group_commit_keeps_what_was_synced_and_an_order() {
-    let acts = Act::some(11, 150, 800);
-    for cut in 1..150 {
-        let files = Memory::default();
-        let every = Sync::Every(std::time::Duration::from_millis(5));
-        let mut store = open(&files, every);
-        let (mut plain, mut states) = (Plain::new(), vec![]);
-        for (nth, act) in acts[..cut].iter().enumerate() {
-            act.write(&mut store).expect("room");
-            act.apply(&mut plain);
-            states.push(plain.clone());
-            if nth % 10 == 9 {
-                store.sync().expect("a sync");
-                states.drain(..nth.min(states.len() - 1));
-                states = vec![plain.clone()];
+fn a_power_loss_with_group_commit_keeps_synced_writes_and_a_prefix_of_later_ones() {
+    let operations = Operation::random(11, 150, 800);
+    for count in 1..150 {
+        let files = MemoryFiles::default();
+        let sync = Sync::Every(std::time::Duration::from_millis(5));
+        let mut store = open(&files, sync);
+        let (mut model, mut states) = (Model::new(), vec![]);
+        for (position, operation) in operations[..count].iter().enumerate() {
+            operation.write(&mut store).expect("the write succeeds");
+            operation.apply(&mut model);
+            states.push(model.clone());
+            if position % 10 == 9 {
+                store.sync().expect("the sync succeeds");
+                states.drain(..position.min(states.len() - 1));
+                states = vec![model.clone()];
             }
         }
-        files.lose_power(cut as u64);
-        let found = contents(&mut open(&files, every));
-        let empty = cut < 10 && found.is_empty();
-        assert!(empty || states.contains(&found), "some prefix from the last sync on, cut {cut}");
+        files.lose_power(count as u64);
+        let found = contents(&mut open(&files, sync));
+        let empty = count < 10 && found.is_empty();
+        assert!(
+            empty || states.contains(&found),
+            "expected a state since the last sync, after {count} operations"
+        );
     }
 }
 
 #[test]
-fn a_device_that_fails_one_call_leaves_a_store_that_goes_on() {
-    let acts = Act::some(13, 160, 3000);
-    let all = {
-        let files = Memory::default();
-        until_death(&mut open(&files, Sync::None), &acts, &mut Plain::new());
-        files.calls()
+fn a_device_error_at_any_call_leaves_a_working_store() {
+    let operations = Operation::random(13, 160, 3000);
+    let total_calls = {
+        let files = MemoryFiles::default();
+        write_until_crash(&mut open(&files, Sync::None), &operations, &mut Model::new());
+        files.call_count()
     };
-    for call in 1..=all {
-        let files = Memory::default();
+    for call in 1..=total_calls {
+        let files = MemoryFiles::default();
         let mut store = open(&files, Sync::None);
-        files.fails_at(call);
-        let mut plain = Plain::new();
-        for act in &acts {
-            if act.write(&mut store).is_ok() {
-                act.apply(&mut plain);
+        files.fail_call(call);
+        let mut model = Model::new();
+        for operation in &operations {
+            if operation.write(&mut store).is_ok() {
+                operation.apply(&mut model);
             }
         }
-        assert_eq!(contents(&mut store), plain, "before a start, call {call}");
+        assert_eq!(contents(&mut store), model, "before the restart, call {call}");
         drop(store);
-        assert_eq!(contents(&mut open(&files, Sync::None)), plain, "after it, call {call}");
+        assert_eq!(contents(&mut open(&files, Sync::None)), model, "after the restart, call {call}");
     }
 }
 
-/// Nothing that a failed sync left in doubt is believed by asking again: it stands in another file before the next answer.
+/// Guards against a repeated sync that succeeds although the first one failed and dropped the data: the data
+/// must be rewritten to another file before the next write is confirmed.
 #[test]
-fn a_sync_that_failed_is_not_asked_again() {
-    let files = Memory::default();
+fn data_of_a_failed_sync_is_rewritten_to_another_file() {
+    let files = MemoryFiles::default();
     let mut store = open(&files, Sync::Each);
-    store.write(&[Change::Put(b"a", b"1")]).expect("room");
-    files.fails_at(files.calls() + 2); // the append, then its sync
+    store.write(&[Change::Put(b"a", b"1")]).expect("the write succeeds");
+    files.fail_call(files.call_count() + 2); // the append, then its sync
     let failed = store.write(&[Change::Put(b"b", b"2")]);
     assert!(matches!(failed, Err(Fault::Unsure { .. })), "{failed:?}");
-    let suspect = files.names().into_iter().find(|name| name.starts_with("segment-")).expect("a segment");
-    store.write(&[Change::Put(b"c", b"3")]).expect("the device is well");
-    assert!(!files.names().contains(&suspect), "what it holds is not believed");
+    let unsynced =
+        files.file_names().into_iter().find(|name| name.starts_with("segment-")).expect("a segment exists");
+    store.write(&[Change::Put(b"c", b"3")]).expect("the device works again");
+    assert!(!files.file_names().contains(&unsynced), "the unsynced segment is replaced");
     files.lose_power(1);
     let found = contents(&mut open(&files, Sync::Each));
     let expected = [(b"a", b"1"), (b"b", b"2"), (b"c", b"3")];
@@ -151,43 +159,43 @@
 }
 
 #[test]
-fn a_disk_that_is_full_at_any_byte_is_told_and_the_store_goes_on_when_there_is_room() {
-    let acts = Act::some(17, 120, 3000);
-    let usual = {
-        let files = Memory::default();
-        until_death(&mut open(&files, Sync::None), &acts, &mut Plain::new());
-        files.size()
+fn a_disk_full_at_any_size_is_reported_and_the_store_recovers_when_space_is_freed() {
+    let operations = Operation::random(17, 120, 3000);
+    let unlimited_size = {
+        let files = MemoryFiles::default();
+        write_until_crash(&mut open(&files, Sync::None), &operations, &mut Model::new());
+        files.used_bytes()
     };
-    for capacity in (200..usual).step_by(97) {
-        let files = Memory::default();
+    for capacity in (200..unlimited_size).step_by(97) {
+        let files = MemoryFiles::default();
         let mut store = open(&files, Sync::None);
-        files.capacity(Some(capacity));
-        let (mut plain, mut told) = (Plain::new(), 0);
-        for act in &acts {
-            match act.write(&mut store) {
-                Ok(()) => act.apply(&mut plain),
-                Err(fault) if fault.is_full() => told += 1,
-                Err(fault) => panic!("{fault}"),
+        files.set_capacity(Some(capacity));
+        let (mut model, mut full_errors) = (Model::new(), 0);
+        for operation in &operations {
+            match operation.write(&mut store) {
+                Ok(()) => operation.apply(&mut model),
+                Err(error) if error.is_full() => full_errors += 1,
+                Err(error) => panic!("{error}"),
             }
         }
-        assert!(told > 0 || capacity > 30_000, "a full disk is told");
-        // A start on the full disk.
+        assert!(full_errors > 0 || capacity > 30_000, "a full disk is reported");
+        // Restart on the full disk.
         drop(store);
         let mut store = open(&files, Sync::None);
-        assert_eq!(contents(&mut store), plain, "{capacity} bytes");
-        files.capacity(None);
-        store.write(&[Change::Put(b"again", b"there is room")]).expect("room");
+        assert_eq!(contents(&mut store), model, "{capacity} bytes");
+        files.set_capacity(None);
+        store.write(&[Change::Put(b"again", b"there is room")]).expect("the write succeeds");
     }
 }
 
 #[test]
-fn a_full_disk_during_the_first_start_is_no_end() {
+fn a_full_disk_during_the_first_start_does_not_prevent_a_later_one() {
     for capacity in 0..80 {
-        let files = Memory::default();
-        files.capacity(Some(capacity));
-        let tried = Store::open(files.clone(), room(Sync::None));
-        assert!(tried.is_ok() || tried.is_err_and(|fault| fault.is_full()));
-        files.capacity(None);
+        let files = MemoryFiles::default();
+        files.set_capacity(Some(capacity));
+        let opened = Store::open(files.clone(), options(Sync::None));
+        assert!(opened.is_ok() || opened.is_err_and(|error| error.is_full()));
+        files.set_capacity(None);
         assert!(contents(&mut open(&files, Sync::None)).is_empty());
     }
 }
--- a/crates/sailcart-store/tests/damage.rs
+++ b/crates/sailcart-store/tests/damage.rs
@@ -1,196 +1,203 @@
-//! Bytes that are not as they were written: cut and flipped, every one of them; files that are gone or of another
-//! time; and what salvage makes of them.
+//! Damaged files: every byte truncated or changed in turn, files that are missing or left by another program,
+//! and what salvage recovers from them.
 
 mod common;
 
-use common::{Act, Memory, Plain, contents, open, room, until_death};
+use common::{MemoryFiles, Model, Operation, contents, open, options, write_until_crash};
 use sailcart_store::{Change, Fault, Salvaged, Store, Sync, salvage};
 
-/// A folder with several segments, and what stood in it after each act.
-fn folder() -> (Memory, Vec<Plain>) {
-    let files = Memory::default();
+/// A folder with several segments, and its contents after each operation.
+fn sample_folder() -> (MemoryFiles, Vec<Model>) {
+    let files = MemoryFiles::default();
     let mut store = open(&files, Sync::None);
-    let (mut plain, mut states) = (Plain::new(), vec![Plain::new()]);
-    for act in Act::some(3, 60, 700) {
-        act.write(&mut store).expect("room");
-        act.apply(&mut plain);
-        states.push(plain.clone());
+    let (mut model, mut states) = (Model::new(), vec![Model::new()]);
+    for operation in Operation::random(3, 60, 700) {
+        operation.write(&mut store).expect("the write succeeds");
+        operation.apply(&mut model);
+        states.push(model.clone());
     }
     drop(store);
-    assert!(files.names().iter().filter(|name| name.starts_with("segment")).count() >= 2);
+    assert!(files.file_names().iter().filter(|name| name.starts_with("segment")).count() >= 2);
     (files, states)
 }
 
-fn tried(files: &Memory) -> Result<Plain, Fault> {
-    files.again();
-    Store::open(files.clone(), room(Sync::None)).map(|(mut store, _)| contents(&mut store))
+fn try_open(files: &MemoryFiles) -> Result<Model, Fault> {
+    files.restart();
+    Store::open(files.clone(), options(Sync::None)).map(|(mut store, _)| contents(&mut store))
 }
 
 #[test]
-fn a_file_cut_at_any_byte_gives_an_earlier_state_or_is_refused() {
-    let (whole, states) = folder();
-    for name in whole.names() {
-        let bytes = whole.bytes(&name);
-        let last = whole.names().iter().filter(|other| other.starts_with("segment")).max() == Some(&name);
-        for cut in 0..bytes.len() {
-            let files = whole.copy();
-            files.set(&name, &bytes[..cut]);
-            match tried(&files) {
+fn a_file_truncated_at_any_byte_gives_an_earlier_state_or_is_refused() {
+    let (intact, states) = sample_folder();
+    for name in intact.file_names() {
+        let bytes = intact.read_file(&name);
+        let is_last =
+            intact.file_names().iter().filter(|other| other.starts_with("segment")).max() == Some(&name);
+        for length in 0..bytes.len() {
+            let files = intact.copy();
+            files.write_file(&name, &bytes[..length]);
+            match try_open(&files) {
                 Ok(found) => {
-                    assert!(last, "{name} cut at {cut}: only the end of the log may be torn");
-                    assert!(states.contains(&found), "{name} cut at {cut}");
+                    assert!(is_last, "{name} truncated to {length} bytes: only the last segment may be torn");
+                    assert!(states.contains(&found), "{name} truncated to {length} bytes");
                 }
-                Err(Fault::Damaged { file, .. }) => assert_eq!(file, name, "cut at {cut}"),
-                Err(fault) => panic!("{name} cut at {cut}: {fault}"),
+                Err(Fault::Damaged { file, .. }) => assert_eq!(file, name, "truncated to {length} bytes"),
+                Err(error) => panic!("{name} truncated to {length} bytes: {error}"),
             }
         }
     }
 }
 
 #[test]
-fn any_byte_changed_is_refused_with_its_file_and_nothing_is_written() {
-    let (whole, _) = folder();
-    for name in whole.names() {
-        let bytes = whole.bytes(&name);
+fn any_changed_byte_is_refused_with_its_file_name_and_not_repaired() {
+    let (intact, _) = sample_folder();
+    for name in intact.file_names() {
+        let bytes = intact.read_file(&name);
         for at in 0..bytes.len() {
-            let files = whole.copy();
+            let files = intact.copy();
             let mut changed = bytes.clone();
             changed[at] ^= 1 << (at % 8);
-            files.set(&name, &changed);
-            match tried(&files) {
+            files.write_file(&name, &changed);
+            match try_open(&files) {
                 Err(Fault::Damaged { file, offset, .. }) => {
                     assert_eq!(file, name);
-                    // A manifest has one checksum, at its end.
-                    assert!(name == "manifest" || offset <= at as u64, "byte {at}, told {offset}");
+                    // A manifest has a single checksum, at its end, and is reported there.
+                    assert!(name == "manifest" || offset <= at as u64, "byte {at}, reported offset {offset}");
                 }
-                Err(Fault::Newer { file, .. }) => assert_eq!(file, name),
+                Err(Fault::NewerVersion { file, .. }) => assert_eq!(file, name),
                 other => panic!("{name}, byte {at}: {other:?}"),
             }
-            assert_eq!(files.bytes(&name), changed, "nothing is mended");
+            assert_eq!(files.read_file(&name), changed, "the file is not repaired");
         }
     }
 }
 
 #[test]
-fn a_file_that_is_gone_is_missed_by_name() {
-    let (whole, _) = folder();
-    for name in whole.names() {
-        let files = whole.copy();
+fn a_missing_file_is_reported_by_name() {
+    let (intact, _) = sample_folder();
+    for name in intact.file_names() {
+        let files = intact.copy();
         files.remove_file(&name);
-        let last = whole.names().iter().filter(|other| other.starts_with("segment")).max() == Some(&name);
-        match tried(&files) {
+        let is_last =
+            intact.file_names().iter().filter(|other| other.starts_with("segment")).max() == Some(&name);
+        match try_open(&files) {
             Err(Fault::Missing { file }) => assert_eq!(file, name),
-            // Nothing is behind the last one to miss it: the state before it.
-            Ok(_) => assert!(last, "{name}"),
+            // No later segment shows that the last one is missing: the store opens with an earlier state.
+            Ok(_) => assert!(is_last, "{name}"),
             other => panic!("{name}: {other:?}"),
         }
     }
 }
 
 #[test]
-fn a_newer_version_is_refused_and_a_file_of_another_time_is_not_believed() {
-    let (whole, _) = folder();
-    let files = whole.copy();
-    let mut bytes = files.bytes("manifest");
+fn a_newer_version_is_refused_and_an_unrelated_file_is_ignored() {
+    let (intact, _) = sample_folder();
+    let files = intact.copy();
+    let mut bytes = files.read_file("manifest");
     bytes[18] = 9;
     let sum = crc32fast::hash(&bytes[..27]).to_be_bytes();
     bytes[27..].copy_from_slice(&sum);
-    files.set("manifest", &bytes);
-    let newer = tried(&files);
-    assert!(matches!(newer, Err(Fault::Newer { found: 9, known: 3, .. })), "{newer:?}");
-    // An index that another program left beside the log.
-    let files = whole.copy();
-    files.set("index", b"whatever");
-    assert_eq!(tried(&files).expect("the log alone counts"), tried(&whole).expect("sound"));
+    files.write_file("manifest", &bytes);
+    let newer = try_open(&files);
+    assert!(matches!(newer, Err(Fault::NewerVersion { found: 9, supported: 3, .. })), "{newer:?}");
+    // A file named "index" that another program left in the folder.
+    let files = intact.copy();
+    files.write_file("index", b"whatever");
+    assert_eq!(
+        try_open(&files).expect("the file is ignored"),
+        try_open(&intact).expect("the folder is intact")
+    );
 }
 
 #[test]
-fn a_log_that_changes_under_a_running_store_is_not_believed() {
-    let files = Memory::default();
+fn a_log_changed_under_a_running_store_is_reported_as_damaged() {
+    let files = MemoryFiles::default();
     let mut store = open(&files, Sync::None);
-    store.write(&[Change::Put(b"a", b"first")]).expect("room");
-    let name = files.names().into_iter().find(|name| name.starts_with("segment")).expect("a segment");
-    let mut bytes = files.bytes(&name);
+    store.write(&[Change::Put(b"a", b"first")]).expect("the write succeeds");
+    let name =
+        files.file_names().into_iter().find(|name| name.starts_with("segment")).expect("a segment exists");
+    let mut bytes = files.read_file(&name);
     let end = bytes.len() - 1;
     bytes[end] ^= 1;
-    // The same file, as the store has it open.
-    let mut handle = sailcart_store::Files::open(&mut files.clone(), &name).expect("there");
-    sailcart_store::Files::truncate(&mut files.clone(), &mut handle, 0).expect("cut");
-    sailcart_store::Files::append(&mut files.clone(), &mut handle, &bytes).expect("written");
+    // Change the file that the store has open, rather than replace it.
+    let mut handle = sailcart_store::Files::open(&mut files.clone(), &name).expect("the file exists");
+    sailcart_store::Files::truncate(&mut files.clone(), &mut handle, 0).expect("the file is truncated");
+    sailcart_store::Files::append(&mut files.clone(), &mut handle, &bytes).expect("the bytes are written");
     assert!(matches!(store.get(b"a"), Err(Fault::Damaged { .. })));
 }
 
 #[test]
-fn salvage_saves_what_can_be_read_and_tells_what_it_gives_up() {
-    let (whole, states) = folder();
-    let sound = states.last().expect("a state");
-    let name = whole.names().into_iter().find(|name| name.starts_with("segment")).expect("a segment");
-    let files = whole.copy();
-    let mut bytes = files.bytes(&name);
+fn salvage_copies_readable_frames_and_reports_unreadable_ranges() {
+    let (intact, states) = sample_folder();
+    let expected = states.last().expect("a last state");
+    let name =
+        intact.file_names().into_iter().find(|name| name.starts_with("segment")).expect("a segment exists");
+    let files = intact.copy();
+    let mut bytes = files.read_file(&name);
     let at = bytes.len() / 2;
     bytes[at] ^= 0x10;
-    files.set(&name, &bytes);
-    assert!(tried(&files).is_err());
-    let new = Memory::default();
-    let mut store = open(&new, Sync::None);
-    let Salvaged { keys, given_up } = salvage(files, &mut store).expect("readable");
+    files.write_file(&name, &bytes);
+    assert!(try_open(&files).is_err());
+    let new_folder = MemoryFiles::default();
+    let mut store = open(&new_folder, Sync::None);
+    let Salvaged { keys, given_up } = salvage(files, &mut store).expect("the folder is readable");
     assert_eq!(given_up.len(), 1);
-    let (file, from, length) = &given_up[0];
-    assert!(*file == name && *from <= at as u64 && at as u64 <= from + length, "{given_up:?}");
+    let (file, start, length) = &given_up[0];
+    assert!(*file == name && *start <= at as u64 && at as u64 <= start + length, "{given_up:?}");
     let found = contents(&mut store);
     assert_eq!(found.len(), keys);
-    // At most the keys of the lost record differ.
-    let differ = sound.iter().filter(|(key, value)| found.get(*key) != Some(value)).count();
-    assert!(differ <= 2, "{differ} of {}", sound.len());
+    // At most the keys of the lost frame differ.
+    let differing = expected.iter().filter(|(key, value)| found.get(*key) != Some(value)).count();
+    assert!(differing <= 2, "{differing} of {}", expected.len());
 }
 
 #[test]
 fn two_processes_do_not_share_a_folder() {
-    let files = Memory::default();
+    let files = MemoryFiles::default();
     let _first = open(&files, Sync::None);
-    assert!(matches!(Store::open(files.clone(), room(Sync::None)), Err(Fault::InUse)));
-    let folder = tempfile::tempdir().expect("a folder");
+    assert!(matches!(Store::open(files.clone(), options(Sync::None)), Err(Fault::InUse)));
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let disk = || sailcart_store::Disk::new(folder.path());
-    let _first = Store::open(disk(), room(Sync::None)).expect("it opens");
-    assert!(matches!(Store::open(disk(), room(Sync::None)), Err(Fault::InUse)));
+    let _first = Store::open(disk(), options(Sync::None)).expect("the store opens");
+    assert!(matches!(Store::open(disk(), options(Sync::None)), Err(Fault::InUse)));
 }
 
 #[test]
-fn the_room_holds_and_ends_always_fit() {
-    let files = Memory::default();
+fn the_capacity_is_never_exceeded_and_deletions_always_fit() {
+    let files = MemoryFiles::default();
     let mut store = open(&files, Sync::None);
-    let too_large = vec![0; room(Sync::None).most_change() as usize];
+    let too_large = vec![0; options(Sync::None).max_write_bytes() as usize];
     assert!(matches!(store.write(&[Change::Put(b"k", &too_large)]), Err(Fault::TooLarge { .. })));
-    let mut taken = 0u32;
-    while store.write(&[Change::Put(&taken.to_be_bytes(), &[7; 900])]).is_ok() {
-        taken += 1;
-        assert!(files.size() <= 64 * 1024, "{} bytes", files.size());
+    let mut count = 0u32;
+    while store.write(&[Change::Put(&count.to_be_bytes(), &[7; 900])]).is_ok() {
+        count += 1;
+        assert!(files.used_bytes() <= 64 * 1024, "{} bytes", files.used_bytes());
     }
-    assert!(taken > 30, "{taken} packets of 64 KiB");
-    for key in 0..taken {
-        store.write(&[Change::End(&key.to_be_bytes())]).expect("room is kept for ends");
-        assert!(files.size() <= 64 * 1024, "{} bytes", files.size());
+    assert!(count > 30, "only {count} values in 64 KiB");
+    for key in 0..count {
+        store.write(&[Change::End(&key.to_be_bytes())]).expect("space for tombstones is reserved");
+        assert!(files.used_bytes() <= 64 * 1024, "{} bytes", files.used_bytes());
     }
     assert!(store.is_empty());
-    store.write(&[Change::Put(b"next", &[7; 900])]).expect("room again");
+    store.write(&[Change::Put(b"next", &[7; 900])]).expect("space is free again");
 }
 
 #[test]
-fn what_ends_during_a_compaction_stays_ended_and_what_comes_stays() {
-    let files = Memory::default();
+fn deletions_and_writes_during_compaction_are_kept() {
+    let files = MemoryFiles::default();
     let mut store = open(&files, Sync::None);
     for key in 0..20u8 {
-        store.write(&[Change::Put(&[key], &[key; 700])]).expect("room");
+        store.write(&[Change::Put(&[key], &[key; 700])]).expect("the write succeeds");
     }
-    let mut plain = contents(&mut store);
+    let mut model = contents(&mut store);
     for key in 0..20u8 {
-        store.step(300).expect("a step");
-        store.write(&[Change::End(&[key])]).expect("room");
-        plain.remove(&vec![key]);
-        store.write(&[Change::Put(&[key, 1], &[key; 300])]).expect("room");
-        plain.insert(vec![key, 1], vec![key; 300]);
-        assert_eq!(contents(&mut open(&files.copy(), Sync::None)), plain, "a start in the middle, key {key}");
+        store.compact(300).expect("the step succeeds");
+        store.write(&[Change::End(&[key])]).expect("the write succeeds");
+        model.remove(&vec![key]);
+        store.write(&[Change::Put(&[key, 1], &[key; 300])]).expect("the write succeeds");
+        model.insert(vec![key, 1], vec![key; 300]);
+        assert_eq!(contents(&mut open(&files.copy(), Sync::None)), model, "reopened after key {key}");
     }
-    until_death(&mut store, &[], &mut plain);
-    assert!(store.effort().segments_retired > 0);
+    write_until_crash(&mut store, &[], &mut model);
+    assert!(store.stats().segments_retired > 0);
 }
--- a/crates/sailcart-store/tests/faults.rs
+++ b/crates/sailcart-store/tests/faults.rs
@@ -1,60 +1,61 @@
-//! Faults of the device that follow one another, in every state of the log: whatever fails, no start is refused, what was answered
-//! for stands and what was refused does not.
+//! Consecutive device errors in every state of the log: whatever fails, the store opens again, confirmed
+//! writes are kept, and rejected writes have no effect.
 
 mod common;
 
-use common::{Act, Memory, Plain, contents, open, room, stands, until_death};
+use common::{MemoryFiles, Model, Operation, contents, matches_model, open, options, write_until_crash};
 use sailcart_store::{Change, Store, Sync};
 
-/// Acts that fill the folder more than once, so that segments begin and are cleaned throughout.
-fn busy() -> Vec<Act> {
-    Act::some(21, 160, 3000)
+/// Operations that fill the folder more than once, so that segments are started and compacted throughout.
+fn operations_that_compact() -> Vec<Operation> {
+    Operation::random(21, 160, 3000)
 }
 
-/// How many file calls a run without faults takes.
-fn calls(acts: &[Act], sync: Sync) -> u64 {
-    let files = Memory::default();
+/// Number of file calls that the operations take without errors.
+fn count_calls(operations: &[Operation], sync: Sync) -> u64 {
+    let files = MemoryFiles::default();
     let mut store = open(&files, sync);
-    until_death(&mut store, acts, &mut Plain::new());
-    assert!(store.effort().segments_retired > 2, "compaction ran: {:?}", store.effort());
-    files.calls()
+    write_until_crash(&mut store, operations, &mut Model::new());
+    assert!(store.stats().segments_retired > 2, "compaction ran: {:?}", store.stats());
+    files.call_count()
 }
 
-/// Plays all acts over a folder on which these calls fail, from the store's opening on, and starts again.
-fn survives(acts: &[Act], failing: &[u64], after: f64, what: &str) {
-    let files = Memory::default();
-    files.fail(failing.iter().copied(), after);
-    let mut plain = Plain::new();
-    let opened = Store::open(files.clone(), room(Sync::None));
-    let (mut store, _) = opened.unwrap_or_else(|fault| panic!("{what}: refused a start: {fault}"));
-    for act in acts {
-        if act.write(&mut store).is_ok() {
-            act.apply(&mut plain);
+/// Runs the operations on a folder on which the given calls fail, counted from the first opening, and opens
+/// the store again.
+fn check_survives(operations: &[Operation], failing_calls: &[u64], append_share: f64, case: &str) {
+    let files = MemoryFiles::default();
+    files.fail_calls(failing_calls.iter().copied(), append_share);
+    let mut model = Model::new();
+    let opened = Store::open(files.clone(), options(Sync::None));
+    let (mut store, _) = opened.unwrap_or_else(|error| panic!("{case}: the first open failed: {error}"));
+    for operation in operations {
+        if operation.write(&mut store).is_ok() {
+            operation.apply(&mut model);
         }
     }
-    assert_eq!(contents(&mut store), plain, "before a start, {what}");
+    assert_eq!(contents(&mut store), model, "before the restart, {case}");
     drop(store);
-    files.again();
-    let opened = Store::open(files.clone(), room(Sync::None));
-    let (mut store, _) = opened.unwrap_or_else(|fault| panic!("{what}: refused for ever: {fault}"));
-    assert_eq!(contents(&mut store), plain, "after a start, {what}");
+    files.restart();
+    let opened = Store::open(files.clone(), options(Sync::None));
+    let (mut store, _) = opened.unwrap_or_else(|error| panic!("{case}: reopening failed: {error}"));
+    assert_eq!(contents(&mut store), model, "after the restart, {case}");
 }
 
-/// A write fails half-way and so does the cut that should take it back; the next record does not fit, and a new segment begins:
-/// the half record must not stay at the end of the one before it.
+/// Guards against a partial frame in a segment that is no longer the last: a write fails half-way, the
+/// truncation that should undo it fails too, and the next frame does not fit and starts a new segment.
 #[test]
-fn two_faults_at_any_two_calls_leave_a_folder_that_opens() {
-    let acts = busy();
-    let all = calls(&acts, Sync::None);
-    assert!(all > 200, "{all} points");
-    for first in 1..=all {
+fn two_device_errors_at_any_calls_leave_a_folder_that_opens() {
+    let operations = operations_that_compact();
+    let total_calls = count_calls(&operations, Sync::None);
+    assert!(total_calls > 200, "{total_calls} calls");
+    for first in 1..=total_calls {
         for gap in 1..=6 {
-            for after in [0.0, 0.6] {
-                survives(
-                    &acts,
+            for append_share in [0.0, 0.6] {
+                check_survives(
+                    &operations,
                     &[first, first + gap],
-                    after,
-                    &format!("calls {first} and {}, {after}", first + gap),
+                    append_share,
+                    &format!("calls {first} and {}, share {append_share}", first + gap),
                 );
             }
         }
@@ -62,69 +63,78 @@
 }
 
 #[test]
-fn a_row_of_faults_from_any_call_on_leaves_a_folder_that_opens() {
-    let acts = busy();
-    let all = calls(&acts, Sync::None);
-    for first in 1..=all {
+fn consecutive_device_errors_from_any_call_on_leave_a_folder_that_opens() {
+    let operations = operations_that_compact();
+    let total_calls = count_calls(&operations, Sync::None);
+    for first in 1..=total_calls {
         for length in [3, 7, 20] {
-            let row: Vec<u64> = (first..first + length).collect();
-            survives(&acts, &row, 0.4, &format!("calls {first} to {}", first + length - 1));
+            let failing_calls: Vec<u64> = (first..first + length).collect();
+            check_survives(
+                &operations,
+                &failing_calls,
+                0.4,
+                &format!("calls {first} to {}", first + length - 1),
+            );
         }
     }
 }
 
-/// A process that is killed at any call while the folder fails: what was answered for stands.
+/// A process that is killed at any call after device errors loses no confirmed write.
 #[test]
-fn a_death_after_any_fault_loses_nothing_answered_for() {
-    let acts = busy();
-    let all = calls(&acts, Sync::None);
-    for first in (1..=all).step_by(2) {
+fn a_crash_after_device_errors_keeps_confirmed_writes() {
+    let operations = operations_that_compact();
+    let total_calls = count_calls(&operations, Sync::None);
+    for first in (1..=total_calls).step_by(2) {
         for gap in 1..=8 {
-            let files = Memory::default();
-            files.fail([first, first + 1], 0.6);
-            files.dies_at(first + 1 + gap, 0.5);
-            let mut plain = Plain::new();
-            let mut under_way = None;
-            if let Ok((mut store, _)) = Store::open(files.clone(), room(Sync::None)) {
-                for act in &acts {
-                    match act.write(&mut store) {
-                        Ok(()) => act.apply(&mut plain),
-                        // The last act that failed is the one that the death cut; those before it did not count.
-                        Err(_) => under_way = Some(act.clone()),
+            let files = MemoryFiles::default();
+            files.fail_calls([first, first + 1], 0.6);
+            files.crash_at(first + 1 + gap, 0.5);
+            let mut model = Model::new();
+            let mut interrupted = None;
+            if let Ok((mut store, _)) = Store::open(files.clone(), options(Sync::None)) {
+                for operation in &operations {
+                    match operation.write(&mut store) {
+                        Ok(()) => operation.apply(&mut model),
+                        // The last failed operation is the one interrupted by the crash; earlier ones had no
+                        // effect.
+                        Err(_) => interrupted = Some(operation.clone()),
                     }
-                    if files.is_dead() {
+                    if files.has_crashed() {
                         break;
                     }
                 }
             }
             let found = contents(&mut open(&files, Sync::None));
-            assert!(stands(&found, &plain, under_way.as_ref()), "calls {first}, death {gap} later");
+            assert!(
+                matches_model(&found, &model, interrupted.as_ref()),
+                "errors from call {first}, crash {gap} calls later"
+            );
         }
     }
 }
 
-/// A start over a folder on which nothing can be written: what stands there can be read, nothing is taken, and all goes on
-/// as soon as the folder is well.
+/// A start on a folder that cannot be written: its contents can be read, writes are rejected, and writes
+/// succeed as soon as the folder works again.
 #[test]
-fn a_start_over_a_failing_folder_reads_what_stands_and_goes_on_later() {
-    let acts = busy();
-    let all = calls(&acts, Sync::None);
-    for call in (1..=all).step_by(5) {
-        let files = Memory::default();
-        let mut plain = Plain::new();
+fn a_start_on_a_failing_folder_reads_its_contents_and_writes_later() {
+    let operations = operations_that_compact();
+    let total_calls = count_calls(&operations, Sync::None);
+    for call in (1..=total_calls).step_by(5) {
+        let files = MemoryFiles::default();
+        let mut model = Model::new();
         let mut store = open(&files, Sync::None);
-        files.dies_at(call, 0.5);
-        let under_way = until_death(&mut store, &acts, &mut plain);
+        files.crash_at(call, 0.5);
+        let interrupted = write_until_crash(&mut store, &operations, &mut model);
         drop(store);
-        files.again();
-        files.fail(1..400, 0.3);
-        let opened = Store::open(files.clone(), room(Sync::None));
-        let (mut store, _) = opened.unwrap_or_else(|fault| panic!("call {call}: refused: {fault}"));
+        files.restart();
+        files.fail_calls(1..400, 0.3);
+        let opened = Store::open(files.clone(), options(Sync::None));
+        let (mut store, _) = opened.unwrap_or_else(|error| panic!("call {call}: open failed: {error}"));
         let found = contents(&mut store);
-        assert!(stands(&found, &plain, under_way.as_ref()), "call {call}");
-        assert!(store.write(&[Change::Put(b"new", b"1")]).is_err(), "nothing is taken");
-        files.mend();
-        store.write(&[Change::Put(b"new", b"1")]).expect("the folder is well");
+        assert!(matches_model(&found, &model, interrupted.as_ref()), "call {call}");
+        assert!(store.write(&[Change::Put(b"new", b"1")]).is_err(), "writes are rejected");
+        files.clear_failures();
+        store.write(&[Change::Put(b"new", b"1")]).expect("the folder works again");
         drop(store);
         let mut later = contents(&mut open(&files, Sync::None));
         assert_eq!(later.remove(b"new".as_slice()), Some(b"1".to_vec()));
@@ -132,35 +142,35 @@
     }
 }
 
-/// A failed sync takes bytes for written that never reach the disk. What it should have brought down is written anew before
-/// anything else is answered for; a later sync of the same file is not believed.
+/// A failed sync marks bytes as written that never reach the disk, and a later sync of the same file then
+/// succeeds without them. They must be rewritten before anything else is confirmed.
 #[test]
-fn what_a_failed_sync_left_in_doubt_is_written_anew() {
-    let acts = Act::some(23, 90, 3000);
-    let all = {
-        let files = Memory::default();
-        until_death(&mut open(&files, Sync::Each), &acts, &mut Plain::new());
-        files.calls()
+fn data_of_a_failed_sync_is_rewritten() {
+    let operations = Operation::random(23, 90, 3000);
+    let total_calls = {
+        let files = MemoryFiles::default();
+        write_until_crash(&mut open(&files, Sync::Each), &operations, &mut Model::new());
+        files.call_count()
     };
-    for call in 3..=all {
-        for row in [1, 2, 5] {
-            let files = Memory::default();
+    for call in 3..=total_calls {
+        for length in [1, 2, 5] {
+            let files = MemoryFiles::default();
             let mut store = open(&files, Sync::Each);
-            files.fail(call..call + row, 0.5);
-            let mut plain = Plain::new();
-            for act in &acts {
-                match act.write(&mut store) {
-                    Ok(()) => act.apply(&mut plain),
-                    Err(sailcart_store::Fault::Unsure { .. }) => plain = contents(&mut store),
+            files.fail_calls(call..call + length, 0.5);
+            let mut model = Model::new();
+            for operation in &operations {
+                match operation.write(&mut store) {
+                    Ok(()) => operation.apply(&mut model),
+                    Err(sailcart_store::Fault::Unsure { .. }) => model = contents(&mut store),
                     Err(_) => {}
                 }
-                assert_eq!(contents(&mut store), plain, "call {call}, row {row}");
+                assert_eq!(contents(&mut store), model, "{length} errors from call {call}");
             }
-            files.mend();
-            store.sync().expect("the device is well");
+            files.clear_failures();
+            store.sync().expect("the device works again");
             files.lose_power(call);
             let found = contents(&mut open(&files, Sync::Each));
-            assert_eq!(found, plain, "call {call}, row {row}: the power was lost");
+            assert_eq!(found, model, "{length} errors from call {call}, after the power loss");
         }
     }
 }
--- a/crates/sailcart-store/tests/model.rs
+++ b/crates/sailcart-store/tests/model.rs
@@ -1,48 +1,49 @@
-//! Random acts, crashes and faults against a plain map.
+//! Property tests: random operations with crashes, compared with a map as the model, and recovery from
+//! arbitrary bytes.
 
 mod common;
 
-use common::{Act, Memory, Plain, contents, open, room, stands, until_death};
+use common::{MemoryFiles, Model, Operation, contents, matches_model, open, options, write_until_crash};
 use proptest::prelude::*;
 use sailcart_store::{Store, Sync};
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2000, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Lives one after the other, each cut short somewhere.
+    /// Consecutive processes on one folder, each of which crashes within some file call.
     #[test]
-    fn many_lives_are_as_one(seed in any::<u64>(), deaths in prop::collection::vec((1u64..120, 0.0f64..1.0), 1..5)) {
-        let files = Memory::default();
-        let mut plain = Plain::new();
-        for (nth, (call, part)) in deaths.into_iter().enumerate() {
-            files.again();
-            files.dies_at(call, part);
-            let acts = Act::some(seed.wrapping_add(nth as u64), 40, 2500);
-            let under_way = match Store::open(files.clone(), room(Sync::None)) {
-                Ok((mut store, _)) => until_death(&mut store, &acts, &mut plain),
+    fn crashing_processes_keep_one_consistent_state(seed in any::<u64>(), crashes in prop::collection::vec((1u64..120, 0.0f64..1.0), 1..5)) {
+        let files = MemoryFiles::default();
+        let mut model = Model::new();
+        for (process, (call, completed_share)) in crashes.into_iter().enumerate() {
+            files.restart();
+            files.crash_at(call, completed_share);
+            let operations = Operation::random(seed.wrapping_add(process as u64), 40, 2500);
+            let interrupted = match Store::open(files.clone(), options(Sync::None)) {
+                Ok((mut store, _)) => write_until_crash(&mut store, &operations, &mut model),
                 Err(_) => None,
             };
             let found = contents(&mut open(&files, Sync::None));
-            prop_assert!(stands(&found, &plain, under_way.as_ref()), "life {nth} of seed {seed}");
-            plain = found;
+            prop_assert!(matches_model(&found, &model, interrupted.as_ref()), "process {process} of seed {seed}");
+            model = found;
         }
     }
 
-    /// Any bytes in place of any file: refused, or read without a panic.
+    /// A file overwritten with arbitrary bytes is refused or read, without a panic.
     #[test]
-    fn recovery_takes_any_bytes(bytes in prop::collection::vec(any::<u8>(), 0..600), at in 0usize..2000, seed in any::<u64>()) {
-        let files = Memory::default();
+    fn recovery_from_arbitrary_bytes_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..600), offset in 0usize..2000, seed in any::<u64>()) {
+        let files = MemoryFiles::default();
         let mut store = open(&files, Sync::None);
-        until_death(&mut store, &Act::some(seed, 6, 300), &mut Plain::new());
+        write_until_crash(&mut store, &Operation::random(seed, 6, 300), &mut Model::new());
         drop(store);
-        let names = files.names();
+        let names = files.file_names();
         let name = &names[seed as usize % names.len()];
-        let mut whole = files.bytes(name);
-        let at = at.min(whole.len());
-        whole.splice(at..(at + bytes.len()).min(whole.len()), bytes);
-        files.set(name, &whole);
-        files.again();
-        if let Ok((mut store, _)) = Store::open(files.clone(), room(Sync::Each)) {
+        let mut overwritten = files.read_file(name);
+        let offset = offset.min(overwritten.len());
+        overwritten.splice(offset..(offset + bytes.len()).min(overwritten.len()), bytes);
+        files.write_file(name, &overwritten);
+        files.restart();
+        if let Ok((mut store, _)) = Store::open(files.clone(), options(Sync::Each)) {
             contents(&mut store);
         }
     }
