--- a/src/control.rs
+++ b/src/control.rs
@@ -15,12 +15,12 @@
 use rand::{Rng, SeedableRng, seq::IndexedRandom};
 use rand_chacha::ChaCha8Rng;
 
-use crate::bucket::TokenBucket;
-use crate::decay::DecayingCounter;
+use crate::counting_map::Table;
+use crate::decaying_counter::DecayingCounter;
 use crate::host::*;
 use crate::listing::Directory;
 use crate::state::*;
-use crate::table::Table;
+use crate::token_bucket::TokenBucket;
 
 const FLOOR: f64 = 0.5; // a lane's rate never falls below one call in two seconds, but see CROWD
 const CUT: f64 = 0.5; // a full refusal leaves this share of the rate
--- a/tests/size.rs
+++ b/tests/scalability.rs
@@ -2,11 +2,11 @@
 //! traffic is bounded without breaking a rule.
 
 #[allow(dead_code)]
-mod fake;
+mod harness;
 
 use std::time::Duration;
 
-use fake::{Play, line, ms, terms};
+use harness::{Play, line, ms, terms};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use sailcart::*;
--- a/tests/stories.rs
+++ b/tests/scenarios.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-mod fake;
+mod harness;
 
-use fake::{Answer, Play, line, ms, terms};
+use harness::{Answer, Play, line, ms, terms};
 use sailcart::*;
 
 /// The bucket starts full, refills on read and defers by its deficit.
