--- a/src/host.rs
+++ b/src/host.rs
@@ -1,6 +1,8 @@
-//! The interface: what a carrier tells the [`Sender`](crate::Sender), and what the sender asks of it.
-//! All times are spans since the sender's start, or since the oldest thing that it takes over from an earlier
-//! life. Nothing is decided here.
+//! The interface between a [`Sender`](crate::Sender) and its host: the data that the host passes in, and the
+//! [`Host`] trait through which the sender acts. This module decides nothing.
+//!
+//! All times are spans since the sender's start or, if it takes over packets from a previous process, since
+//! the oldest event that concerns them.
 
 use std::time::Duration;
 
@@ -13,124 +15,138 @@
 }
 
 ids! {
-    /// A packet, numbered by the carrier; not used twice in one sender's life.
+    /// A packet. The host assigns the number and does not reuse it while the process runs.
     PacketId(u64);
     /// One address of a destination.
     EndpointId(u32);
+    /// An outside receiver, with one or more endpoints.
     DestinationId(u64);
-    /// Position in [`Terms::categories`].
+    /// Index into [`Terms::categories`].
     CategoryId(usize);
-    /// Position in [`Terms::customers`].
+    /// Index into [`Terms::customers`].
     CustomerId(usize);
-    /// Position in [`Terms::kinds`].
+    /// Index into [`Terms::kinds`].
     KindId(usize);
-    /// What packets of a category in order are about.
+    /// The ordering key of a packet, for categories whose packets are dispatched in order.
     KeyId(u64);
 }
 
-/// What a dispatch may do a second time.
+/// Whether a packet may be dispatched again after a dispatch that may have executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Repeat {
+    /// Any number of executions has the effect of one.
     Idempotent,
-    /// Every endpoint of the destination knows a repeat for `memory`.
+    /// Every endpoint of the destination recognizes a repeated dispatch for this long after the first one.
     Deduplicated {
+        /// How long endpoints remember a dispatch.
         memory: Duration,
     },
+    /// A dispatch that may have executed must not be repeated.
     Unrepeatable,
 }
 
+/// The rules for one category of packets.
 #[derive(Clone, Copy, Debug)]
 pub struct Category {
     pub repeat: Repeat,
+    /// Packets with the same key are dispatched one after the other, in the order in which they were
+    /// accepted.
     pub in_order: bool,
-    /// Answer wanted by then, from the first handing in.
+    /// Time from the first submission within which the answer is wanted.
     pub soft_limit: Duration,
-    /// The client gives up then, from the first handing in.
+    /// Time from the first submission after which the client abandons the packet.
     pub patience: Duration,
+    /// Credit for an answer within the soft limit.
     pub credit: f64,
-    /// Share of the credit that is left in the end.
+    /// Minimum share of the credit for a late answer, which is reached at the end of the patience.
     pub late_share: f64,
 }
 
-/// How credit falls after the soft limit, down to the category's share.
+/// How the credit falls after the soft limit, down to the category's [`Category::late_share`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Late {
-    /// Evenly until the patience ends.
+    /// Linearly until the end of the patience.
     #[default]
     Line,
     /// By half with each further soft limit.
     Halves,
 }
 
-/// A customer's agreed packets a second over all senders.
+/// A customer, whose packets beyond the quota earn less credit.
 #[derive(Clone, Debug)]
 pub struct Customer {
+    /// Agreed packets per second over all senders.
     pub quota: f64,
 }
 
+/// The properties shared by all destinations of one kind.
 #[derive(Clone, Debug)]
 pub struct Kind {
-    /// Endpoints are routes, each with a limit and outages of its own.
+    /// Each endpoint is a route with a rate limit and outages of its own.
     pub own_limits: bool,
-    /// Packets that one call carries at most.
+    /// Maximum number of packets per call.
     pub batch: usize,
 }
 
-/// How much a destination that comes back can take.
+/// The capacity of a destination while it recovers from an outage.
 #[derive(Clone, Debug, Default)]
 pub struct Return {
-    /// Share of its capacity that it starts with.
+    /// Share of its normal capacity that is available at the start of the recovery.
     pub cold_from: f64,
-    /// Warm after this.
+    /// Time until the full capacity is available again.
     pub cold: Duration,
-    /// It falls over at this multiple of its present capacity.
+    /// The destination fails again when its load exceeds this multiple of its present capacity.
     pub fall_multiple: f64,
 }
 
-/// What a sender is told at its start.
+/// The settings of a sender, fixed at its start.
 #[derive(Clone, Debug, Default)]
 pub struct Terms {
+    /// Number of senders that share the destinations.
     pub senders: usize,
+    /// Maximum number of calls in flight.
     pub slots: usize,
-    /// Packets held at most, sent or not.
+    /// Maximum number of packets held, whether or not they have been dispatched.
     pub hold: usize,
+    /// Maximum number of dispatches per packet.
     pub dispatches: u32,
-    /// A dispatch may be called off.
+    /// Whether the host can cancel a dispatch in flight.
     pub cancel: bool,
+    /// Timeout for opening a connection, applied by the host.
     pub connect_time_out: Duration,
-    /// How long clients can be told to stay away; `None` where they are told nothing.
+    /// Maximum wait that a dismissal may ask of the client; `None` where dismissals carry no wait.
     pub retry_after: Option<Duration>,
-    /// How long a key rests after a dispatch that may still run.
+    /// How long a key is blocked after a dispatch that may still execute.
     pub settle: Duration,
     pub categories: Vec<Category>,
     pub customers: Vec<Customer>,
-    /// Share of the credit of a packet beyond its customer's quota.
+    /// Share of the credit for a packet beyond its customer's quota.
     pub over_share: f64,
     pub kinds: Vec<Kind>,
-    /// The destination list tells each destination's rate.
+    /// The destination list contains each destination's rate.
     pub rates_listed: bool,
-    /// The list comes only when asked for: a sender is held to know what was listed so long ago. `None` where it
-    /// comes unasked.
+    /// Maximum staleness of the destination list, where the sender has to request it. `None` where updates
+    /// are pushed to the sender.
     pub list_asked: Option<Duration>,
-    /// Answers tell of limits ([`Report`]).
+    /// Answers report the remaining rate limit ([`Report`]).
     pub limits_told: bool,
     pub late: Late,
     pub back: Return,
 }
 
-/// A line of the destination list.
+/// An entry of the destination list.
 #[derive(Clone, Debug)]
 pub struct Listing {
     pub endpoint: EndpointId,
     pub destination: DestinationId,
     pub kind: KindId,
-    /// False once it drains or is gone.
+    /// False once the endpoint drains or has been removed.
     pub live: bool,
-    /// Calls a second from all senders, where [`Terms::rates_listed`].
+    /// Calls per second from all senders, where [`Terms::rates_listed`] is set.
     pub rate: f64,
 }
 
-/// A packet as handed in, or as it comes back after a restart.
+/// A packet as submitted by a client, or as restored after a restart.
 #[derive(Clone, Debug)]
 pub struct Packet {
     pub id: PacketId,
@@ -138,64 +154,72 @@
     pub category: CategoryId,
     pub customer: Option<CustomerId>,
     pub key: Option<KeyId>,
-    /// When its client gives up.
+    /// When the client abandons the packet.
     pub ends: Duration,
-    /// Dispatches so far: some only where it comes back after a restart.
+    /// Number of dispatches so far; more than zero only for a packet restored after a restart.
     pub dispatches: u32,
-    /// When the first of them that may have run was sent.
+    /// When the first dispatch that may have executed was sent.
     pub doubt: Option<Duration>,
-    /// An earlier life of this sender took it on: its client heard so, and nobody hands it in again.
+    /// Accepted by the previous process of this sender. The client was notified of that, so nobody submits
+    /// the packet again.
     pub taken_on: bool,
 }
 
-/// How a dispatch came back.
+/// The result of a dispatch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
+    /// The destination answered with success.
     Done,
-    /// The destination answered with an error; it may have run.
+    /// The destination answered with an error; the dispatch may have executed.
     Error,
-    /// Turned away unseen, perhaps with a wait.
+    /// Refused before execution, perhaps with a Retry-After wait.
     Full(Option<Duration>),
+    /// No answer within the timeout; the dispatch may have executed.
     TimedOut,
+    /// No connection could be opened.
     NoConnection,
-    /// Turned away unseen with its connection closed: the endpoint holds all that it takes.
+    /// Refused before execution and the connection closed: the endpoint's connection limit is reached.
     NoRoom,
-    /// The connection broke; it may have run.
+    /// The connection was lost during the call; the dispatch may have executed.
     Reset,
+    /// Cancelled by the sender; the dispatch may have executed.
     Cancelled,
-    /// Not sent, as no slot was free.
+    /// Not sent, because no slot was free.
     NoSlot,
-    /// Not sent, as the packet was over or may not be sent again.
+    /// Not sent, because the packet was completed or must not be dispatched again.
     Moot,
-    /// Not sent for a reason of this machine, such as a journal that cannot be written or descriptors that ran out: no dispatch, and
-    /// nothing is learned of the destination.
+    /// Not sent because of a local error, such as a journal that cannot be written or exhausted file
+    /// descriptors. It does not count as a dispatch and says nothing about the destination.
     Unsent,
 }
 
-/// What an answer tells of a lane's limit for all senders together, late and noisy.
+/// What an answer reports about an upstream's rate limit, which all senders share. The values are delayed and
+/// noisy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Report {
-    /// Share of the limit that is left just now.
+    /// Share of the limit that is unused at present, from 0 to 1.
     pub left: f64,
-    /// Calls a second.
+    /// The limit in calls per second.
     pub limit: f64,
 }
 
-/// What carries out the decisions. All calls come from within [`Sender::decide`](crate::Sender::decide).
+/// Carries out the decisions of a sender. All methods are called from within
+/// [`Sender::decide`](crate::Sender::decide).
 pub trait Host {
-    /// Dispatches of one round to one endpoint travel as one call, up to the kind's batch.
-    fn dispatch(&mut self, packet: PacketId, endpoint: EndpointId, time_out: Duration);
-    /// Call off a packet's dispatch, counted from 0; its outcome still comes.
+    /// Dispatches a packet. Dispatches of one round to one endpoint are sent as one call, up to the maximum
+    /// batch of the kind ([`Kind::batch`]).
+    fn dispatch(&mut self, packet: PacketId, endpoint: EndpointId, timeout: Duration);
+    /// Cancels a packet's dispatch, numbered from 0. Its outcome is still reported.
     fn cancel(&mut self, packet: PacketId, dispatch: u32);
-    /// Final answer: handing it in again is harmless.
+    /// Completes a packet as dismissed: submitting it again is harmless.
     fn dismiss(&mut self, packet: PacketId, retry_after: Option<Duration>);
-    /// Final answer that promises nothing.
+    /// Completes a packet as scrapped: it failed, and submitting it again may execute it twice.
     fn scrap(&mut self, packet: PacketId);
-    /// Close this sender's idle connections to an endpoint.
+    /// Closes this sender's idle connections to an endpoint.
     fn close_idle(&mut self, endpoint: EndpointId);
-    /// Ask for the list and its changes from now on; answered by news of the list, or by
-    /// [`Sender::list_failed`](crate::Sender::list_failed). Only where [`Terms::list_asked`].
+    /// Requests the destination list and its updates from now on. The response is an update of the list or
+    /// [`Sender::list_failed`](crate::Sender::list_failed). Called only where [`Terms::list_asked`] is set.
     fn ask_list(&mut self);
-    /// Ask for a round after this span at the latest.
+    /// Requests a round no later than after this span.
     fn wake(&mut self, after: Duration);
 }
