--- a/src/control.rs
+++ b/src/control.rs
@@ -1,13 +1,42 @@
-//! Every decision of a sender. [`Sender::list`], [`Sender::take`], [`Sender::outcome`], [`Sender::withdraw`]
-//! take note; once a round [`Sender::decide`] acts through the [`Host`]. The interface stands in `host.rs`.
-//! The design: a token bucket per lane (a destination, or a route with a limit of its own) before any slot,
-//! deferral by the bucket's deficit, max-min shares of the slots, a cap per destination. Beside it stand:
-//! 1. return guard: a lane seen in an outage gets a rate that even a cold destination can take;
-//! 2. silence watch: a lane whose calls stay out long gets one new call at a time; they give way to others;
-//! 3. endpoint caps: an endpoint that lost a call starts again at one in flight and grows with answers;
-//! 4. order of credit: which of a destination's held packets goes first;
-//! 5. making room: a hold that is nearly full dismisses the packet with the least to hope for;
-//! 6. closing: where kinds of destination lose calls, many senders leave no idle connection behind.
+//! The decision module: decides which packet of a sender is dispatched where and when.
+//!
+//! [`Sender::list`], [`Sender::take`], [`Sender::report`], [`Sender::outcome`] and [`Sender::withdraw`] only
+//! record what happened. Once per round the host calls [`Sender::decide`], which acts through the [`Host`]
+//! trait. The types of the interface are in `host.rs`.
+//!
+//! An *upstream* is the unit of rate limiting and health: a destination or, where each route has limits of
+//! its own, one route. *Sparse traffic* means that there are so many senders that an upstream receives a call
+//! from each of them only now and then. Several mechanisms then work differently, because a sender's own
+//! answers tell it little.
+//!
+//! The mechanisms, by their standard names:
+//! - **Token bucket**: each upstream has one; a packet needs a token before it competes for a slot, and waits
+//!   until the bucket's deficit is refilled (`Upstream::available_in`, `token_bucket.rs`).
+//! - **AIMD-like rate adaptation**: the rate of the bucket rises by a fixed step with each success and is
+//!   halved by a refusal (`Upstream::record_success`, `Upstream::record_refusal`). Where answers report the
+//!   limit, the rate follows the reports (`Upstream::apply_reported_limit`).
+//! - **Slow start**: after an outage an upstream gets a rate that even a cold destination can handle
+//!   (`Upstream::slow_start_rate`).
+//! - **Outlier ejection** (a circuit breaker): consecutive losses eject an upstream; it then receives only
+//!   probes, at its slow-start rate (`Upstream::record_loss`, `Sender::choose_endpoint`).
+//! - **Stall detection**: an upstream whose calls stay in flight for long gets one new call at a time
+//!   (`Sender::detect_stalls`), and its stalled calls are cancelled when others need the slots
+//!   (`Sender::cancel_stalled_calls`).
+//! - **Concurrency limit**: per endpoint, one call in flight after a loss and one more with each success
+//!   (`Endpoint::concurrency_limit`); per destination, a share of the slots (`Sender::concurrency_limit`).
+//! - **Max-min fair shares**: the slots are divided among the destinations by their demand
+//!   (`Sender::max_min_shares`, `Sender::assign_slots`).
+//! - **Priority order**: the held packets of a destination are dispatched in the order in which credit is at
+//!   stake (`Sender::dispatch_order`).
+//! - **Load shedding**: a hold that is nearly full dismisses the packet with the lowest prospects
+//!   (`Sender::shed_load`).
+//! - **Retry budget**: with sparse traffic, refused packets are dispatched again only for a part of the
+//!   answers (`Sender::retry_budget`).
+//! - **Backoff with jitter**: after losses, refusals, reached connection limits and failed requests for the
+//!   destination list (`Upstream::back_off`, `Upstream::record_connection_limit`, [`Sender::list_failed`]);
+//!   after local errors the backoff is exponential without jitter (`Upstream::record_local_error`).
+//! - **Idle connection closing**: where calls to a kind of destination are lost and senders are many, no idle
+//!   connection is left behind (`Sender::close_idle`).
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -15,994 +44,1329 @@
 use rand::{Rng, SeedableRng, seq::IndexedRandom};
 use rand_chacha::ChaCha8Rng;
 
-use crate::counting_map::Table;
+use crate::counting_map::CountingMap;
 use crate::decaying_counter::DecayingCounter;
 use crate::host::*;
-use crate::listing::Directory;
+use crate::listing::DestinationList;
 use crate::state::*;
 use crate::token_bucket::TokenBucket;
 
-const FLOOR: f64 = 0.5; // a lane's rate never falls below one call in two seconds, but see CROWD
-const CUT: f64 = 0.5; // a full refusal leaves this share of the rate
-const LIFT: f64 = 1.0 / 16.0; // each success gives back this share of the listed or last known rate
-const CROWD: f64 = 3.0; // more senders than these share its floor: else it alone overruns small limits
-const BURST: f64 = 0.25; // seconds of r; a whole second overran limits that all senders share
-const GUARD: f64 = 0.9; // of what the return rule or a told limit allows; chance needs the rest
-const SILENCE: u32 = 4; // times the usual answer time, with nothing else answering
-const LOSSES: f64 = 3.0; // in a row make an outage; a full refusal counts half, being mostly a limit
-const BROKEN: f64 = 0.25; // losses for a connection that broke under a call, where traffic is not thin
-const WEAR: f64 = 1.0 / 64.0; // losses for an answer from which on idle connections are not kept
-const AGAIN: f64 = 0.1; // refused packets that may go again for each answer, where traffic is thin
-const TRIP: u32 = 8; // part of the soft limit before a packet's end in which no dispatch starts
-const UNSENT: [Duration; 2] = [Duration::from_millis(20), Duration::from_millis(320)]; // rests after calls not sent
-const SPARE: usize = 16; // one part in so many of the hold is kept free
-const MOST_ACTIVE: usize = 4096; // destinations of which all that was learned is kept; see `evict_idle`
-
-fn span_of(amount: f64, rate: f64) -> Duration {
+/// Minimum rate of an upstream in calls per second, shared by the senders if there are more than
+/// `SENDERS_AT_FULL_MIN_RATE`.
+const MIN_RATE: f64 = 0.5;
+/// A refusal multiplies the rate by this factor.
+const RATE_DECREASE_FACTOR: f64 = 0.5;
+/// Each success raises the rate by this share of the listed or last known rate.
+const RATE_INCREASE_SHARE: f64 = 1.0 / 16.0;
+/// More senders than these share the minimum rate; otherwise it alone would exceed small limits.
+const SENDERS_AT_FULL_MIN_RATE: f64 = 3.0;
+/// Burst of a token bucket in seconds of its rate. A full second exceeded limits that all senders share.
+const BURST_SECONDS: f64 = 0.25;
+/// Share of the slow-start rate or of a reported limit that is used; the rest absorbs random variation.
+const TARGET_UTILIZATION: f64 = 0.9;
+/// A call is stalled after this multiple of the expected answer time, if nothing else is answered meanwhile.
+const STALL_FACTOR: u32 = 4;
+/// Consecutive losses that eject an upstream. A refusal counts half, because most refusals come from a rate
+/// limit.
+const EJECTION_LOSSES: f64 = 3.0;
+/// Loss weight of a connection that was lost during a call, unless traffic is sparse.
+const RESET_LOSS_WEIGHT: f64 = 0.25;
+/// Idle connections are closed above this ratio of losses to answers, or above this number of recently
+/// reached connection limits.
+const IDLE_CLOSE_LOSS_RATIO: f64 = 1.0 / 64.0;
+/// Refused packets that may be dispatched again per answer, with sparse traffic.
+const RETRIES_PER_ANSWER: f64 = 0.1;
+/// No dispatch starts within this part of the soft limit before a packet's deadline.
+const DEADLINE_MARGIN_DIVISOR: u32 = 8;
+/// Minimum and maximum backoff after a call that could not be sent because of a local error.
+const LOCAL_ERROR_BACKOFF: [Duration; 2] = [Duration::from_millis(20), Duration::from_millis(320)];
+/// This part of the hold is kept free.
+const HOLD_RESERVE_DIVISOR: usize = 16;
+/// Number of destinations whose learned state is retained; see `evict_idle`.
+const MAX_ACTIVE_DESTINATIONS: usize = 4096;
+
+/// The time in which `amount` accrues at `rate` per second.
+fn time_to_accrue(amount: f64, rate: f64) -> Duration {
     Duration::try_from_secs_f64((amount / rate).max(0.0)).unwrap_or(Duration::MAX)
 }
 
+/// The health of an upstream: the states of a circuit breaker with slow start.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 enum Health {
     #[default]
-    Well,
-    Quiet,          // calls stay out and nothing answers; no outage yet
-    Sick,           // an outage was seen
-    Back(Duration), // it answered after an outage and may be cold since then
+    Healthy,
+    /// Calls are stalled and nothing is answered, but no outage has been detected.
+    Unresponsive,
+    /// An outage has been detected.
+    Ejected,
+    /// It answered after an outage, or its long Retry-After wait ends, at this time, and may be cold from
+    /// then on.
+    Recovering(Duration),
 }
 
 impl Health {
-    fn silent(self) -> bool {
-        matches!(self, Health::Quiet | Health::Sick)
+    fn receives_only_probes(self) -> bool {
+        matches!(self, Health::Unresponsive | Health::Ejected)
     }
 }
 
-/// A destination or, where routes are apart, one route: what has one limit and one state of health.
+/// A destination or, where each route has limits of its own, one route: the unit that has one rate limit and
+/// one state of health. Rates are in calls per second, and are those of this sender unless they are said to
+/// be listed or reported.
 #[derive(Default)]
-struct Lane {
-    listed: Option<f64>,
-    rate: Option<f64>, // `None` until the first full refusal, where no rate is listed
-    top: f64,          // what the rate climbs back to: listed, or last known
+struct Upstream {
+    listed_rate: Option<f64>,
+    /// `None` until the first refusal, where no rate is listed.
+    rate: Option<f64>,
+    /// The rate to which `rate` recovers: this sender's share of the listed one, or the last known one.
+    target_rate: f64,
     bucket: TokenBucket,
-    blocked: Duration, // a told wait stands until then
-    unsent: Duration,  // this machine could not send: how long the lane rests for it, and until when
-    unsent_until: Duration,
-    cut_at: Option<Duration>,
+    /// End of the latest Retry-After wait or backoff.
+    blocked_until: Duration,
+    local_error_backoff: Duration,
+    local_error_until: Duration,
+    rate_reduced_at: Option<Duration>,
     health: Health,
-    done: DecayingCounter,
-    asked: DecayingCounter, // packets taken for it
-    told: Option<Report>,   // the last word of its limit
-    row: f64,               // losses since the last answer, and when they began
-    crowded: u32,           // calls since the last answer that found its connections taken
-    row_since: Duration,
-    answered: Option<Duration>,
-    pace: Option<Duration>, // mean time to an answer
-    usual: f64,             // calls a second that it answered this sender while well
+    successes: DecayingCounter,
+    accepted_packets: DecayingCounter,
+    last_report: Option<Report>,
+    /// Weighted losses since the last success.
+    consecutive_losses: f64,
+    /// Calls since the last success that were refused because of the endpoint's connection limit.
+    connection_limit_hits: u32,
+    /// When the consecutive losses began.
+    first_loss_at: Duration,
+    last_success_at: Option<Duration>,
+    mean_answer_time: Option<Duration>,
+    /// Calls per second answered while healthy: a peak value that decays slowly.
+    healthy_rate: f64,
 }
 
-impl Lane {
-    /// The rate that the return rule leaves this sender from an outage on until the lane is warm, so that the
-    /// moment of its return needs not be known. Harm: a lane that lost calls by chance is slow for that time.
-    fn guard(&self, now: Duration, figures: &Figures) -> f64 {
-        let back = &figures.back;
-        let warm = match self.health {
-            Health::Well => return f64::INFINITY,
-            Health::Quiet | Health::Sick => 0.0,
-            Health::Back(since) => now.saturating_sub(since).as_secs_f64() / back.cold.as_secs_f64(),
+impl Upstream {
+    /// Slow start: the highest rate for this sender from an outage on until the upstream is warm. As it
+    /// applies from the start of the outage, the time of the recovery need not be known. Trade-off: an
+    /// upstream that lost calls at random is slow for that time.
+    fn slow_start_rate(&self, now: Duration, parameters: &Parameters) -> f64 {
+        let recovery = &parameters.recovery;
+        let warm_up = match self.health {
+            Health::Healthy => return f64::INFINITY,
+            Health::Unresponsive | Health::Ejected => 0.0,
+            Health::Recovering(since) => {
+                now.saturating_sub(since).as_secs_f64() / recovery.cold.as_secs_f64()
+            }
         };
-        let present = back.cold_from + (1.0 - back.cold_from) * warm.min(1.0);
-        let part = match self.listed {
-            listed if figures.thin => {
-                let asked = self.asked_rate(now, figures);
-                listed.map_or(asked, |_| asked.min(self.top)) // what is asked may be more than it ever takes
+        let capacity_share = recovery.cold_from + (1.0 - recovery.cold_from) * warm_up.min(1.0);
+        let normal_rate = match self.listed_rate {
+            listed if parameters.sparse_traffic => {
+                let demand = self.demand_rate(now, parameters);
+                // The demand may exceed what the upstream ever handles.
+                listed.map_or(demand, |_| demand.min(self.target_rate))
             }
-            listed => listed.map_or(self.usual, |listed| listed / figures.senders),
+            listed => listed.map_or(self.healthy_rate, |listed| listed / parameters.senders),
         };
-        (GUARD * back.fall_multiple * present * part).max(FLOOR / figures.senders)
-    }
-
-    fn limit(&self, now: Duration, figures: &Figures) -> Option<(f64, f64)> {
-        let guard = self.guard(now, figures);
-        let rate = self.rate.map_or(f64::INFINITY, |r| r.max(self.back_to(now, figures))).min(guard);
-        let burst = if guard.is_finite() { 1.0 } else { rate * BURST };
+        (TARGET_UTILIZATION * recovery.fall_multiple * capacity_share * normal_rate)
+            .max(MIN_RATE / parameters.senders)
+    }
+
+    /// Rate and burst of the token bucket; `None` if the rate is not limited.
+    fn rate_and_burst(&self, now: Duration, parameters: &Parameters) -> Option<(f64, f64)> {
+        let slow_start = self.slow_start_rate(now, parameters);
+        let rate = self
+            .rate
+            .map_or(f64::INFINITY, |rate| rate.max(self.min_rate_from_report(now, parameters)))
+            .min(slow_start);
+        let burst = if slow_start.is_finite() { 1.0 } else { rate * BURST_SECONDS };
         rate.is_finite().then_some((rate, burst))
     }
 
-    /// How long until the bucket has a token and no wait stands; zero if a call may go now.
-    fn opens_in(&self, now: Duration, figures: &Figures) -> Duration {
-        let deficit = |(rate, burst)| span_of(1.0 - self.bucket.read(now, rate, burst), rate);
-        let shut = self.blocked.max(self.unsent_until).saturating_sub(now);
-        self.limit(now, figures).map_or(Duration::ZERO, deficit).max(shut)
+    /// Time until the token bucket has a token and no wait or backoff applies; zero if a call may start now.
+    fn available_in(&self, now: Duration, parameters: &Parameters) -> Duration {
+        let deficit = |(rate, burst)| time_to_accrue(1.0 - self.bucket.available(now, rate, burst), rate);
+        let blocked_for = self.blocked_until.max(self.local_error_until).saturating_sub(now);
+        self.rate_and_burst(now, parameters).map_or(Duration::ZERO, deficit).max(blocked_for)
     }
 
-    fn expected(&self, figures: &Figures) -> Duration {
-        let own = self.pace.unwrap_or(figures.usual);
-        if figures.thin { own.max(figures.usual) } else { own } // one fast answer is no measure
+    fn expected_answer_time(&self, parameters: &Parameters) -> Duration {
+        let own = self.mean_answer_time.unwrap_or(parameters.mean_answer_time);
+        // With sparse traffic one fast answer is no reliable measure.
+        if parameters.sparse_traffic { own.max(parameters.mean_answer_time) } else { own }
     }
 
-    /// When a call without an answer begins to look like a silence.
-    fn quiet_after(&self, figures: &Figures) -> Duration {
-        self.expected(figures).saturating_mul(SILENCE).clamp(figures.soft / 8, figures.soft)
+    /// Stall detection: the time after which a call without an answer counts as stalled.
+    fn stall_timeout(&self, parameters: &Parameters) -> Duration {
+        self.expected_answer_time(parameters)
+            .saturating_mul(STALL_FACTOR)
+            .clamp(parameters.min_soft_limit / 8, parameters.min_soft_limit)
     }
 
-    fn asked_rate(&self, now: Duration, figures: &Figures) -> f64 {
-        self.asked.read(now, figures.soft * 8) / (figures.soft * 8).as_secs_f64()
+    /// Packets accepted for this upstream, per second.
+    fn demand_rate(&self, now: Duration, parameters: &Parameters) -> f64 {
+        self.accepted_packets.read(now, parameters.min_soft_limit * 8)
+            / (parameters.min_soft_limit * 8).as_secs_f64()
     }
 
-    fn served(&self, now: Duration, figures: &Figures) -> f64 {
-        self.done.read(now, figures.soft) / figures.soft.as_secs_f64()
+    /// Successful calls per second.
+    fn served_rate(&self, now: Duration, parameters: &Parameters) -> f64 {
+        self.successes.read(now, parameters.min_soft_limit) / parameters.min_soft_limit.as_secs_f64()
     }
 
-    fn note_done(&mut self, now: Duration, elapsed: Duration, room: f64, figures: &Figures) {
-        self.done.add(now, figures.soft);
-        (self.row, self.crowded, self.answered) = (0.0, 0, Some(now));
-        self.pace = Some(self.pace.map_or(elapsed, |pace| (pace * 7 + elapsed) / 8));
+    /// Records a successful call. Additive increase of the rate adaptation. `kind_headroom` is the share of
+    /// recent calls to this kind of destination that were not refused, to the fourth power; 1 unless traffic
+    /// is sparse.
+    fn record_success(
+        &mut self,
+        now: Duration,
+        elapsed: Duration,
+        kind_headroom: f64,
+        parameters: &Parameters,
+    ) {
+        self.successes.add(now, parameters.min_soft_limit);
+        (self.consecutive_losses, self.connection_limit_hits, self.last_success_at) = (0.0, 0, Some(now));
+        self.mean_answer_time = Some(self.mean_answer_time.map_or(elapsed, |mean| (mean * 7 + elapsed) / 8));
         match self.health {
-            Health::Well => {
-                let seen = self.served(now, figures);
-                self.usual = seen.max(self.usual - (self.usual - seen) / 64.0).max(FLOOR); // a slow peak
+            Health::Healthy => {
+                let served = self.served_rate(now, parameters);
+                self.healthy_rate =
+                    served.max(self.healthy_rate - (self.healthy_rate - served) / 64.0).max(MIN_RATE);
             }
-            Health::Quiet => self.health = Health::Well,
-            Health::Sick => {
-                self.health = if figures.thin { Health::Well } else { Health::Back(now) };
-                // Refusals of a destination that was shut said nothing of its limit.
-                self.rate = self.rate.map(|rate| rate.max(self.top));
+            Health::Unresponsive => self.health = Health::Healthy,
+            Health::Ejected => {
+                self.health =
+                    if parameters.sparse_traffic { Health::Healthy } else { Health::Recovering(now) };
+                // Refusals of a destination that was out of service said nothing about its limit.
+                self.rate = self.rate.map(|rate| rate.max(self.target_rate));
             }
-            Health::Back(since) => {
-                let warm = now.saturating_sub(since) >= figures.back.cold;
-                self.health = if warm { Health::Well } else { self.health };
+            Health::Recovering(since) => {
+                let warm = now.saturating_sub(since) >= parameters.recovery.cold;
+                self.health = if warm { Health::Healthy } else { self.health };
             }
         }
-        if self.heed_told(figures) {
+        if self.apply_reported_limit(parameters) {
             return;
         }
-        if figures.thin && self.listed.is_some() && elapsed > figures.usual * 2 {
-            // A queue grows there and holds slots: what success lifted is taken back. Harm: slow by nature.
-            self.rate = self.rate.map(|r| (r * CUT).max(self.top).min(r));
+        if parameters.sparse_traffic
+            && self.listed_rate.is_some()
+            && elapsed > parameters.mean_answer_time * 2
+        {
+            // A queue builds up there and occupies slots: the increase since the last reduction is undone.
+            // Trade-off: this also affects destinations that are always slow.
+            self.rate = self.rate.map(|rate| (rate * RATE_DECREASE_FACTOR).max(self.target_rate).min(rate));
             return;
         }
-        let least = if self.listed.is_none() { FLOOR / 2.0 * figures.crowding } else { 0.0 };
-        let (step, room) = ((self.top * LIFT).max(least), if figures.thin { room * FLOOR } else { 0.0 });
-        self.rate = self.rate.map(|r| (r + step).max(room).min(self.listed.unwrap_or(f64::INFINITY)));
-    }
-
-    /// This sender's part of the limit that answers tell, where they do.
-    fn part(&self, figures: &Figures) -> Option<f64> {
-        self.told.map(|told| told.limit / figures.senders)
-    }
-
-    /// What all senders together leave of the limit moves r: up while more than half is left, else down. That
-    /// share of this sender's part is always its own: if all take theirs, no more is used than was left.
-    fn heed_told(&mut self, figures: &Figures) -> bool {
-        let Some((told, part)) = self.told.zip(self.part(figures)) else { return false };
-        let heeded = |r: f64| (r * (0.5 + told.left)).max(told.left * part).min(told.limit);
-        self.rate = self.rate.map(heeded);
+        let min_step =
+            if self.listed_rate.is_none() { MIN_RATE / 2.0 * parameters.min_rate_share } else { 0.0 };
+        let (step, min_rate) = (
+            (self.target_rate * RATE_INCREASE_SHARE).max(min_step),
+            if parameters.sparse_traffic { kind_headroom * MIN_RATE } else { 0.0 },
+        );
+        self.rate =
+            self.rate.map(|rate| (rate + step).max(min_rate).min(self.listed_rate.unwrap_or(f64::INFINITY)));
+    }
+
+    /// This sender's share of the reported limit, where answers report one.
+    fn reported_share(&self, parameters: &Parameters) -> Option<f64> {
+        self.last_report.map(|report| report.limit / parameters.senders)
+    }
+
+    /// Rate adaptation by reported limits: the rate rises while more than half of the limit is left unused by
+    /// all senders together, and falls otherwise. It never falls below the unused share of this sender's
+    /// share of the limit: if every sender uses that much, no more is used than was left.
+    fn apply_reported_limit(&mut self, parameters: &Parameters) -> bool {
+        let Some((report, share)) = self.last_report.zip(self.reported_share(parameters)) else {
+            return false;
+        };
+        let adapted = |rate: f64| (rate * (0.5 + report.left)).max(report.left * share).min(report.limit);
+        self.rate = self.rate.map(adapted);
         true
     }
 
-    /// Where the limit is told, r is near this sender's part of it again a soft limit after its last cut: who
-    /// seldom calls seldom hears that there is room. Harm: refusals at a limit that all overrun.
-    fn back_to(&self, now: Duration, figures: &Figures) -> f64 {
-        let Some((part, cut)) = self.part(figures).zip(self.cut_at) else { return 0.0 };
-        let since = now.saturating_sub(cut).as_secs_f64() / figures.soft.as_secs_f64();
-        GUARD * part * since.min(1.0)
-    }
-
-    /// A call came back without an answer. Losses in a row make an outage; one or two may be chance.
-    /// Refusals of a limit come in short rows, those of a destination that is shut last a soft limit or more.
-    fn note_loss(&mut self, now: Duration, weight: f64, sure: bool, figures: &Figures) {
-        self.row_since = if self.row == 0.0 { now } else { self.row_since };
-        self.row += weight;
-        let lasting = sure || now.saturating_sub(self.row_since) >= figures.soft;
-        if self.row >= LOSSES && lasting {
-            self.health = Health::Sick;
+    /// Where the limit is reported, the rate recovers to nearly this sender's share of it within a soft limit
+    /// after the last reduction, because a sender that seldom calls seldom learns that capacity is free.
+    /// Trade-off: refusals at a limit that all senders exceed.
+    fn min_rate_from_report(&self, now: Duration, parameters: &Parameters) -> f64 {
+        let Some((share, reduced_at)) = self.reported_share(parameters).zip(self.rate_reduced_at) else {
+            return 0.0;
+        };
+        let elapsed = now.saturating_sub(reduced_at).as_secs_f64() / parameters.min_soft_limit.as_secs_f64();
+        TARGET_UTILIZATION * share * elapsed.min(1.0)
+    }
+
+    /// Outlier ejection: records a call that completed without a usable answer, and ejects the upstream after
+    /// consecutive losses; one or two may be random. Refusals by a rate limit come in short series, those of
+    /// a destination that is out of service last for a soft limit or more: unless the loss is `conclusive`,
+    /// the series must last that long.
+    fn record_loss(&mut self, now: Duration, weight: f64, conclusive: bool, parameters: &Parameters) {
+        self.first_loss_at = if self.consecutive_losses == 0.0 { now } else { self.first_loss_at };
+        self.consecutive_losses += weight;
+        let lasting = conclusive || now.saturating_sub(self.first_loss_at) >= parameters.min_soft_limit;
+        if self.consecutive_losses >= EJECTION_LOSSES && lasting {
+            self.health = Health::Ejected;
         }
     }
 
-    /// A told wait. A long one ends with the return of a lane that was shut, cold, and for all that were told
-    /// of it at the same moment: the first call of each is drawn by chance. Harm: limits of long spans.
-    fn note_wait(&mut self, end: Duration, long: bool, chance: f64) {
-        self.blocked = self.blocked.max(end);
+    /// Applies a Retry-After wait. A long one means that the upstream is out of service: it will be cold at
+    /// the end of the wait, which is the same moment for every sender that received it. So slow start begins
+    /// then, and each sender's first call is delayed at random by its token bucket. Trade-off: slow start
+    /// also follows a refusal by a rate limit with a long period.
+    fn apply_retry_after(&mut self, until: Duration, long: bool, jitter: f64) {
+        self.blocked_until = self.blocked_until.max(until);
         if long {
-            self.health = Health::Back(self.blocked);
-            self.bucket = TokenBucket { tokens: Some(chance), at: self.blocked };
+            self.health = Health::Recovering(self.blocked_until);
+            self.bucket = TokenBucket { tokens: Some(jitter), updated_at: self.blocked_until };
         }
     }
 
-    /// Where traffic is thin an outage is a call or two to each sender, and all that were told of it return
-    /// together. So a lane rests by chance, longer the longer nothing was answered: the calls of those that
-    /// were told stay under what a cold lane can take, however many they are. Harm: one chance loss waits.
-    fn rest(&mut self, now: Duration, least: Duration, chance: f64, figures: &Figures) {
-        if figures.thin {
-            let usual = span_of(1.0, self.asked_rate(now, figures)); // from one packet to the next
-            let span = (least + now.saturating_sub(self.row_since)).min(usual);
-            let cold = GUARD * figures.back.fall_multiple * figures.back.cold_from;
-            self.blocked = self.blocked.max(now.saturating_add(span.mul_f64(2.0 * chance / cold)));
+    /// Backoff with jitter, with sparse traffic only: there an outage costs each sender a call or two, and
+    /// all senders that noticed it would call again together. The longer nothing has been answered, the
+    /// longer the backoff, so that the calls of these senders stay below what a cold upstream can handle,
+    /// however many senders there are. Trade-off: a single random loss also causes a backoff.
+    fn back_off(&mut self, now: Duration, min_backoff: Duration, jitter: f64, parameters: &Parameters) {
+        if parameters.sparse_traffic {
+            let packet_interval = time_to_accrue(1.0, self.demand_rate(now, parameters));
+            let backoff = (min_backoff + now.saturating_sub(self.first_loss_at)).min(packet_interval);
+            let cold_load =
+                TARGET_UTILIZATION * parameters.recovery.fall_multiple * parameters.recovery.cold_from;
+            self.blocked_until =
+                self.blocked_until.max(now.saturating_add(backoff.mul_f64(2.0 * jitter / cold_load)));
         }
     }
 
-    /// This machine could not send the call: its token comes back, and the lane rests a little, longer with each in a row, so that
-    /// no loop runs on what fails at once. Harm: the first call after a journal or descriptors are well again is late by that.
-    fn note_unsent(&mut self, now: Duration) {
-        let [least, most] = UNSENT;
-        self.unsent = (self.unsent * 2).clamp(least, most);
-        self.unsent_until = now.saturating_add(self.unsent);
+    /// Records a call that could not be sent because of a local error. Its token is returned, and the
+    /// upstream is blocked with exponential backoff, so that no loop runs on calls that fail immediately.
+    /// Trade-off: the first call after the journal or the descriptors are available again is delayed by the
+    /// backoff.
+    fn record_local_error(&mut self, now: Duration) {
+        let [min, max] = LOCAL_ERROR_BACKOFF;
+        self.local_error_backoff = (self.local_error_backoff * 2).clamp(min, max);
+        self.local_error_until = now.saturating_add(self.local_error_backoff);
         self.bucket.tokens = self.bucket.tokens.map(|tokens| tokens + 1.0);
     }
 
-    /// All connections are taken, which says nothing of the limit: the token comes back, and the lane rests
-    /// by chance for about an answer time more with each such call, as others wait for the same room.
-    fn note_no_room(&mut self, now: Duration, chance: f64, figures: &Figures) {
-        self.crowded += 1;
-        let rest = self.expected(figures).mul_f64(2.0 * chance * f64::from(self.crowded));
-        self.blocked = self.blocked.max(now.saturating_add(rest.min(figures.soft)));
+    /// Records a call refused because of the endpoint's connection limit, which says nothing about the rate
+    /// limit. Its token is returned. The jittered backoff grows by about one answer time with each such call,
+    /// because other senders wait for the same connections; a soft limit is its maximum.
+    fn record_connection_limit(&mut self, now: Duration, jitter: f64, parameters: &Parameters) {
+        self.connection_limit_hits += 1;
+        let backoff = self
+            .expected_answer_time(parameters)
+            .mul_f64(2.0 * jitter * f64::from(self.connection_limit_hits));
+        self.blocked_until =
+            self.blocked_until.max(now.saturating_add(backoff.min(parameters.min_soft_limit)));
         self.bucket.tokens = self.bucket.tokens.map(|tokens| tokens + 1.0);
-        self.note_loss(now, 0.5, false, figures);
-    }
-
-    /// Full: r is the served rate at the first refusal, then halves, and what tokens are left were not there.
-    /// Calls sent before the last cut tell nothing new: one cut a round at most, and one for each burst.
-    fn note_full(&mut self, now: Duration, sent: Duration, chance: f64, room: f64, figures: &Figures) {
-        if self.cut_at.is_none_or(|cut| sent > cut) {
-            let served = self.served(now, figures);
-            if self.listed.is_none() && self.row == 0.0 {
-                self.top = self.rate.unwrap_or(served).max(FLOOR);
+        self.record_loss(now, 0.5, false, parameters);
+    }
+
+    /// Records a refusal. Multiplicative decrease of the rate adaptation: the first refusal sets the rate to
+    /// the served rate, further ones halve it, and the remaining tokens are discarded, as the limit does not
+    /// cover them. Calls sent before the last reduction provide no new information, so the rate is reduced at
+    /// most once per round and once per burst.
+    fn record_refusal(
+        &mut self,
+        now: Duration,
+        sent_at: Duration,
+        jitter: f64,
+        kind_headroom: f64,
+        parameters: &Parameters,
+    ) {
+        if self.rate_reduced_at.is_none_or(|reduced_at| sent_at > reduced_at) {
+            let served = self.served_rate(now, parameters);
+            if self.listed_rate.is_none() && self.consecutive_losses == 0.0 {
+                self.target_rate = self.rate.unwrap_or(served).max(MIN_RATE);
             }
-            let cut = self.rate.map_or(served.max(FLOOR), |rate| rate * CUT.min(room));
-            // Where the limit is told, a quarter to half of this sender's part is left, as refused calls may
-            // use it up; else half of its part of what is listed at least, if traffic is thin.
-            let floor = FLOOR * figures.crowding;
-            let cut = match (self.rate, self.part(figures)) {
-                (Some(rate), Some(part)) => (rate * CUT).clamp(part * CUT * CUT, part * CUT),
-                _ if figures.thin => cut.max(self.listed.unwrap_or(0.0) / figures.senders * CUT).max(floor),
-                _ => cut.max(floor),
+            let reduced =
+                self.rate.map_or(served.max(MIN_RATE), |rate| rate * RATE_DECREASE_FACTOR.min(kind_headroom));
+            // Where the limit is reported, a quarter to half of this sender's share is left, as refused calls
+            // may use up the limit. Otherwise, with sparse traffic, at least half of its share of the listed
+            // rate.
+            let min_rate = MIN_RATE * parameters.min_rate_share;
+            let reduced = match (self.rate, self.reported_share(parameters)) {
+                (Some(rate), Some(share)) => (rate * RATE_DECREASE_FACTOR)
+                    .clamp(share * RATE_DECREASE_FACTOR * RATE_DECREASE_FACTOR, share * RATE_DECREASE_FACTOR),
+                _ if parameters.sparse_traffic => reduced
+                    .max(self.listed_rate.unwrap_or(0.0) / parameters.senders * RATE_DECREASE_FACTOR)
+                    .max(min_rate),
+                _ => reduced.max(min_rate),
             };
-            (self.rate, self.cut_at) = (Some(cut), Some(now));
-            if self.blocked <= now || self.health == Health::Well {
-                self.bucket =
-                    TokenBucket { tokens: Some((chance - 0.5) * (1.0 - figures.crowding)), at: now };
+            (self.rate, self.rate_reduced_at) = (Some(reduced), Some(now));
+            if self.blocked_until <= now || self.health == Health::Healthy {
+                self.bucket = TokenBucket {
+                    tokens: Some((jitter - 0.5) * (1.0 - parameters.min_rate_share)),
+                    updated_at: now,
+                };
             }
         }
-        self.note_loss(now, if self.may_be_shut(figures) { LOSSES / 2.0 } else { 0.5 }, false, figures);
+        self.record_loss(
+            now,
+            if self.refusal_may_be_outage(parameters) { EJECTION_LOSSES / 2.0 } else { 0.5 },
+            false,
+            parameters,
+        );
     }
 
-    /// Told that little is left, r answers a refusal; with room left, or not told, it may be an outage.
-    fn may_be_shut(&self, figures: &Figures) -> bool {
-        figures.thin && self.told.is_none_or(|told| told.left > 0.5)
+    /// Whether a refusal may be due to an outage: with sparse traffic, if no report says that little of the
+    /// limit is left. Otherwise the rate adaptation handles the refusal.
+    fn refusal_may_be_outage(&self, parameters: &Parameters) -> bool {
+        parameters.sparse_traffic && self.last_report.is_none_or(|report| report.left > 0.5)
     }
 }
 
+/// A packet between its acceptance and its completion.
 struct TrackedPacket {
     packet: Packet,
-    trade: Category,
-    soft: Duration, // when its answer is wanted
-    over_share: bool,
-    refused: bool, // and goes again for a part of the answers only
-    state: State,
+    category: Category,
+    /// When the soft limit ends.
+    answer_due: Duration,
+    /// It was submitted beyond its customer's quota.
+    over_quota: bool,
+    /// It was refused, and each further dispatch counts against the retry budget.
+    refused: bool,
+    state: PacketState,
 }
 
 impl TrackedPacket {
-    fn owed_a_try(&self) -> bool {
+    /// It was accepted by the previous process and has not been dispatched yet.
+    fn is_restored_and_untried(&self) -> bool {
         self.packet.taken_on && self.packet.dispatches == 0
     }
 }
 
+/// The settings, the values derived from them, and the measurements that all upstreams share.
 #[derive(Default)]
-struct Figures {
+struct Parameters {
     terms: Terms,
+    /// Number of senders, at least one.
     senders: f64,
-    crowding: f64, // share of the floor and the least step that is left to each of many senders
-    thin: bool,    // so many senders that a lane sees a call of each now and then
-    most_held: usize,
-    quotas: Vec<f64>, // this sender's part of each customer's quota
-    soft: Duration,   // the tightest soft limit: the scale of all that is measured
-    usual: Duration,  // mean time to an answer anywhere: what a lane is judged by until its first
-    back: Return,
+    /// Share of the minimum rate, and of the minimum step of the rate, that is left to each of many senders.
+    min_rate_share: f64,
+    /// There are so many senders that an upstream receives a call from each of them only now and then.
+    sparse_traffic: bool,
+    /// Number of packets held above which load is shed.
+    max_held: usize,
+    /// This sender's share of each customer's quota, in packets per second.
+    customer_quotas: Vec<f64>,
+    /// The shortest soft limit of all categories: the time scale of all measurements.
+    min_soft_limit: Duration,
+    /// Mean time to an answer over all upstreams: what is expected of an upstream until its first answer.
+    mean_answer_time: Duration,
+    recovery: Return,
 }
 
-impl Figures {
+impl Parameters {
     fn new(terms: Terms) -> Self {
         let senders = terms.senders.max(1) as f64;
-        let soft = terms.categories.iter().map(|t| t.soft_limit).min().unwrap_or_default();
-        let soft = soft.max(Duration::from_millis(1));
-        Figures {
+        let min_soft_limit =
+            terms.categories.iter().map(|category| category.soft_limit).min().unwrap_or_default();
+        let min_soft_limit = min_soft_limit.max(Duration::from_millis(1));
+        Parameters {
             senders,
-            crowding: (CROWD / senders).min(1.0),
-            thin: senders > 4.0 * CROWD,
-            most_held: terms.hold.saturating_sub((terms.hold / SPARE).max(1)),
-            soft,
-            usual: soft / 4,
-            quotas: terms.customers.iter().map(|c| c.quota / senders).collect(),
-            back: terms.back.clone(),
+            min_rate_share: (SENDERS_AT_FULL_MIN_RATE / senders).min(1.0),
+            sparse_traffic: senders > 4.0 * SENDERS_AT_FULL_MIN_RATE,
+            max_held: terms.hold.saturating_sub((terms.hold / HOLD_RESERVE_DIVISOR).max(1)),
+            min_soft_limit,
+            mean_answer_time: min_soft_limit / 4,
+            customer_quotas: terms.customers.iter().map(|customer| customer.quota / senders).collect(),
+            recovery: terms.back.clone(),
             terms,
         }
     }
 }
 
+/// One sender: tracks its packets, the destination list and what it learns about upstreams, and decides.
+///
+/// The times passed to it are expected not to decrease.
 #[derive(Default)]
 pub struct Sender {
-    figures: Figures,
+    parameters: Parameters,
     rng: Option<ChaCha8Rng>,
     now: Duration,
     packets: BTreeMap<PacketId, TrackedPacket>,
-    listing: Directory,                                // all that is listed
-    destinations: Table<DestinationId, Destination>,   // those that had traffic, and what was learned of them
-    active: VecDeque<DestinationId>,                   // the same, looked at in turn by `evict_idle`
-    changed: BTreeSet<DestinationId>,                  // of these, what is gone may be forgotten
-    held: BTreeMap<DestinationId, BTreeSet<PacketId>>, // only destinations that have some
-    lanes: Table<LaneId, Lane>,
-    endpoints: Table<EndpointId, Endpoint>,
+    destination_list: DestinationList,
+    /// The destinations that had traffic, with what was learned about them.
+    destinations: CountingMap<DestinationId, Destination>,
+    /// The same destinations, in the order in which `evict_idle` examines them.
+    eviction_queue: VecDeque<DestinationId>,
+    /// Those that may have endpoints to remove, because the list changed.
+    cleanup_candidates: BTreeSet<DestinationId>,
+    /// The held packets, for destinations that have any.
+    held: BTreeMap<DestinationId, BTreeSet<PacketId>>,
+    upstreams: CountingMap<UpstreamId, Upstream>,
+    endpoints: CountingMap<EndpointId, Endpoint>,
     calls: BTreeMap<u64, Call>,
-    next_call: u64,
-    turns: BTreeMap<KeyId, Turn>,
-    customers: Vec<TokenBucket>,
-    due: BTreeSet<(Duration, PacketId)>, // when held packets are looked at again or end
-    wear: Vec<[DecayingCounter; 4]>,     // answers, losses, refusals and full tables by kind
-    idle: BTreeSet<EndpointId>,          // where a call came back this round
-    again: f64,                          // refused packets that may go again where traffic is thin
-    spent: Vec<(PacketId, Option<Duration>)>, // packets to be answered this round, and what wait is told
-    woken_at: Option<Duration>,
-    ask_at: Option<Duration>, // when the list is asked for, where it does not come unasked
-    asks_lost: u32,           // in a row
+    next_call_id: u64,
+    key_queues: BTreeMap<KeyId, KeyQueue>,
+    customer_buckets: Vec<TokenBucket>,
+    /// When held packets are examined again or expire.
+    expirations: BTreeSet<(Duration, PacketId)>,
+    /// Answers, losses, refusals and reached connection limits, by kind of destination.
+    kind_counters: Vec<[DecayingCounter; 4]>,
+    /// Endpoints whose idle connections may have to be closed in this round.
+    idle_candidates: BTreeSet<EndpointId>,
+    /// Refused packets that may be dispatched again, with sparse traffic.
+    retry_budget: f64,
+    /// Packets to fail in this round, with the estimated wait that their dismissal reports.
+    pending_failures: Vec<(PacketId, Option<Duration>)>,
+    next_wake_at: Option<Duration>,
+    /// When to request the destination list, where updates are not pushed.
+    list_request_at: Option<Duration>,
+    /// Consecutive failures to get the destination list.
+    list_request_failures: u32,
 }
 
 impl Sender {
+    /// Creates a sender without destinations or packets. The same seed and calls give the same decisions.
     pub fn new(terms: Terms, seed: u64) -> Self {
-        let customers = terms.customers.iter().map(|_| TokenBucket::default()).collect();
+        let customer_buckets = terms.customers.iter().map(|_| TokenBucket::default()).collect();
         let rng = Some(ChaCha8Rng::seed_from_u64(seed));
-        let wear = terms.kinds.iter().map(|_| Default::default()).collect();
-        let again = terms.slots as f64;
-        Sender { again, customers, wear, rng, figures: Figures::new(terms), ..Sender::default() }
+        let kind_counters = terms.kinds.iter().map(|_| Default::default()).collect();
+        let retry_budget = terms.slots as f64;
+        Sender {
+            retry_budget,
+            customer_buckets,
+            kind_counters,
+            rng,
+            parameters: Parameters::new(terms),
+            ..Sender::default()
+        }
     }
 
-    /// At the start, and when the list was asked for in vain or its watch broke, perhaps for all: each asks
-    /// by chance within a quarter of the time in which it has to, twice as long with each failure in a row.
+    /// Schedules a request for the destination list: at the start, and after a request failed or the
+    /// subscription broke, which may happen to all senders at once. Backoff with jitter: the delay is random
+    /// within a quarter of the permitted staleness, and the range doubles with each consecutive failure, up
+    /// to all of it.
     pub fn list_failed(&mut self, now: Duration) {
-        let Some((within, rng)) = self.figures.terms.list_asked.zip(self.rng.as_mut()) else { return };
-        let span = (within / 4).saturating_mul(1 << self.asks_lost.min(2));
-        self.ask_at = Some(now.saturating_add(span.mul_f64(rng.random())));
-        self.asks_lost += 1;
+        let Some((staleness, rng)) = self.parameters.terms.list_asked.zip(self.rng.as_mut()) else { return };
+        let max_delay = (staleness / 4).saturating_mul(1 << self.list_request_failures.min(2));
+        self.list_request_at = Some(now.saturating_add(max_delay.mul_f64(rng.random())));
+        self.list_request_failures += 1;
     }
 
-    /// Destinations of which more is kept than their entry in the list.
-    pub fn active(&self) -> usize {
+    /// Number of destinations for which more than their entry in the list is stored.
+    pub fn active_destinations(&self) -> usize {
         self.destinations.len()
     }
 
-    /// Table entries looked at so far: work in step with what changed, or with all that is listed.
+    /// Number of table entries accessed so far. It shows whether work is proportional to what changed or to
+    /// the whole destination list.
     pub fn visited(&self) -> u64 {
-        let tables = [self.destinations.visited(), self.lanes.visited(), self.endpoints.visited()];
-        self.listing.visited() + tables.iter().sum::<u64>()
+        let tables = [self.destinations.visited(), self.upstreams.visited(), self.endpoints.visited()];
+        self.destination_list.visited() + tables.iter().sum::<u64>()
     }
 
+    /// Whether a packet is tracked: from its acceptance to its completion or, if it is withdrawn while in
+    /// flight, to the completion of its call.
     pub fn holds(&self, id: PacketId) -> bool {
         self.packets.contains_key(&id)
     }
 
-    /// News of the destination list; a whole list replaces the old one. Each line is noted, and applied at
-    /// once for a destination that had traffic, for another with its first packet.
-    pub fn list(&mut self, now: Duration, whole: bool, lines: &[Listing]) {
+    /// Updates the destination list; with `full` the entries are a snapshot that replaces it. An entry takes
+    /// effect at once for a destination that had traffic, and with the first packet for any other.
+    pub fn list(&mut self, now: Duration, full: bool, entries: &[Listing]) {
         self.now = now.max(self.now);
-        self.asks_lost = if self.ask_at.is_none() { 0 } else { self.asks_lost };
-        if whole {
-            self.listing.clear();
-            self.endpoints.values_mut().for_each(|e| e.live = false);
-            self.changed.extend(self.destinations.keys());
-        }
-        for line in lines {
-            self.listing.note(line);
-            if self.destinations.contains_key(&line.destination) {
-                self.changed.insert(line.destination);
-                self.apply_line(line);
+        self.list_request_failures =
+            if self.list_request_at.is_none() { 0 } else { self.list_request_failures };
+        if full {
+            self.destination_list.clear();
+            self.endpoints.values_mut().for_each(|endpoint| endpoint.live = false);
+            self.cleanup_candidates.extend(self.destinations.keys());
+        }
+        for entry in entries {
+            self.destination_list.apply(entry);
+            if self.destinations.contains_key(&entry.destination) {
+                self.cleanup_candidates.insert(entry.destination);
+                self.apply_entry(entry);
             }
         }
-        self.forget_gone();
-    }
-
-    fn apply_line(&mut self, line: &Listing) {
-        let kind = &self.figures.terms.kinds[line.kind.0];
-        let lane = (line.destination, kind.own_limits.then_some(line.endpoint));
-        let destination = self.destinations.entry(line.destination).or_default();
-        destination.batch = kind.batch;
-        destination.lanes.insert(lane);
-        let bucket = self.lanes.entry(lane).or_default();
-        if self.figures.terms.rates_listed && line.rate > 0.0 && bucket.listed != Some(line.rate) {
-            // All senders fill from the listed rate, so each starts with a part, and climbs to the whole.
-            let part = 2.0 * line.rate / (1.0 + self.figures.senders);
-            (bucket.listed, bucket.top) = (Some(line.rate), part);
-            // Where answers tell of limits, the first ones put right what starts too high.
-            let shared = self.figures.thin && !self.figures.terms.limits_told;
-            let least = if shared { FLOOR * self.figures.crowding } else { FLOOR };
-            bucket.rate = Some(part.max(least).min(line.rate));
-        }
-        if destination.endpoints.is_empty() && bucket.health == Health::Quiet {
-            bucket.health = Health::Well; // all machines are new
-        }
-        destination.endpoints.insert(line.endpoint);
-        let new = Endpoint { lane, live: line.live, kind: line.kind, cap: self.figures.terms.slots };
-        self.endpoints.entry(line.endpoint).or_insert(new).live = line.live;
-    }
-
-    /// What is gone and idle is forgotten, a destination only after the time of warming, as a wait may last.
-    fn forget_gone(&mut self) {
-        let changed = std::mem::take(&mut self.changed);
-        for id in &changed {
-            let Some(Destination { endpoints, lanes, .. }) = self.destinations.get_mut(id) else { continue };
-            let out = |id: &EndpointId| self.calls.values().any(|call| call.endpoint == *id);
-            endpoints.retain(|id| self.endpoints.retain_one(id, |endpoint| endpoint.live || out(id)));
-            let stays = |lane: &LaneId| lane.1.is_none_or(|endpoint| endpoints.contains(&endpoint));
-            lanes.retain(|lane| self.lanes.retain_one(lane, |_| stays(lane)));
-        }
-        let left = self.held.iter().filter(|(id, _)| !self.listing.lists(**id)).flat_map(|(_, held)| held);
-        left.copied().collect::<Vec<_>>().into_iter().for_each(|id| self.hold(id));
-        for id in changed {
+        self.remove_delisted();
+    }
+
+    /// Applies an entry of the list to a destination that has traffic.
+    fn apply_entry(&mut self, entry: &Listing) {
+        let kind = &self.parameters.terms.kinds[entry.kind.0];
+        let upstream_id = (entry.destination, kind.own_limits.then_some(entry.endpoint));
+        let destination = self.destinations.entry(entry.destination).or_default();
+        destination.max_batch = kind.batch;
+        destination.upstreams.insert(upstream_id);
+        let upstream = self.upstreams.entry(upstream_id).or_default();
+        if self.parameters.terms.rates_listed && entry.rate > 0.0 && upstream.listed_rate != Some(entry.rate)
+        {
+            // All senders share the listed rate, so each starts with a part of it and climbs to the full
+            // rate.
+            let share = 2.0 * entry.rate / (1.0 + self.parameters.senders);
+            (upstream.listed_rate, upstream.target_rate) = (Some(entry.rate), share);
+            // Where answers report limits, the first reports correct a rate that starts too high.
+            let min_rate_shared = self.parameters.sparse_traffic && !self.parameters.terms.limits_told;
+            let min_rate = if min_rate_shared { MIN_RATE * self.parameters.min_rate_share } else { MIN_RATE };
+            upstream.rate = Some(share.max(min_rate).min(entry.rate));
+        }
+        if destination.endpoints.is_empty() && upstream.health == Health::Unresponsive {
+            upstream.health = Health::Healthy; // all endpoints are new
+        }
+        destination.endpoints.insert(entry.endpoint);
+        let new_endpoint = Endpoint {
+            upstream_id,
+            live: entry.live,
+            kind: entry.kind,
+            concurrency_limit: self.parameters.terms.slots,
+        };
+        self.endpoints.entry(entry.endpoint).or_insert(new_endpoint).live = entry.live;
+    }
+
+    /// Removes endpoints that are no longer listed and have no call in flight. A destination is removed only
+    /// after the warm-up time of its last use, because a Retry-After wait may still apply.
+    fn remove_delisted(&mut self) {
+        let candidates = std::mem::take(&mut self.cleanup_candidates);
+        for id in &candidates {
+            let Some(Destination { endpoints, upstreams, .. }) = self.destinations.get_mut(id) else {
+                continue;
+            };
+            let in_flight = |id: &EndpointId| self.calls.values().any(|call| call.endpoint == *id);
+            endpoints.retain(|id| self.endpoints.retain_one(id, |endpoint| endpoint.live || in_flight(id)));
+            let in_use =
+                |upstream_id: &UpstreamId| upstream_id.1.is_none_or(|endpoint| endpoints.contains(&endpoint));
+            upstreams.retain(|upstream_id| self.upstreams.retain_one(upstream_id, |_| in_use(upstream_id)));
+        }
+        let delisted = self
+            .held
+            .iter()
+            .filter(|(id, _)| !self.destination_list.contains(**id))
+            .flat_map(|(_, held)| held);
+        delisted.copied().collect::<Vec<_>>().into_iter().for_each(|id| self.hold(id));
+        for id in candidates {
             let Some(destination) = self.destinations.get(&id) else { continue };
-            let recent = destination.used.saturating_add(self.figures.back.cold) > self.now;
-            let gone = |id: &EndpointId| self.endpoints.get(id).is_none_or(|endpoint| !endpoint.live);
-            if destination.endpoints.is_empty() && !self.held.contains_key(&id) && !recent {
-                self.forget(id);
-            } else if !self.listing.lists(id) || destination.endpoints.iter().any(gone) {
-                self.changed.insert(id);
+            let recently_used =
+                destination.last_held_at.saturating_add(self.parameters.recovery.cold) > self.now;
+            let not_live = |id: &EndpointId| self.endpoints.get(id).is_none_or(|endpoint| !endpoint.live);
+            if destination.endpoints.is_empty() && !self.held.contains_key(&id) && !recently_used {
+                self.remove_destination(id);
+            } else if !self.destination_list.contains(id) || destination.endpoints.iter().any(not_live) {
+                self.cleanup_candidates.insert(id);
             }
         }
     }
 
-    fn forget(&mut self, id: DestinationId) {
-        let gone = self.destinations.remove(&id).unwrap_or_default();
-        self.lanes.remove_all(&gone.lanes);
-        self.endpoints.remove_all(&gone.endpoints);
+    fn remove_destination(&mut self, id: DestinationId) {
+        let removed = self.destinations.remove(&id).unwrap_or_default();
+        self.upstreams.remove_all(&removed.upstreams);
+        self.endpoints.remove_all(&removed.endpoints);
     }
 
-    fn lanes_of(&self, id: &DestinationId) -> impl Iterator<Item = &Lane> {
-        let lanes = self.destinations.get(id).into_iter().flat_map(|destination| &destination.lanes);
-        lanes.map(|lane| &self.lanes[lane])
+    fn upstreams_of(&self, id: &DestinationId) -> impl Iterator<Item = &Upstream> {
+        let upstreams = self.destinations.get(id).into_iter().flat_map(|destination| &destination.upstreams);
+        upstreams.map(|upstream_id| &self.upstreams[upstream_id])
     }
 
-    /// With its first packet a destination gets all that its entry in the list stands for.
+    /// Creates the state of a destination from its entries in the list, with its first packet.
     fn activate(&mut self, id: DestinationId) {
         if !self.destinations.contains_key(&id) {
             self.destinations.insert(id, Destination::default());
-            self.active.push_back(id);
-            self.listing.lines(id).iter().for_each(|line| self.apply_line(line));
+            self.eviction_queue.push_back(id);
+            self.destination_list.entries(id).iter().for_each(|entry| self.apply_entry(entry));
         }
     }
 
-    /// Guards memory: beyond `MOST_ACTIVE` one not used for the time of warming keeps only its entry
-    /// in the list, unless a wait, a rest or an outage stands. Harm: it is learned anew.
+    /// Bounds the memory: beyond `MAX_ACTIVE_DESTINATIONS`, a destination not used for the warm-up time keeps
+    /// only its entry in the list, unless a wait, a backoff or an outage applies. Trade-off: what was learned
+    /// about it has to be learned again.
     fn evict_idle(&mut self) {
-        for _ in 0..self.active.len().saturating_sub(MOST_ACTIVE).min(2) {
-            let Some(id) = self.active.pop_front() else { return };
+        for _ in 0..self.eviction_queue.len().saturating_sub(MAX_ACTIVE_DESTINATIONS).min(2) {
+            let Some(id) = self.eviction_queue.pop_front() else { return };
             let Some(destination) = self.destinations.get(&id) else { continue };
-            let quiet = |lane: &Lane| lane.health == Health::Well && lane.blocked <= self.now;
-            let idle = !self.held.contains_key(&id) && self.out(&id) == 0;
-            let warm = destination.used.saturating_add(self.figures.back.cold) <= self.now;
-            if idle && warm && self.lanes_of(&id).all(quiet) {
-                self.forget(id);
+            let unrestricted = |upstream: &Upstream| {
+                upstream.health == Health::Healthy && upstream.blocked_until <= self.now
+            };
+            let idle = !self.held.contains_key(&id) && self.calls_in_flight(&id) == 0;
+            let warm = destination.last_held_at.saturating_add(self.parameters.recovery.cold) <= self.now;
+            if idle && warm && self.upstreams_of(&id).all(unrestricted) {
+                self.remove_destination(id);
             } else {
-                self.active.push_back(id);
+                self.eviction_queue.push_back(id);
             }
         }
     }
 
-    /// A packet is handed in, or back after a restart: it keeps its dispatches, its doubt and, while a call
-    /// of the life before may still run, its key's rest. Its times count from its first handing in anywhere.
+    /// Accepts a packet that was submitted or, after a restart, restored. A restored packet keeps the number
+    /// of its dispatches and the time since which it may have been executed; while a call of the previous
+    /// process may still execute, its key is blocked. The packet's times count from its first submission to
+    /// any sender.
     pub fn take(&mut self, now: Duration, packet: Packet) {
         self.now = now.max(self.now);
-        let trade = self.figures.terms.categories[packet.category.0];
-        let soft = packet.ends.saturating_sub(trade.patience.saturating_sub(trade.soft_limit));
-        if let (true, Some(key)) = (trade.in_order, packet.key) {
-            let turn = self.turns.entry(key).or_default();
-            turn.queue.push_back(packet.id);
-            turn.rests_until =
-                turn.rests_until.max(packet.doubt.map_or(now, |_| now + self.figures.terms.settle));
-        }
-        // Beyond this sender's part of its customer's quota a packet carries little.
-        let over_share = packet.customer.is_some_and(|CustomerId(at)| {
-            let quota = self.figures.quotas[at];
-            !self.customers[at].take(self.now, quota, quota * self.figures.soft.as_secs_f64())
+        let category = self.parameters.terms.categories[packet.category.0];
+        let answer_due = packet.ends.saturating_sub(category.patience.saturating_sub(category.soft_limit));
+        if let (true, Some(key)) = (category.in_order, packet.key) {
+            let key_queue = self.key_queues.entry(key).or_default();
+            key_queue.packets.push_back(packet.id);
+            key_queue.blocked_until =
+                key_queue.blocked_until.max(packet.doubt.map_or(now, |_| now + self.parameters.terms.settle));
+        }
+        // Beyond this sender's share of its customer's quota a packet earns little credit.
+        let over_quota = packet.customer.is_some_and(|CustomerId(index)| {
+            let quota = self.parameters.customer_quotas[index];
+            !self.customer_buckets[index].try_take(
+                self.now,
+                quota,
+                quota * self.parameters.min_soft_limit.as_secs_f64(),
+            )
         });
-        let (id, to, state) = (packet.id, packet.destination, State::Held(packet.doubt));
-        self.packets.insert(id, TrackedPacket { packet, trade, soft, over_share, refused: false, state });
+        let (id, destination, state) = (packet.id, packet.destination, PacketState::Held(packet.doubt));
+        self.packets
+            .insert(id, TrackedPacket { packet, category, answer_due, over_quota, refused: false, state });
         self.evict_idle();
-        self.activate(to);
-        for lane in &self.destinations[&to].lanes {
-            self.lanes.entry(*lane).and_modify(|lane| lane.asked.add(now, self.figures.soft * 8));
+        self.activate(destination);
+        for upstream_id in &self.destinations[&destination].upstreams {
+            self.upstreams.entry(*upstream_id).and_modify(|upstream| {
+                upstream.accepted_packets.add(now, self.parameters.min_soft_limit * 8)
+            });
         }
         self.hold(id);
     }
 
-    /// Asked before the first byte of a call that may have waited for its connection: since it was decided,
-    /// its endpoint may have left the list, a wait may have been told, or the time for it may be over.
+    /// Whether a dispatch may still be sent. The host asks before the first byte of a call that may have
+    /// waited for its connection: since the decision its endpoint may have left the list, a Retry-After wait
+    /// may have been requested, or the time for the dispatch may have passed.
     pub fn may_still_go(&self, now: Duration, id: PacketId) -> bool {
-        let Some(kept) = self.packets.get(&id) else { return false };
-        let State::Out(call, _) = kept.state else { return false };
+        let Some(tracked) = self.packets.get(&id) else { return false };
+        let PacketState::InFlight(call, _) = tracked.state else { return false };
         let call = &self.calls[&call];
-        let live = self.endpoints.get(&call.endpoint).is_some_and(|e| e.live);
-        live && self.lanes[&call.lane].blocked <= now && now < self.holdable_until(kept)
+        let live = self.endpoints.get(&call.endpoint).is_some_and(|endpoint| endpoint.live);
+        live && self.upstreams[&call.upstream_id].blocked_until <= now
+            && now < self.dispatch_deadline(tracked)
     }
 
+    /// Withdraws a packet at its client's request. The client gets no answer; a call in flight keeps its slot
+    /// until it completes.
     pub fn withdraw(&mut self, now: Duration, id: PacketId) {
         self.now = now.max(self.now);
-        match self.packets.get(&id).map(|kept| kept.state) {
-            Some(State::Out(call, _)) => self.change_state(id, State::Withdrawn(call)),
-            Some(State::Held(_)) => self.change_state(id, State::Scrapped),
+        match self.packets.get(&id).map(|tracked| tracked.state) {
+            Some(PacketState::InFlight(call, _)) => self.change_state(id, PacketState::Withdrawn(call)),
+            Some(PacketState::Held(_)) => self.change_state(id, PacketState::Scrapped),
             _ => {}
         }
     }
 
-    /// What the answer of a dispatch that is out tells of the limit, before its outcome. Heeded where traffic
-    /// is thin: elsewhere a sender's own answers tell more. Twice what is listed is the most to be believed.
+    /// Records what the answer to a dispatch in flight reports about the rate limit, before its outcome.
+    /// Reports are used only with sparse traffic; otherwise a sender's own answers are more informative. A
+    /// reported limit is capped at twice the listed rate.
     pub fn report(&mut self, id: PacketId, report: Report) {
-        let Some(State::Out(call, _)) = self.packets.get(&id).map(|kept| kept.state) else { return };
-        let lane = self.lanes.get_mut(&self.calls[&call].lane).filter(|_| self.figures.thin);
-        if let Some(lane) = lane {
-            let limit = report.limit.min(2.0 * lane.listed.unwrap_or(f64::INFINITY));
-            lane.told = Some(Report { limit, ..report });
+        let Some(PacketState::InFlight(call, _)) = self.packets.get(&id).map(|tracked| tracked.state) else {
+            return;
+        };
+        let upstream =
+            self.upstreams.get_mut(&self.calls[&call].upstream_id).filter(|_| self.parameters.sparse_traffic);
+        if let Some(upstream) = upstream {
+            let limit = report.limit.min(2.0 * upstream.listed_rate.unwrap_or(f64::INFINITY));
+            upstream.last_report = Some(Report { limit, ..report });
         }
     }
 
-    /// A dispatch came back. `over` is set once the packet has ended.
-    pub fn outcome(&mut self, now: Duration, id: PacketId, elapsed: Duration, outcome: Outcome, over: bool) {
+    /// Records the outcome of a dispatch, `elapsed` after it was sent. `completed` is set if the packet is
+    /// completed with it, so that it is not dispatched again.
+    pub fn outcome(
+        &mut self,
+        now: Duration,
+        id: PacketId,
+        elapsed: Duration,
+        outcome: Outcome,
+        completed: bool,
+    ) {
         self.now = now.max(self.now);
-        let Some(kept) = self.packets.get_mut(&id) else { return };
-        let lanes = self.destinations.get(&kept.packet.destination).into_iter().flat_map(|d| &d.lanes);
-        // Where limits are told, r alone holds back what was refused.
-        let blind = |lane: &Lane| lane.told.is_none() && lane.listed.is_none();
-        let untold = self.figures.thin && lanes.into_iter().all(|lane| blind(&self.lanes[lane]));
-        kept.refused |= untold && matches!(outcome, Outcome::Full(_));
-        let spent = if outcome == Outcome::Moot { self.figures.terms.dispatches } else { 0 };
-        kept.packet.dispatches -= u32::from(outcome == Outcome::Unsent);
-        kept.packet.dispatches = kept.packet.dispatches.max(spent);
-        let (state, key, to) = (kept.state, kept.packet.key, kept.packet.destination);
-        let (State::Out(call, _) | State::Withdrawn(call)) = state else { return };
-        let since = self.learn_from(call, elapsed, outcome);
-        let may_still_run = matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
-        if let (true, Some(turn)) = (may_still_run, key.and_then(|key| self.turns.get_mut(&key))) {
-            turn.rests_until = now.saturating_add(self.figures.terms.settle);
-        }
-        let (State::Out(_, doubt), false) = (state, over || outcome == Outcome::Done) else {
-            return self.change_state(id, State::Done);
+        let Some(tracked) = self.packets.get_mut(&id) else { return };
+        let upstreams = self
+            .destinations
+            .get(&tracked.packet.destination)
+            .into_iter()
+            .flat_map(|destination| &destination.upstreams);
+        // Where limits are reported, the rate alone holds back refused packets.
+        let has_no_limit =
+            |upstream: &Upstream| upstream.last_report.is_none() && upstream.listed_rate.is_none();
+        let limit_unknown = self.parameters.sparse_traffic
+            && upstreams.into_iter().all(|upstream_id| has_no_limit(&self.upstreams[upstream_id]));
+        tracked.refused |= limit_unknown && matches!(outcome, Outcome::Full(_));
+        let min_dispatches = if outcome == Outcome::Moot { self.parameters.terms.dispatches } else { 0 };
+        tracked.packet.dispatches -= u32::from(outcome == Outcome::Unsent);
+        tracked.packet.dispatches = tracked.packet.dispatches.max(min_dispatches);
+        let (state, key, destination) = (tracked.state, tracked.packet.key, tracked.packet.destination);
+        let (PacketState::InFlight(call, _) | PacketState::Withdrawn(call)) = state else { return };
+        let sent_at = self.learn_from(call, elapsed, outcome);
+        let may_still_execute = matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
+        if let (true, Some(key_queue)) =
+            (may_still_execute, key.and_then(|key| self.key_queues.get_mut(&key)))
+        {
+            key_queue.blocked_until = now.saturating_add(self.parameters.terms.settle);
+        }
+        let (PacketState::InFlight(_, possibly_executed_at), false) =
+            (state, completed || outcome == Outcome::Done)
+        else {
+            return self.change_state(id, PacketState::Completed);
         };
-        let may_have_run = may_still_run || outcome == Outcome::Error;
-        self.change_state(id, State::Held(doubt.or(may_have_run.then_some(since))));
-        if self.figures.thin {
-            self.dismiss_outlasted(to);
+        let may_have_executed = may_still_execute || outcome == Outcome::Error;
+        self.change_state(
+            id,
+            PacketState::Held(possibly_executed_at.or(may_have_executed.then_some(sent_at))),
+        );
+        if self.parameters.sparse_traffic {
+            self.fail_packets_that_would_expire(destination);
         }
     }
 
-    /// Learns from a call, once for all its packets. Tells when it was sent.
+    /// Learns from the outcome of a call, once for all its packets. Returns when the call was sent.
     fn learn_from(&mut self, call: u64, elapsed: Duration, outcome: Outcome) -> Duration {
-        let (now, figures) = (self.now, &self.figures);
-        let chance = self.rng.as_mut().map_or(0.5, |rng| rng.random());
+        let (now, parameters) = (self.now, &self.parameters);
+        let jitter = self.rng.as_mut().map_or(0.5, |rng| rng.random());
         let Some(call) = self.calls.get_mut(&call) else { return now };
-        let Some(endpoint) = self.endpoints.get_mut(&call.endpoint) else { return call.sent };
-        let Some(lane) = self.lanes.get_mut(&call.lane) else { return call.sent };
-        // Each outcome of a call may come in a round of its own and tells its wait anew: the longest stands.
+        let Some(endpoint) = self.endpoints.get_mut(&call.endpoint) else { return call.sent_at };
+        let Some(upstream) = self.upstreams.get_mut(&call.upstream_id) else { return call.sent_at };
+        // The outcomes of one call may arrive in several rounds, each with its wait counted anew: the longest
+        // applies.
         if let Outcome::Full(Some(wait)) = outcome {
-            lane.note_wait(now.saturating_add(wait), wait > figures.soft, chance);
+            upstream.apply_retry_after(now.saturating_add(wait), wait > parameters.min_soft_limit, jitter);
         }
-        if std::mem::replace(&mut call.judged, true) {
-            return call.sent;
+        if std::mem::replace(&mut call.outcome_recorded, true) {
+            return call.sent_at;
         }
-        lane.unsent = if outcome == Outcome::Unsent { lane.unsent } else { Duration::ZERO };
-        self.idle.insert(call.endpoint);
-        let [answers, losses, refusals, crowds] = &mut self.wear[endpoint.kind.0];
-        let (refused, done) = (refusals.read(now, figures.soft * 8), answers.read(now, figures.soft * 8));
-        // The share not refused of this kind's calls, from four on, as each lane alone tells too little.
-        let room = if figures.thin { (1.0 - refused / (refused + done + 4.0)).powi(4) } else { 1.0 };
+        upstream.local_error_backoff =
+            if outcome == Outcome::Unsent { upstream.local_error_backoff } else { Duration::ZERO };
+        self.idle_candidates.insert(call.endpoint);
+        let [answers, losses, refusals, connection_limits] = &mut self.kind_counters[endpoint.kind.0];
+        let (refused, answered) = (
+            refusals.read(now, parameters.min_soft_limit * 8),
+            answers.read(now, parameters.min_soft_limit * 8),
+        );
+        // Share of the calls to this kind that were not refused, damped by four additional calls. It is
+        // measured per kind because each upstream alone provides too few calls.
+        let kind_headroom = if parameters.sparse_traffic {
+            (1.0 - refused / (refused + answered + 4.0)).powi(4)
+        } else {
+            1.0
+        };
         match outcome {
             Outcome::Done => {
-                endpoint.cap = (endpoint.cap + 1).min(figures.terms.slots);
-                answers.add(now, figures.soft * 8);
-                self.again = (self.again + AGAIN).min(figures.terms.slots as f64);
-                lane.note_done(now, elapsed, room, figures);
-                self.figures.usual = (self.figures.usual * 7 + elapsed) / 8;
+                endpoint.concurrency_limit = (endpoint.concurrency_limit + 1).min(parameters.terms.slots);
+                answers.add(now, parameters.min_soft_limit * 8);
+                self.retry_budget =
+                    (self.retry_budget + RETRIES_PER_ANSWER).min(parameters.terms.slots as f64);
+                upstream.record_success(now, elapsed, kind_headroom, parameters);
+                self.parameters.mean_answer_time = (self.parameters.mean_answer_time * 7 + elapsed) / 8;
             }
             Outcome::Full(_) => {
-                refusals.add(now, figures.soft * 8);
-                lane.note_full(now, call.sent, chance, room, figures);
-                if lane.may_be_shut(figures) {
-                    // Beside told limits it says more; not in step with the cut's token.
-                    let least = figures.soft / if figures.terms.limits_told { 1 } else { 2 };
-                    lane.rest(now, least, 1.0 - chance, figures);
+                refusals.add(now, parameters.min_soft_limit * 8);
+                upstream.record_refusal(now, call.sent_at, jitter, kind_headroom, parameters);
+                if upstream.refusal_may_be_outage(parameters) {
+                    // Where limits are reported, a refusal without a report of a used-up limit is a stronger
+                    // sign of an outage. The jitter is inverted, so that it does not coincide with that of
+                    // the token bucket.
+                    let min_backoff =
+                        parameters.min_soft_limit / if parameters.terms.limits_told { 1 } else { 2 };
+                    upstream.back_off(now, min_backoff, 1.0 - jitter, parameters);
                 }
             }
             Outcome::NoRoom => {
-                let (kind, first) = (endpoint.kind, crowds.read(now, figures.soft * 8) <= WEAR);
-                crowds.add(now, figures.soft * 8);
-                lane.note_no_room(now, chance, figures);
-                if first {
-                    // Idle ones left anywhere there hold what others need; later calls leave none.
-                    let alike = self.endpoints.iter().filter(|(_, other)| other.kind == kind);
-                    self.idle.extend(alike.map(|(id, _)| *id));
+                let (kind, is_first) = (
+                    endpoint.kind,
+                    connection_limits.read(now, parameters.min_soft_limit * 8) <= IDLE_CLOSE_LOSS_RATIO,
+                );
+                connection_limits.add(now, parameters.min_soft_limit * 8);
+                upstream.record_connection_limit(now, jitter, parameters);
+                if is_first {
+                    // Idle connections left at any endpoint of this kind take up what other senders need.
+                    // Later calls leave none.
+                    let same_kind = self.endpoints.iter().filter(|(_, other)| other.kind == kind);
+                    self.idle_candidates.extend(same_kind.map(|(id, _)| *id));
                 }
             }
-            Outcome::Unsent => lane.note_unsent(now),
+            Outcome::Unsent => upstream.record_local_error(now),
             Outcome::NoSlot | Outcome::Moot => {}
-            // A peer that closes early is no outage: refused connects soon tell of one. Harm: until then.
-            Outcome::Reset if !figures.thin => lane.note_loss(now, BROKEN, false, figures),
+            // A peer that closes connections early is not an outage; refused connection attempts soon reveal
+            // one. Trade-off: until then an outage goes undetected.
+            Outcome::Reset if !parameters.sparse_traffic => {
+                upstream.record_loss(now, RESET_LOSS_WEIGHT, false, parameters)
+            }
             _ => {
-                losses.add(now, figures.soft * 8);
-                endpoint.cap = 1;
-                let health = lane.health;
-                lane.note_loss(now, if figures.thin { LOSSES / 2.0 } else { 1.0 }, true, figures);
-                let least = lane.told.map_or(figures.soft / 2, |_| Duration::ZERO);
-                lane.rest(now, least, chance, figures);
-                if figures.thin && lane.health != health {
-                    lane.bucket = TokenBucket { tokens: Some(chance), at: now }; // no trials in step
-                } else if figures.thin && health == Health::Well {
-                    lane.bucket = TokenBucket { tokens: Some(1.0), at: lane.blocked }; // the rest decides
+                losses.add(now, parameters.min_soft_limit * 8);
+                endpoint.concurrency_limit = 1;
+                let previous_health = upstream.health;
+                upstream.record_loss(
+                    now,
+                    if parameters.sparse_traffic { EJECTION_LOSSES / 2.0 } else { 1.0 },
+                    true,
+                    parameters,
+                );
+                let min_backoff =
+                    upstream.last_report.map_or(parameters.min_soft_limit / 2, |_| Duration::ZERO);
+                upstream.back_off(now, min_backoff, jitter, parameters);
+                if parameters.sparse_traffic && upstream.health != previous_health {
+                    // The random fill keeps the senders from probing at the same time.
+                    upstream.bucket = TokenBucket { tokens: Some(jitter), updated_at: now };
+                } else if parameters.sparse_traffic && previous_health == Health::Healthy {
+                    // A full token at the end of the backoff: the backoff alone determines the next call.
+                    upstream.bucket = TokenBucket { tokens: Some(1.0), updated_at: upstream.blocked_until };
                 }
             }
         }
-        call.sent
+        call.sent_at
     }
 
-    /// Every change of a packet's state: what it leaves is released, what it enters is booked.
-    fn change_state(&mut self, id: PacketId, to: State) {
-        let Some(kept) = self.packets.get_mut(&id) else { return };
-        let from = std::mem::replace(&mut kept.state, to);
-        let destination = kept.packet.destination;
+    /// Makes every change of a packet's state: removes the packet from the collections of the state it leaves
+    /// and adds it to those of the state it enters.
+    fn change_state(&mut self, id: PacketId, to: PacketState) {
+        let Some(tracked) = self.packets.get_mut(&id) else { return };
+        let from = std::mem::replace(&mut tracked.state, to);
+        let destination = tracked.packet.destination;
         match (from, to) {
-            (State::Out(..), State::Withdrawn(_)) => return,
-            (State::Held(_), _) => {
+            (PacketState::InFlight(..), PacketState::Withdrawn(_)) => return,
+            (PacketState::Held(_), _) => {
                 let mut held = self.held.remove(&destination).unwrap_or_default();
                 held.remove(&id);
                 if !held.is_empty() {
                     self.held.insert(destination, held);
                 }
             }
-            (State::Out(call, _) | State::Withdrawn(call), _) => {
-                self.calls.entry(call).and_modify(|call| call.packets.retain(|other| *other != id));
-                self.calls.retain(|_, call| !call.packets.is_empty());
+            (PacketState::InFlight(call, _) | PacketState::Withdrawn(call), _) => {
+                self.calls.entry(call).and_modify(|call| call.pending_packets.retain(|other| *other != id));
+                self.calls.retain(|_, call| !call.pending_packets.is_empty());
             }
             _ => {}
         }
         match to {
-            State::Held(_) => self.hold(id),
-            State::Out(call, _) => {
-                self.calls.entry(call).and_modify(|call| call.packets.push(id));
+            PacketState::Held(_) => self.hold(id),
+            PacketState::InFlight(call, _) => {
+                self.calls.entry(call).and_modify(|call| call.pending_packets.push(id));
             }
-            State::Withdrawn(_) => {}
-            State::Done | State::Dismissed | State::Scrapped => self.leave(id),
+            PacketState::Withdrawn(_) => {}
+            PacketState::Completed | PacketState::Dismissed | PacketState::Scrapped => self.remove_packet(id),
         }
     }
 
+    /// Puts a packet into the hold and schedules its expiration. If it may not be dispatched again, or could
+    /// not be dispatched in time, it fails in the next round.
     fn hold(&mut self, id: PacketId) {
-        let Some(kept) = self.packets.get(&id) else { return };
-        let (to, last) = (kept.packet.destination, self.holdable_until(kept));
-        let (listed, soon) = (self.listing.lists(to), self.now.saturating_add(kept.trade.soft_limit));
-        // An endpoint may appear; end_due looks again.
-        let until = if listed || kept.owed_a_try() { last } else { last.min(soon) };
-        self.destinations.entry(to).or_default().used = self.now;
-        self.changed.extend((!listed).then_some(to));
-        let wait = self.wait(to, self.held.get(&to).map_or(0, BTreeSet::len));
-        let unsure = kept.trade.repeat == Repeat::Unrepeatable && kept.state != State::Held(None);
-        let spent = unsure || kept.packet.dispatches >= self.figures.terms.dispatches;
-        if spent || self.outlasts(wait, kept) {
-            self.spent.push((id, Some(wait)));
-        }
-        self.held.entry(to).or_default().insert(id);
-        self.due.insert((until, id));
-    }
-
-    /// How long a packet waits with so many of its destination before it: for them at r, and where traffic is
-    /// thin until a lane opens.
-    fn wait(&self, to: DestinationId, before: usize) -> Duration {
-        let Some(destination) = self.destinations.get(&to) else { return Duration::ZERO };
-        let top = |lane: &Lane| lane.rate.map_or(f64::INFINITY, |r| r.max(lane.top));
-        let rate: f64 = self.lanes_of(&to).map(top).sum();
-        let opens = self.lanes_of(&to).map(|lane| lane.opens_in(self.now, &self.figures)).min();
-        let before = span_of(before as f64, rate * destination.batch.max(1) as f64);
-        before.max(opens.filter(|_| self.figures.thin).unwrap_or_default())
-    }
-
-    /// A deficit that outlasts a packet's time: dismissed at once, with the wait as retry-after. What an
-    /// earlier life took on and did not try is tried, unless what blocks its lanes outlasts it.
-    fn outlasts(&self, wait: Duration, kept: &TrackedPacket) -> bool {
-        let lanes = self.lanes_of(&kept.packet.destination);
-        let Some(blocked) = lanes.map(|lane| lane.blocked).min() else { return false };
-        let until = if kept.owed_a_try() { blocked } else { self.now.saturating_add(wait) };
-        until > kept.packet.ends
-    }
-
-    /// A lane was cut: guards against packets that wait on although it opens after their time.
-    fn dismiss_outlasted(&mut self, to: DestinationId) {
-        let held = self.held.get(&to).into_iter().flatten().enumerate();
-        let waits = held.map(|(before, id)| (*id, self.wait(to, before)));
-        let over = waits.filter(|(id, wait)| self.outlasts(*wait, &self.packets[id]));
-        let over: Vec<_> = over.map(|(id, wait)| (id, Some(wait))).collect();
-        self.spent.extend(over);
-    }
-
-    /// Until when a packet may be dispatched: by its patience, and the memory of it if it may have run.
-    fn holdable_until(&self, kept: &TrackedPacket) -> Duration {
-        let last = match (kept.state, kept.trade.repeat) {
-            (State::Held(Some(doubt)) | State::Out(_, Some(doubt)), Repeat::Deduplicated { memory, .. }) => {
-                doubt.saturating_add(memory)
-            }
+        let Some(tracked) = self.packets.get(&id) else { return };
+        let (destination, deadline) = (tracked.packet.destination, self.dispatch_deadline(tracked));
+        let (listed, listing_deadline) = (
+            self.destination_list.contains(destination),
+            self.now.saturating_add(tracked.category.soft_limit),
+        );
+        // An endpoint may be listed in the meantime; `fail_due_packets` checks that.
+        let until = if listed || tracked.is_restored_and_untried() {
+            deadline
+        } else {
+            deadline.min(listing_deadline)
+        };
+        self.destinations.entry(destination).or_default().last_held_at = self.now;
+        self.cleanup_candidates.extend((!listed).then_some(destination));
+        let wait = self.estimated_wait(destination, self.held.get(&destination).map_or(0, BTreeSet::len));
+        let may_not_repeat =
+            tracked.category.repeat == Repeat::Unrepeatable && tracked.state != PacketState::Held(None);
+        let exhausted = may_not_repeat || tracked.packet.dispatches >= self.parameters.terms.dispatches;
+        if exhausted || self.would_expire(wait, tracked) {
+            self.pending_failures.push((id, Some(wait)));
+        }
+        self.held.entry(destination).or_default().insert(id);
+        self.expirations.insert((until, id));
+    }
+
+    /// How long a packet waits behind `packets_ahead` held ones of its destination: until those are
+    /// dispatched at the current rate and, with sparse traffic, at least until an upstream is available.
+    fn estimated_wait(&self, destination: DestinationId, packets_ahead: usize) -> Duration {
+        let Some(tracked) = self.destinations.get(&destination) else { return Duration::ZERO };
+        let rate_of =
+            |upstream: &Upstream| upstream.rate.map_or(f64::INFINITY, |rate| rate.max(upstream.target_rate));
+        let rate: f64 = self.upstreams_of(&destination).map(rate_of).sum();
+        let available_in = self
+            .upstreams_of(&destination)
+            .map(|upstream| upstream.available_in(self.now, &self.parameters))
+            .min();
+        let queueing = time_to_accrue(packets_ahead as f64, rate * tracked.max_batch.max(1) as f64);
+        queueing.max(available_in.filter(|_| self.parameters.sparse_traffic).unwrap_or_default())
+    }
+
+    /// Whether the wait for a token exceeds a packet's time; such a packet is dismissed at once, with the
+    /// wait as Retry-After. A packet that the previous process accepted and did not dispatch is tried, unless
+    /// a wait or backoff of all its upstreams exceeds its time.
+    fn would_expire(&self, wait: Duration, tracked: &TrackedPacket) -> bool {
+        let upstreams = self.upstreams_of(&tracked.packet.destination);
+        let Some(blocked) = upstreams.map(|upstream| upstream.blocked_until).min() else { return false };
+        let until = if tracked.is_restored_and_untried() { blocked } else { self.now.saturating_add(wait) };
+        until > tracked.packet.ends
+    }
+
+    /// Checks the held packets of a destination again after an upstream's rate was reduced, because otherwise
+    /// they would wait on although the upstream becomes available only after their time.
+    fn fail_packets_that_would_expire(&mut self, destination: DestinationId) {
+        let held = self.held.get(&destination).into_iter().flatten().enumerate();
+        let waits = held.map(|(packets_ahead, id)| (*id, self.estimated_wait(destination, packets_ahead)));
+        let expiring = waits.filter(|(id, wait)| self.would_expire(*wait, &self.packets[id]));
+        let expiring: Vec<_> = expiring.map(|(id, wait)| (id, Some(wait))).collect();
+        self.pending_failures.extend(expiring);
+    }
+
+    /// Until when a packet may be dispatched: by its patience and, if it may have been executed, by how long
+    /// the endpoints recognize a repeated dispatch.
+    fn dispatch_deadline(&self, tracked: &TrackedPacket) -> Duration {
+        let repeat_deadline = match (tracked.state, tracked.category.repeat) {
+            (
+                PacketState::Held(Some(possibly_executed_at))
+                | PacketState::InFlight(_, Some(possibly_executed_at)),
+                Repeat::Deduplicated { memory, .. },
+            ) => possibly_executed_at.saturating_add(memory),
             _ => Duration::MAX,
         };
-        last.min(kept.packet.ends).saturating_sub(kept.trade.soft_limit / TRIP)
+        repeat_deadline
+            .min(tracked.packet.ends)
+            .saturating_sub(tracked.category.soft_limit / DEADLINE_MARGIN_DIVISOR)
     }
 
-    fn leave(&mut self, id: PacketId) {
-        if let Some(key) = self.packets.remove(&id).and_then(|kept| kept.packet.key) {
-            self.turns.entry(key).and_modify(|turn| turn.queue.retain(|other| *other != id));
-            self.turns.retain(|_, turn| !turn.queue.is_empty() || turn.rests_until > self.now);
+    fn remove_packet(&mut self, id: PacketId) {
+        if let Some(key) = self.packets.remove(&id).and_then(|tracked| tracked.packet.key) {
+            self.key_queues.entry(key).and_modify(|key_queue| key_queue.packets.retain(|other| *other != id));
+            self.key_queues
+                .retain(|_, key_queue| !key_queue.packets.is_empty() || key_queue.blocked_until > self.now);
         }
     }
 
+    /// Runs one round of decisions.
     pub fn decide(&mut self, now: Duration, host: &mut impl Host) {
         self.now = now.max(self.now);
-        if self.ask_at.take_if(|at| *at <= self.now).is_some() {
+        if self.list_request_at.take_if(|at| *at <= self.now).is_some() {
             host.ask_list();
         }
-        self.end_due(host);
+        self.fail_due_packets(host);
         self.close_idle(host);
-        self.detect_silence();
+        self.detect_stalls();
         self.shed_load(host);
-        self.cancel_overdue(host);
-        self.place(host);
-        self.set_wake(host);
-    }
-
-    fn end_due(&mut self, host: &mut impl Host) {
-        for (id, wait) in std::mem::take(&mut self.spent) {
-            self.end(id, wait, host);
-        }
-        while let Some((at, id)) = self.due.first().copied().filter(|(at, _)| *at <= self.now) {
-            self.due.remove(&(at, id));
-            let Some(kept) = self.packets.get(&id) else { continue };
-            let State::Held(_) = kept.state else { continue };
-            let until = self.holdable_until(kept);
-            if until > self.now && self.listing.lists(kept.packet.destination) {
-                self.due.insert((until, id));
+        self.cancel_stalled_calls(host);
+        self.assign_slots(host);
+        self.schedule_wake(host);
+    }
+
+    /// Fails the packets that are marked for failure and those whose time for a dispatch has passed.
+    fn fail_due_packets(&mut self, host: &mut impl Host) {
+        for (id, wait) in std::mem::take(&mut self.pending_failures) {
+            self.fail_packet(id, wait, host);
+        }
+        while let Some((at, id)) = self.expirations.first().copied().filter(|(at, _)| *at <= self.now) {
+            self.expirations.remove(&(at, id));
+            let Some(tracked) = self.packets.get(&id) else { continue };
+            let PacketState::Held(_) = tracked.state else { continue };
+            let until = self.dispatch_deadline(tracked);
+            if until > self.now && self.destination_list.contains(tracked.packet.destination) {
+                self.expirations.insert((until, id));
             } else {
-                self.end(id, None, host);
+                self.fail_packet(id, None, host);
             }
         }
     }
 
-    /// Guards against full connection tables and connections dropped unseen. Harm: handshakes.
+    /// Idle connection closing: with many senders, idle connections fill the endpoints' connection limits,
+    /// and connections are dropped unnoticed. Trade-off: additional handshakes.
     fn close_idle(&mut self, host: &mut impl Host) {
-        for id in std::mem::take(&mut self.idle) {
+        for id in std::mem::take(&mut self.idle_candidates) {
             let Some(endpoint) = self.endpoints.get(&id) else { continue };
-            let (now, span) = (self.now, self.figures.soft * 8);
-            let [answers, losses, _, crowds] = &self.wear[endpoint.kind.0];
-            // A table was full: others need the room that an idle one takes, however many answers there are.
-            let worn =
-                losses.read(now, span) > answers.read(now, span) * WEAR || crowds.read(now, span) > WEAR;
-            if worn && self.figures.thin && self.calls.values().all(|call| call.endpoint != id) {
+            let (now, window) = (self.now, self.parameters.min_soft_limit * 8);
+            let [answers, losses, _, connection_limits] = &self.kind_counters[endpoint.kind.0];
+            // Once a connection limit was reached, other senders need the capacity that an idle connection
+            // takes up, however many calls are answered.
+            let needed_elsewhere = losses.read(now, window)
+                > answers.read(now, window) * IDLE_CLOSE_LOSS_RATIO
+                || connection_limits.read(now, window) > IDLE_CLOSE_LOSS_RATIO;
+            if needed_elsewhere
+                && self.parameters.sparse_traffic
+                && self.calls.values().all(|call| call.endpoint != id)
+            {
                 host.close_idle(id);
             }
         }
     }
 
-    /// The final answer: a dismissal where the category lets the client try again without harm.
-    fn end(&mut self, id: PacketId, wait: Option<Duration>, host: &mut impl Host) {
-        let Some(kept) = self.packets.get(&id) else { return };
-        let State::Held(doubt) = kept.state else { return };
-        let harmless = doubt.is_none() || kept.trade.repeat != Repeat::Unrepeatable;
-        if harmless {
-            let wait = wait.unwrap_or_default().max(kept.trade.soft_limit / TRIP);
-            host.dismiss(id, self.figures.terms.retry_after.map(|most| wait.min(most)));
-            self.change_state(id, State::Dismissed);
+    /// Completes a held packet without success: dismissed where the category lets the client submit it again
+    /// without harm, scrapped otherwise.
+    fn fail_packet(&mut self, id: PacketId, wait: Option<Duration>, host: &mut impl Host) {
+        let Some(tracked) = self.packets.get(&id) else { return };
+        let PacketState::Held(possibly_executed_at) = tracked.state else { return };
+        let may_resubmit = possibly_executed_at.is_none() || tracked.category.repeat != Repeat::Unrepeatable;
+        if may_resubmit {
+            let wait = wait.unwrap_or_default().max(tracked.category.soft_limit / DEADLINE_MARGIN_DIVISOR);
+            host.dismiss(id, self.parameters.terms.retry_after.map(|max| wait.min(max)));
+            self.change_state(id, PacketState::Dismissed);
         } else {
             host.scrap(id);
-            self.change_state(id, State::Scrapped);
+            self.change_state(id, PacketState::Scrapped);
         }
     }
 
-    /// Guards against calls that are taken and not answered: before the first time-out a lane gets one new
-    /// call at a time. Harm: it idles behind one slow call; left out in thin traffic, as others seldom tell.
-    fn detect_silence(&mut self) {
+    /// Stall detection: where calls are accepted and not answered, an upstream gets one new call at a time
+    /// already before the first timeout. Trade-off: the upstream is underused behind one slow call. Not done
+    /// with sparse traffic, where other calls seldom show that the upstream answers.
+    fn detect_stalls(&mut self) {
         for call in self.calls.values() {
-            let Some(lane) = self.lanes.get_mut(&call.lane) else { continue };
-            let silent = !self.figures.thin && self.now >= call.sent + lane.quiet_after(&self.figures);
-            if silent && lane.health == Health::Well && lane.answered.is_none_or(|at| at < call.sent) {
-                lane.health = Health::Quiet;
+            let Some(upstream) = self.upstreams.get_mut(&call.upstream_id) else { continue };
+            let stalled = !self.parameters.sparse_traffic
+                && self.now >= call.sent_at + upstream.stall_timeout(&self.parameters);
+            if stalled
+                && upstream.health == Health::Healthy
+                && upstream.last_success_at.is_none_or(|at| at < call.sent_at)
+            {
+                upstream.health = Health::Unresponsive;
             }
         }
     }
 
-    /// A destination in trouble would fill the hold: the one with the most held gives up its oldest packet.
+    /// Load shedding: before a failing destination fills the hold, the destination with the most held packets
+    /// loses the one with the earliest deadline, those beyond a quota first. Packets that the previous
+    /// process accepted and did not dispatch are spared as long as there are others.
     fn shed_load(&mut self, host: &mut impl Host) {
-        while self.packets.len() > self.figures.most_held {
-            let new =
-                |held: &&BTreeSet<PacketId>| held.iter().filter(|id| !self.packets[id].owed_a_try()).count();
-            let Some(fullest) = self.held.values().max_by_key(new) else { return };
-            let rank = |id: &&PacketId| {
-                let TrackedPacket { packet, over_share, .. } = &self.packets[id];
-                (self.packets[id].owed_a_try(), !over_share, packet.ends, **id)
+        while self.packets.len() > self.parameters.max_held {
+            let sheddable = |held: &&BTreeSet<PacketId>| {
+                held.iter().filter(|id| !self.packets[id].is_restored_and_untried()).count()
+            };
+            let Some(fullest) = self.held.values().max_by_key(sheddable) else { return };
+            let order = |id: &&PacketId| {
+                let TrackedPacket { packet, over_quota, .. } = &self.packets[id];
+                (self.packets[id].is_restored_and_untried(), !over_quota, packet.ends, **id)
             };
-            let Some(victim) = fullest.iter().min_by_key(rank).copied() else { return };
-            self.end(victim, self.figures.terms.retry_after, host);
+            let Some(victim) = fullest.iter().min_by_key(order).copied() else { return };
+            self.fail_packet(victim, self.parameters.terms.retry_after, host);
         }
     }
 
-    /// Guards against slots filled by calls without an answer: where a well destination has packets waiting,
-    /// overdue calls beyond an eighth of the slots are called off, repeatable ones first; at a well lane,
-    /// which may just be slow, after twice the silence. Harm: an answer to come may be lost.
-    fn cancel_overdue(&mut self, host: &mut impl Host) {
-        if !self.figures.terms.cancel || self.calls.len() < self.figures.terms.slots || !self.well_waits() {
+    /// Cancels stalled calls, so that they do not occupy all slots: where a healthy destination has packets
+    /// waiting, stalled calls beyond an eighth of the slots are cancelled, those with repeatable packets
+    /// first. At a healthy upstream, which may just be slow, a call counts as stalled after twice the stall
+    /// timeout. Trade-off: an answer may be lost that was about to arrive.
+    fn cancel_stalled_calls(&mut self, host: &mut impl Host) {
+        if !self.parameters.terms.cancel
+            || self.calls.len() < self.parameters.terms.slots
+            || !self.healthy_destination_waits()
+        {
             return;
         }
-        let mut silent: Vec<(bool, Duration, u64)> = Vec::new();
+        let mut stalled: Vec<(bool, Duration, u64)> = Vec::new();
         for (id, call) in &self.calls {
-            let lane = &self.lanes[&call.lane];
-            let slow = !self.figures.thin || lane.quiet_after(&self.figures) > self.figures.soft / 3;
-            let surely = if lane.health == Health::Well && slow { 2 } else { 1 };
-            if self.now >= call.sent + lane.quiet_after(&self.figures) * surely {
-                let last = call.packets.iter().any(|p| self.packets[p].trade.repeat == Repeat::Unrepeatable);
-                silent.push((last, call.sent, *id));
+            let upstream = &self.upstreams[&call.upstream_id];
+            let may_be_slow = !self.parameters.sparse_traffic
+                || upstream.stall_timeout(&self.parameters) > self.parameters.min_soft_limit / 3;
+            let timeouts = if upstream.health == Health::Healthy && may_be_slow { 2 } else { 1 };
+            if self.now >= call.sent_at + upstream.stall_timeout(&self.parameters) * timeouts {
+                let unrepeatable = call
+                    .pending_packets
+                    .iter()
+                    .any(|packet| self.packets[packet].category.repeat == Repeat::Unrepeatable);
+                stalled.push((unrepeatable, call.sent_at, *id));
             }
         }
-        silent.sort();
-        for (_, _, id) in silent.iter().take(silent.len().saturating_sub(self.figures.terms.slots / 8)) {
-            if let Some(call) = self.calls.get_mut(id).filter(|call| !call.given_up) {
-                call.given_up = true;
-                for packet in &call.packets {
+        stalled.sort();
+        for (_, _, id) in stalled.iter().take(stalled.len().saturating_sub(self.parameters.terms.slots / 8)) {
+            if let Some(call) = self.calls.get_mut(id).filter(|call| !call.cancelled) {
+                call.cancelled = true;
+                for packet in &call.pending_packets {
                     host.cancel(*packet, self.packets[packet].packet.dispatches - 1);
                 }
             }
         }
     }
 
-    fn well_waits(&self) -> bool {
-        let mut waiting = self.held.keys().filter(|id| self.out(id) < self.cap(id));
-        waiting.any(|id| self.lanes_of(id).any(|lane| lane.health == Health::Well))
+    /// Whether a destination with a healthy upstream has held packets and is below its concurrency limit.
+    fn healthy_destination_waits(&self) -> bool {
+        let mut waiting = self.held.keys().filter(|id| self.calls_in_flight(id) < self.concurrency_limit(id));
+        waiting.any(|id| self.upstreams_of(id).any(|upstream| upstream.health == Health::Healthy))
     }
 
-    /// Past its bucket a packet takes any free slot; the next goes to whom is furthest below its share, among
-    /// equals to whom answers sooner: where slots are short, an hour of a slow one is many calls of others.
-    fn place(&mut self, host: &mut impl Host) {
-        let open = |lane: &Lane| lane.opens_in(self.now, &self.figures).is_zero();
-        let held = self.held.keys().copied().filter(|_| self.calls.len() < self.figures.terms.slots);
-        let mut ready: Vec<_> = held.filter(|id| self.lanes_of(id).any(open)).collect();
+    /// Assigns free slots to destinations with a token. The next slot goes to the destination that is
+    /// furthest below its max-min fair share and, among equals, to the one with the shorter answer time:
+    /// where slots are scarce, one call to a slow destination takes as long as many calls to others.
+    fn assign_slots(&mut self, host: &mut impl Host) {
+        let available = |upstream: &Upstream| upstream.available_in(self.now, &self.parameters).is_zero();
+        let held = self.held.keys().copied().filter(|_| self.calls.len() < self.parameters.terms.slots);
+        let mut ready: Vec<_> = held.filter(|id| self.upstreams_of(id).any(available)).collect();
         if ready.is_empty() {
             return;
         }
-        let shares = self.shares();
-        while self.calls.len() < self.figures.terms.slots {
-            let below = |id: &DestinationId| shares[id] - self.out(id) as f64;
-            let sooner = |lane: &Lane| lane.expected(&self.figures);
-            let rank = |id| (below(id), self.lanes_of(id).map(sooner).min());
+        let shares = self.max_min_shares();
+        while self.calls.len() < self.parameters.terms.slots {
+            let below_share = |id: &DestinationId| shares[id] - self.calls_in_flight(id) as f64;
+            let answer_time = |upstream: &Upstream| upstream.expected_answer_time(&self.parameters);
+            let rank = |id| (below_share(id), self.upstreams_of(id).map(answer_time).min());
             let next = (0..ready.len()).max_by(|a, b| {
                 let (a, b) = (rank(&ready[*a]), rank(&ready[*b]));
                 a.0.total_cmp(&b.0).then(b.1.cmp(&a.1))
             });
             let Some(next) = next else { return };
-            if !self.dispatch_one(ready[next], host) {
+            if !self.dispatch_call(ready[next], host) {
                 ready.swap_remove(next);
             }
         }
     }
 
-    /// Max-min shares of the slots by demand: calls in flight and packets held, up to the cap.
-    fn shares(&self) -> BTreeMap<DestinationId, f64> {
-        let takers: BTreeSet<_> =
-            self.held.keys().copied().chain(self.calls.values().map(|call| call.lane.0)).collect();
+    /// Max-min fair shares of the slots by demand, which is the calls in flight and packets held, up to the
+    /// concurrency limit.
+    fn max_min_shares(&self) -> BTreeMap<DestinationId, f64> {
+        let competing: BTreeSet<_> =
+            self.held.keys().copied().chain(self.calls.values().map(|call| call.upstream_id.0)).collect();
         let held = |id| self.held.get(id).map_or(0, BTreeSet::len);
-        let demand = |id| (self.out(id) + held(id)).min(self.cap(id)) as f64;
-        let mut demands: Vec<_> = takers.iter().map(|id| (demand(id), *id)).collect();
+        let demand = |id| (self.calls_in_flight(id) + held(id)).min(self.concurrency_limit(id)) as f64;
+        let mut demands: Vec<_> = competing.iter().map(|id| (demand(id), *id)).collect();
         demands.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-        let (mut left, mut takers) = (self.figures.terms.slots as f64, demands.len() as f64);
+        let (mut remaining_slots, mut remaining_destinations) =
+            (self.parameters.terms.slots as f64, demands.len() as f64);
         let mut shares = BTreeMap::new();
         for (demand, id) in demands {
-            let share = demand.min(left / takers);
+            let share = demand.min(remaining_slots / remaining_destinations);
             shares.insert(id, share);
-            (left, takers) = (left - share, takers - 1.0);
+            (remaining_slots, remaining_destinations) =
+                (remaining_slots - share, remaining_destinations - 1.0);
         }
         shares
     }
 
-    fn out(&self, id: &DestinationId) -> usize {
-        self.calls.values().filter(|call| call.lane.0 == *id).count()
+    fn calls_in_flight(&self, id: &DestinationId) -> usize {
+        self.calls.values().filter(|call| call.upstream_id.0 == *id).count()
     }
 
-    /// The cap: three quarters of the slots, half while failing or slow.
-    fn cap(&self, id: &DestinationId) -> usize {
-        let ill =
-            |lane: &Lane| lane.health != Health::Well || lane.expected(&self.figures) > self.figures.soft;
-        let ill = self.lanes_of(id).any(ill);
-        let cap = if ill { self.figures.terms.slots / 2 } else { self.figures.terms.slots * 3 / 4 };
-        cap.max(1)
+    /// Concurrency limit of a destination: three quarters of the slots, half of them while it is failing or
+    /// slow.
+    fn concurrency_limit(&self, id: &DestinationId) -> usize {
+        let degraded = |upstream: &Upstream| {
+            upstream.health != Health::Healthy
+                || upstream.expected_answer_time(&self.parameters) > self.parameters.min_soft_limit
+        };
+        let degraded = self.upstreams_of(id).any(degraded);
+        let limit =
+            if degraded { self.parameters.terms.slots / 2 } else { self.parameters.terms.slots * 3 / 4 };
+        limit.max(1)
     }
 
-    /// One call to a destination, filled up to its batch. False if none can go now.
-    fn dispatch_one(&mut self, id: DestinationId, host: &mut impl Host) -> bool {
-        if self.out(&id) >= self.cap(&id) {
+    /// Sends one call to a destination, with up to the maximum batch of packets. Returns `false` if none can
+    /// be sent now.
+    fn dispatch_call(&mut self, id: DestinationId, host: &mut impl Host) -> bool {
+        if self.calls_in_flight(&id) >= self.concurrency_limit(&id) {
             return false;
         }
-        let Some(endpoint_id) = self.draw(id) else { return false };
-        let lane = self.endpoints[&endpoint_id].lane;
-        let batch = self.destinations[&id].batch.max(1);
-        let may_go = self.held.get(&id).into_iter().flatten().filter(|packet| self.may_go(**packet));
-        let mut ranked: Vec<_> =
-            may_go.map(|packet| (self.rank(*packet, &self.lanes[&lane]), *packet)).collect();
-        if ranked.is_empty() {
+        let Some(endpoint_id) = self.choose_endpoint(id) else { return false };
+        let upstream_id = self.endpoints[&endpoint_id].upstream_id;
+        let max_batch = self.destinations[&id].max_batch.max(1);
+        let eligible = self.held.get(&id).into_iter().flatten().filter(|packet| self.may_dispatch(**packet));
+        let mut ordered: Vec<_> = eligible
+            .map(|packet| (self.dispatch_order(*packet, &self.upstreams[&upstream_id]), *packet))
+            .collect();
+        if ordered.is_empty() {
             return false;
         }
-        ranked.sort();
-        let (call, sent) = (self.next_call, self.now);
-        self.next_call += 1;
-        let new = Call { endpoint: endpoint_id, lane, sent, packets: vec![], judged: false, given_up: false };
-        self.calls.insert(call, new);
-        let booked = self.lanes.entry(lane).or_default();
-        if let Some((rate, burst)) = booked.limit(sent, &self.figures) {
-            booked.bucket.take(sent, rate, burst);
-        }
-        for (_, packet) in ranked.into_iter().take(batch) {
-            let time_out = self.time_out(packet);
-            let Some(kept) = self.packets.get_mut(&packet) else { continue };
-            let State::Held(doubt) = kept.state else { continue };
-            kept.packet.dispatches += 1;
-            self.again -= if kept.refused { 1.0 } else { 0.0 };
-            host.dispatch(packet, endpoint_id, time_out);
-            self.change_state(packet, State::Out(call, doubt));
+        ordered.sort();
+        let (call_id, sent_at) = (self.next_call_id, self.now);
+        self.next_call_id += 1;
+        let call = Call {
+            endpoint: endpoint_id,
+            upstream_id,
+            sent_at,
+            pending_packets: vec![],
+            outcome_recorded: false,
+            cancelled: false,
+        };
+        self.calls.insert(call_id, call);
+        let upstream = self.upstreams.entry(upstream_id).or_default();
+        if let Some((rate, burst)) = upstream.rate_and_burst(sent_at, &self.parameters) {
+            upstream.bucket.try_take(sent_at, rate, burst);
+        }
+        for (_, packet) in ordered.into_iter().take(max_batch) {
+            let timeout = self.dispatch_timeout(packet);
+            let Some(tracked) = self.packets.get_mut(&packet) else { continue };
+            let PacketState::Held(possibly_executed_at) = tracked.state else { continue };
+            tracked.packet.dispatches += 1;
+            self.retry_budget -= if tracked.refused { 1.0 } else { 0.0 };
+            host.dispatch(packet, endpoint_id, timeout);
+            self.change_state(packet, PacketState::InFlight(call_id, possibly_executed_at));
         }
         true
     }
 
-    /// A third of the patience, so that what may go again does; the whole for what may not.
-    fn time_out(&self, id: PacketId) -> Duration {
-        let TrackedPacket { packet, trade, .. } = &self.packets[&id];
-        let left = packet.ends.saturating_sub(self.now);
-        if trade.repeat == Repeat::Unrepeatable { left } else { left.min(trade.patience / 3) }
-    }
-
-    /// Draws an endpoint with odds in step with the room that its cap on calls in flight leaves. Lanes in
-    /// silence together hold half of the slots at most.
-    fn draw(&mut self, id: DestinationId) -> Option<EndpointId> {
-        let trials = self.calls.values().filter(|call| self.lanes[&call.lane].health.silent());
-        let trials_left = (self.figures.terms.slots / 2).max(1).saturating_sub(trials.count());
-        let (now, figures) = (self.now, &self.figures);
-        let mut odds: Vec<(f64, EndpointId)> = Vec::new();
+    /// A third of the patience, so that there is time to repeat the dispatch; all the remaining time for a
+    /// packet that must not be repeated.
+    fn dispatch_timeout(&self, id: PacketId) -> Duration {
+        let TrackedPacket { packet, category, .. } = &self.packets[&id];
+        let remaining = packet.ends.saturating_sub(self.now);
+        if category.repeat == Repeat::Unrepeatable { remaining } else { remaining.min(category.patience / 3) }
+    }
+
+    /// Chooses an endpoint at random, weighted by the number of further calls that its concurrency limit
+    /// allows. Calls to unresponsive or ejected upstreams are probes; together they occupy at most half of
+    /// the slots.
+    fn choose_endpoint(&mut self, id: DestinationId) -> Option<EndpointId> {
+        let probes = self
+            .calls
+            .values()
+            .filter(|call| self.upstreams[&call.upstream_id].health.receives_only_probes());
+        let probes_left = (self.parameters.terms.slots / 2).max(1).saturating_sub(probes.count());
+        let (now, parameters) = (self.now, &self.parameters);
+        let mut candidates: Vec<(f64, EndpointId)> = Vec::new();
         for id in &self.destinations[&id].endpoints {
             let Some(endpoint) = self.endpoints.get(id) else { continue };
-            let lane = &self.lanes[&endpoint.lane];
-            let out = self.calls.values().filter(|call| call.endpoint == *id).count();
-            let free = endpoint.cap.saturating_sub(out);
-            let shut = !endpoint.live || free == 0 || !lane.opens_in(now, figures).is_zero();
-            if !shut && (trials_left > 0 || !lane.health.silent()) {
-                odds.push((free as f64, *id));
+            let upstream = &self.upstreams[&endpoint.upstream_id];
+            let in_flight = self.calls.values().filter(|call| call.endpoint == *id).count();
+            let free = endpoint.concurrency_limit.saturating_sub(in_flight);
+            let unavailable =
+                !endpoint.live || free == 0 || !upstream.available_in(now, parameters).is_zero();
+            if !unavailable && (probes_left > 0 || !upstream.health.receives_only_probes()) {
+                candidates.push((free as f64, *id));
             }
         }
         let rng = self.rng.as_mut()?;
-        odds.choose_weighted(rng, |(odds, _)| *odds).ok().map(|(_, id)| *id)
-    }
-
-    fn may_go(&self, id: PacketId) -> bool {
-        let kept = &self.packets[&id];
-        let again = !kept.refused || self.again >= 1.0;
-        let turn = kept.packet.key.filter(|_| kept.trade.in_order).and_then(|key| self.turns.get(&key));
-        again && turn.is_none_or(|t| t.queue.front() == Some(&id) && t.rests_until <= self.now)
-    }
-
-    /// Which held packet goes first. A lane in silence is tried with what may be repeated. Otherwise those
-    /// within their customer's quota, then those that are not late, then the first to be wanted.
-    fn rank(&self, id: PacketId, lane: &Lane) -> (Option<(Repeat, u32)>, bool, bool, Duration) {
-        let kept = &self.packets[&id];
-        let trial = lane.health.silent().then_some((kept.trade.repeat, kept.packet.dispatches));
-        // Where credit falls evenly, a late packet loses with every second while others lose nothing yet.
-        let late =
-            self.figures.terms.late == Late::Halves && kept.soft < self.now + lane.expected(&self.figures);
-        (trial, kept.over_share, late, if late { kept.packet.ends } else { kept.soft })
-    }
-
-    fn set_wake(&mut self, host: &mut impl Host) {
-        let (now, figures) = (self.now, &self.figures);
-        let lanes = self.held.keys().flat_map(|id| self.lanes_of(id));
-        let opens = lanes.map(|lane| now.saturating_add(lane.opens_in(now, figures)));
-        let rests = self.turns.values().filter(|turn| !turn.queue.is_empty()).map(|turn| turn.rests_until);
-        let silences = self.calls.values().map(|c| c.sent + self.lanes[&c.lane].quiet_after(figures));
-        let due = self.due.first().map(|(at, _)| *at);
-        let times = opens.chain(rests).chain(silences).chain(due).chain(self.ask_at);
+        candidates.choose_weighted(rng, |(weight, _)| *weight).ok().map(|(_, id)| *id)
+    }
+
+    /// Whether the retry budget and the order of its key let a held packet be dispatched now.
+    fn may_dispatch(&self, id: PacketId) -> bool {
+        let tracked = &self.packets[&id];
+        let within_budget = !tracked.refused || self.retry_budget >= 1.0;
+        let key_queue = tracked
+            .packet
+            .key
+            .filter(|_| tracked.category.in_order)
+            .and_then(|key| self.key_queues.get(&key));
+        within_budget
+            && key_queue
+                .is_none_or(|queue| queue.packets.front() == Some(&id) && queue.blocked_until <= self.now)
+    }
+
+    /// Sort key of a held packet: the lowest is dispatched first. Probes of an unresponsive or ejected
+    /// upstream use packets that may be repeated, with the fewest dispatches. Otherwise packets within their
+    /// customer's quota go first, then those that are not late, then those with the earliest due time.
+    fn dispatch_order(
+        &self,
+        id: PacketId,
+        upstream: &Upstream,
+    ) -> (Option<(Repeat, u32)>, bool, bool, Duration) {
+        let tracked = &self.packets[&id];
+        let probe = upstream
+            .health
+            .receives_only_probes()
+            .then_some((tracked.category.repeat, tracked.packet.dispatches));
+        // Where the credit falls linearly, a late packet loses credit every second, while the others lose
+        // none yet.
+        let late = self.parameters.terms.late == Late::Halves
+            && tracked.answer_due < self.now + upstream.expected_answer_time(&self.parameters);
+        (probe, tracked.over_quota, late, if late { tracked.packet.ends } else { tracked.answer_due })
+    }
+
+    /// Requests a wake at the next time at which a decision can change.
+    fn schedule_wake(&mut self, host: &mut impl Host) {
+        let (now, parameters) = (self.now, &self.parameters);
+        let upstreams = self.held.keys().flat_map(|id| self.upstreams_of(id));
+        let available = upstreams.map(|upstream| now.saturating_add(upstream.available_in(now, parameters)));
+        let unblocked_keys = self
+            .key_queues
+            .values()
+            .filter(|key_queue| !key_queue.packets.is_empty())
+            .map(|key_queue| key_queue.blocked_until);
+        let stalls = self
+            .calls
+            .values()
+            .map(|call| call.sent_at + self.upstreams[&call.upstream_id].stall_timeout(parameters));
+        let expiration = self.expirations.first().map(|(at, _)| *at);
+        let times =
+            available.chain(unblocked_keys).chain(stalls).chain(expiration).chain(self.list_request_at);
         let Some(next) = times.filter(|at| *at > now && *at < Duration::MAX).min() else { return };
-        if self.woken_at.is_none_or(|at| at <= now || next < at) {
-            self.woken_at = Some(next);
-            // A carrier's clock may be coarser: a wake just before its time would be the last.
+        if self.next_wake_at.is_none_or(|at| at <= now || next < at) {
+            self.next_wake_at = Some(next);
+            // The host's clock may be coarser: a wake just before its time would not be requested again.
             host.wake(next - now + Duration::from_micros(1));
         }
     }
--- a/src/counting_map.rs
+++ b/src/counting_map.rs
@@ -1,28 +1,29 @@
-//! An ordered map that counts the entries that are looked at. By that count a test tells work in step with what
-//! changed from work in step with all that is listed, on any machine and without a clock. State, no decision.
+//! An ordered map that counts the entries it accesses. With that count a test can tell work proportional to
+//! what changed from work proportional to the whole destination list, on any machine and without a clock.
 
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, btree_map};
 use std::ops::Index;
 
-pub struct Table<K, V> {
+/// A `BTreeMap` that counts the entries that are looked up or iterated over.
+pub struct CountingMap<K, V> {
     entries: BTreeMap<K, V>,
     visited: Cell<u64>,
 }
 
-impl<K, V> Default for Table<K, V> {
+impl<K, V> Default for CountingMap<K, V> {
     fn default() -> Self {
-        Table { entries: BTreeMap::new(), visited: Cell::new(0) }
+        CountingMap { entries: BTreeMap::new(), visited: Cell::new(0) }
     }
 }
 
-impl<K: Ord, V> Table<K, V> {
-    /// Entries looked at since the table was made.
+impl<K: Ord, V> CountingMap<K, V> {
+    /// Number of entries accessed since the map was created.
     pub fn visited(&self) -> u64 {
         self.visited.get()
     }
 
-    fn count(&self) {
+    fn count_visit(&self) {
         self.visited.set(self.visited.get() + 1);
     }
 
@@ -31,12 +32,12 @@
     }
 
     pub fn get(&self, key: &K) -> Option<&V> {
-        self.count();
+        self.count_visit();
         self.entries.get(key)
     }
 
     pub fn get_mut(&mut self, key: &K) -> Option<&mut V> {
-        self.count();
+        self.count_visit();
         self.entries.get_mut(key)
     }
 
@@ -45,27 +46,27 @@
     }
 
     pub fn entry(&mut self, key: K) -> btree_map::Entry<'_, K, V> {
-        self.count();
+        self.count_visit();
         self.entries.entry(key)
     }
 
     pub fn insert(&mut self, key: K, value: V) -> Option<V> {
-        self.count();
+        self.count_visit();
         self.entries.insert(key, value)
     }
 
     pub fn remove(&mut self, key: &K) -> Option<V> {
-        self.count();
+        self.count_visit();
         self.entries.remove(key)
     }
 
-    /// Removes an entry that does not stay; tells whether it is there now.
-    pub fn retain_one(&mut self, key: &K, stays: impl FnOnce(&V) -> bool) -> bool {
-        let kept = self.get(key).is_some_and(stays);
-        if !kept {
+    /// Removes an entry unless `keep` holds for it. Returns whether the map contains the key afterwards.
+    pub fn retain_one(&mut self, key: &K, keep: impl FnOnce(&V) -> bool) -> bool {
+        let retained = self.get(key).is_some_and(keep);
+        if !retained {
             self.entries.remove(key);
         }
-        kept
+        retained
     }
 
     pub fn remove_all(&mut self, keys: &BTreeSet<K>) {
@@ -75,7 +76,7 @@
     }
 
     pub fn iter(&self) -> impl Iterator<Item = (&K, &V)> {
-        self.entries.iter().inspect(|_| self.count())
+        self.entries.iter().inspect(|_| self.count_visit())
     }
 
     pub fn keys(&self) -> impl Iterator<Item = &K> {
@@ -88,11 +89,11 @@
     }
 }
 
-impl<K: Ord, V> Index<&K> for Table<K, V> {
+impl<K: Ord, V> Index<&K> for CountingMap<K, V> {
     type Output = V;
 
     fn index(&self, key: &K) -> &V {
-        self.count();
+        self.count_visit();
         &self.entries[key]
     }
 }
--- a/src/decaying_counter.rs
+++ b/src/decaying_counter.rs
@@ -1,22 +1,22 @@
-//! An exponentially decaying counter. State, no decision: the span is the caller's.
+//! An exponentially decaying event counter. The caller passes the time constant with each call.
 
 use std::time::Duration;
 
-/// Counts events and forgets them exponentially, over the span given on read.
+/// Counts events, with weights that decay exponentially with their age.
 #[derive(Default)]
 pub struct DecayingCounter {
-    sum: f64,
-    at: Duration,
+    count: f64,
+    updated_at: Duration,
 }
 
 impl DecayingCounter {
-    /// The events of about the last `span`.
-    pub fn read(&self, now: Duration, span: Duration) -> f64 {
-        self.sum * (-now.saturating_sub(self.at).as_secs_f64() / span.as_secs_f64()).exp()
+    /// The approximate number of events within the last `window`, which is the time constant of the decay.
+    pub fn read(&self, now: Duration, window: Duration) -> f64 {
+        self.count * (-now.saturating_sub(self.updated_at).as_secs_f64() / window.as_secs_f64()).exp()
     }
 
-    /// Counts one event.
-    pub fn add(&mut self, now: Duration, span: Duration) {
-        (self.sum, self.at) = (self.read(now, span) + 1.0, now);
+    /// Counts one event at `now`.
+    pub fn add(&mut self, now: Duration, window: Duration) {
+        (self.count, self.updated_at) = (self.read(now, window) + 1.0, now);
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,9 @@
-//! sailcart decides which packet is dispatched to which endpoint of an outside receiver, and when.
+//! Decides which packet is dispatched to which endpoint of an outside receiver, and when.
 //!
-//! [`control`] holds every decision, [`host`] the interface between it and whatever carries the packets. What is kept
-//! without deciding anything stands beside them: the list as told (`listing`), destinations and calls (`state`), tables that count their use (`counting_map`), a
-//! token bucket (`token_bucket`), a decaying counter (`decaying_counter`).
+//! [`control`] makes every decision, and [`host`] is the interface between it and the program that carries
+//! the packets. The other modules hold data and decide nothing: the destination list (`listing`), the state
+//! of destinations, endpoints and calls (`state`), a map that counts its accesses (`counting_map`), a token
+//! bucket (`token_bucket`) and an exponentially decaying counter (`decaying_counter`).
 
 pub mod control;
 mod counting_map;
--- a/src/listing.rs
+++ b/src/listing.rs
@@ -1,5 +1,5 @@
-//! What the destination list says, as compact as it can be kept: a destination that is listed and has no traffic costs one entry
-//! here, and nothing elsewhere. State, no decision.
+//! The destination list, stored compactly: a listed destination without traffic costs one entry here and
+//! nothing elsewhere. This module decides nothing.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -11,17 +11,18 @@
 /// A live endpoint of a destination, as last listed.
 #[derive(Clone, Copy)]
 struct ListedEndpoint {
+    /// Calls per second from all senders.
     rate: f64,
     id: EndpointId,
     kind: u32,
 }
 
-/// The live endpoints of a destination, the one last listed at the end. Most destinations have one.
+/// The live endpoints of a destination, the most recently listed one last. Most destinations have one.
 struct ListedDestination {
     first: ListedEndpoint,
     #[expect(
         clippy::box_collection,
-        reason = "eight bytes less in each of several hundred thousand entries"
+        reason = "saves eight bytes in each of several hundred thousand entries"
     )]
     others: Option<Box<Vec<ListedEndpoint>>>,
 }
@@ -31,8 +32,8 @@
         iter::once(&self.first).chain(self.others.iter().flat_map(|others| others.iter()))
     }
 
-    /// Takes one endpoint out; `false` where it is the only one.
-    fn take_out(&mut self, id: EndpointId) -> bool {
+    /// Removes an endpoint if it is listed. Returns `false`, and removes nothing, if it is the only one.
+    fn remove(&mut self, id: EndpointId) -> bool {
         let Some(others) = &mut self.others else { return self.first.id != id };
         others.retain(|other| other.id != id);
         if self.first.id == id {
@@ -44,9 +45,9 @@
         true
     }
 
-    /// Puts one endpoint last, anew if it is known.
-    fn put_last(&mut self, endpoint: ListedEndpoint) {
-        if self.take_out(endpoint.id) {
+    /// Puts an endpoint last. An older entry of the same endpoint is replaced.
+    fn push(&mut self, endpoint: ListedEndpoint) {
+        if self.remove(endpoint.id) {
             self.others.get_or_insert_default().push(endpoint);
         } else {
             self.first = endpoint;
@@ -54,63 +55,63 @@
     }
 }
 
-/// The list as told so far: which endpoints of which destinations are live.
+/// The live endpoints of all listed destinations.
 #[derive(Default)]
-pub struct Directory {
+pub struct DestinationList {
     destinations: BTreeMap<DestinationId, ListedDestination>,
     visited: Cell<u64>,
 }
 
-impl Directory {
-    /// Entries looked at since the directory was made.
+impl DestinationList {
+    /// Number of entries accessed since the list was created.
     pub fn visited(&self) -> u64 {
         self.visited.get()
     }
 
-    fn count(&self) {
+    fn count_visit(&self) {
         self.visited.set(self.visited.get() + 1);
     }
 
     /// Whether a destination has a live endpoint.
-    pub fn lists(&self, id: DestinationId) -> bool {
-        self.count();
+    pub fn contains(&self, id: DestinationId) -> bool {
+        self.count_visit();
         self.destinations.contains_key(&id)
     }
 
-    /// Forgets all, as a whole list does that is about to be noted.
+    /// Removes all entries, before a full snapshot is applied.
     pub fn clear(&mut self) {
         self.destinations.clear();
     }
 
-    /// Notes a line: its endpoint becomes the one last listed of its destination or, where it is not live, goes.
-    pub fn note(&mut self, line: &Listing) {
-        self.count();
-        let kind = u32::try_from(line.kind.0).unwrap_or(u32::MAX);
-        let told = ListedEndpoint { rate: line.rate, id: line.endpoint, kind };
-        match self.destinations.entry(line.destination) {
-            Entry::Occupied(mut known) if line.live => known.get_mut().put_last(told),
-            Entry::Occupied(mut known) => {
-                if !known.get_mut().take_out(line.endpoint) {
-                    known.remove();
+    /// Applies an entry: a live endpoint is put last in its destination, any other is removed.
+    pub fn apply(&mut self, entry: &Listing) {
+        self.count_visit();
+        let kind = u32::try_from(entry.kind.0).unwrap_or(u32::MAX);
+        let endpoint = ListedEndpoint { rate: entry.rate, id: entry.endpoint, kind };
+        match self.destinations.entry(entry.destination) {
+            Entry::Occupied(mut destination) if entry.live => destination.get_mut().push(endpoint),
+            Entry::Occupied(mut destination) => {
+                if !destination.get_mut().remove(entry.endpoint) {
+                    destination.remove();
                 }
             }
-            Entry::Vacant(place) if line.live => {
-                place.insert(ListedDestination { first: told, others: None });
+            Entry::Vacant(vacant) if entry.live => {
+                vacant.insert(ListedDestination { first: endpoint, others: None });
             }
             Entry::Vacant(_) => {}
         }
     }
 
-    /// A destination's live endpoints, in the order in which they were last listed.
-    pub fn lines(&self, id: DestinationId) -> Vec<Listing> {
-        self.count();
+    /// The entries of a destination's live endpoints, in the order in which they were last listed.
+    pub fn entries(&self, id: DestinationId) -> Vec<Listing> {
+        self.count_visit();
         let endpoints = self.destinations.get(&id).into_iter().flat_map(ListedDestination::endpoints);
-        endpoints.map(|endpoint| endpoint.line(id)).collect()
+        endpoints.map(|endpoint| endpoint.entry(id)).collect()
     }
 }
 
 impl ListedEndpoint {
-    fn line(&self, destination: DestinationId) -> Listing {
+    fn entry(&self, destination: DestinationId) -> Listing {
         let kind = KindId(self.kind as usize);
         Listing { endpoint: self.id, destination, kind, live: true, rate: self.rate }
     }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,65 +1,66 @@
-//! What a sender keeps of destinations, endpoints, calls and keys. State, no decision: what is learned of a lane, and all that is
-//! decided by it, stands in `control`.
+//! What a sender tracks of destinations, endpoints, calls, packets and keys. These are plain records: what is
+//! learned about an upstream, and every decision, is in `control`.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
 use crate::host::{DestinationId, EndpointId, KindId, PacketId};
 
-/// A destination or, where routes have limits of their own, one route.
-pub type LaneId = (DestinationId, Option<EndpointId>);
+/// The unit of rate limiting and health: a destination or, where each route has limits of its own, one route.
+pub type UpstreamId = (DestinationId, Option<EndpointId>);
 
 /// An endpoint of a destination that had traffic.
 pub struct Endpoint {
-    pub lane: LaneId,
-    /// False once it drains or is gone: calls to it may still be out.
+    pub upstream_id: UpstreamId,
+    /// False once the endpoint drains or has left the list; calls to it may still be in flight.
     pub live: bool,
     pub kind: KindId,
-    /// Calls that it may have in flight.
-    pub cap: usize,
+    /// Maximum number of calls in flight to this endpoint.
+    pub concurrency_limit: usize,
 }
 
 /// A destination that had traffic.
 #[derive(Default)]
 pub struct Destination {
     pub endpoints: BTreeSet<EndpointId>,
-    pub lanes: BTreeSet<LaneId>,
-    /// Packets that one call carries at most.
-    pub batch: usize,
-    /// When a packet for it was last held.
-    pub used: Duration,
+    pub upstreams: BTreeSet<UpstreamId>,
+    /// Maximum number of packets per call.
+    pub max_batch: usize,
+    /// When a packet for this destination last entered the hold.
+    pub last_held_at: Duration,
 }
 
-/// A call that is out.
+/// A call in flight.
 pub struct Call {
     pub endpoint: EndpointId,
-    pub lane: LaneId,
-    pub sent: Duration,
-    /// Those without an outcome.
-    pub packets: Vec<PacketId>,
-    /// Its lane has learned from its outcome.
-    pub judged: bool,
-    /// It was called off.
-    pub given_up: bool,
+    pub upstream_id: UpstreamId,
+    pub sent_at: Duration,
+    /// The packets of this call that have no outcome yet.
+    pub pending_packets: Vec<PacketId>,
+    /// The outcome has been recorded for the upstream, which happens once per call.
+    pub outcome_recorded: bool,
+    /// The host has been asked to cancel the call.
+    pub cancelled: bool,
 }
 
-/// Where a packet stands. `Held` and `Out` say when the first dispatch that may have run was sent, if any.
+/// The state of a packet. `Held` and `InFlight` contain the time at which the first dispatch that may have
+/// executed was sent, if there is one.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum State {
+pub enum PacketState {
     Held(Option<Duration>),
-    /// In the call of this number.
-    Out(u64, Option<Duration>),
-    /// Its client took it back while a dispatch is out; nothing more is owed.
+    /// Dispatched in the call with this number.
+    InFlight(u64, Option<Duration>),
+    /// Withdrawn by its client during the call with this number; the client gets no answer.
     Withdrawn(u64),
-    Done,
+    Completed,
     Dismissed,
     Scrapped,
 }
 
-/// The packets of one key in the order taken.
+/// The packets of one key, in the order in which they were accepted.
 #[derive(Default)]
-pub struct Turn {
-    pub queue: VecDeque<PacketId>,
-    /// None goes before.
-    pub rests_until: Duration,
+pub struct KeyQueue {
+    pub packets: VecDeque<PacketId>,
+    /// No packet of the key is dispatched before this time.
+    pub blocked_until: Duration,
 }
--- a/tests/scalability.rs
+++ b/tests/scalability.rs
@@ -158,7 +158,11 @@
     let mut play = Play::new(terms(), 20_000, 0, 8.0);
     visit(&mut play, 0..20_000, 20);
     // Those of the last ten seconds are kept for the time of warming, at fifty a second.
-    assert!(play.sender.active() <= MOST_ACTIVE as usize + 500 + 1, "{} active", play.sender.active());
+    assert!(
+        play.sender.active_destinations() <= MOST_ACTIVE as usize + 500 + 1,
+        "{} active",
+        play.sender.active_destinations()
+    );
 }
 
 #[test]
@@ -220,7 +224,7 @@
 fn a_destination_that_was_evicted_is_activated_by_its_next_packet() {
     let mut play = Play::new(terms(), 20_000, 0, 8.0);
     visit(&mut play, 0..12_000, 20);
-    assert!(play.sender.active() < 12_000);
+    assert!(play.sender.active_destinations() < 12_000);
     let packet = play.take(1, 0, 0, None)[0];
     play.round();
     assert_eq!(play.out(), [packet]);
@@ -246,7 +250,7 @@
     }
     play.now += ms(20_000);
     play.list(false, &[]);
-    assert!(play.sender.active() <= 20, "{} active", play.sender.active());
+    assert!(play.sender.active_destinations() <= 20, "{} active", play.sender.active_destinations());
 }
 
 /// One endpoint in the lines of two destinations, as of a list that moves it: whichever drains first, nothing is looked for in vain.
@@ -266,6 +270,6 @@
         play.list(false, &[]);
         play.after(11_000);
         play.list(true, &[]);
-        assert_eq!((play.sender.active(), play.out().len()), (0, 0));
+        assert_eq!((play.sender.active_destinations(), play.out().len()), (0, 0));
     }
 }
