--- a/src/control.rs
+++ b/src/control.rs
@@ -967,7 +967,7 @@
     /// How long a packet waits behind `packets_ahead` held ones of its destination: until those are
     /// dispatched at the current rate and, with sparse traffic, at least until an upstream is available.
     fn estimated_wait(&self, destination: DestinationId, packets_ahead: usize) -> Duration {
-        let Some(tracked) = self.destinations.get(&destination) else { return Duration::ZERO };
+        let Some(destination_state) = self.destinations.get(&destination) else { return Duration::ZERO };
         let rate_of =
             |upstream: &Upstream| upstream.rate.map_or(f64::INFINITY, |rate| rate.max(upstream.target_rate));
         let rate: f64 = self.upstreams_of(&destination).map(rate_of).sum();
@@ -975,7 +975,7 @@
             .upstreams_of(&destination)
             .map(|upstream| upstream.available_in(self.now, &self.parameters))
             .min();
-        let queueing = time_to_accrue(packets_ahead as f64, rate * tracked.max_batch.max(1) as f64);
+        let queueing = time_to_accrue(packets_ahead as f64, rate * destination_state.max_batch.max(1) as f64);
         queueing.max(available_in.filter(|_| self.parameters.sparse_traffic).unwrap_or_default())
     }
 
