--- a/crates/sailcart-sender/examples/directory.rs
+++ b/crates/sailcart-sender/examples/directory.rs
@@ -1,5 +1,7 @@
-//! What listed endpoints cost: `cargo run --release -p sailcart-sender --example directory`. Memory as the kernel counts it, and
-//! time for a first list, the same list again, and changes.
+//! Measures what listed endpoints cost: resident memory as the kernel reports it, and the time for a first
+//! list, for the same list again, and for updates.
+//!
+//!     cargo run --release -p sailcart-sender --example directory
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -11,16 +13,17 @@
 use sailcart_sender::exchange::staged::StagedList;
 use sailcart_sender::exchange::update::{Step, Update};
 
-const LISTED: u32 = 440_000;
-const MOST: usize = 500_000;
-/// A news has the changes of a second; so many news are a day.
-const CHANGES: u32 = 28;
-const NEWS: u32 = 86_400;
+const ENDPOINTS: u32 = 440_000;
+const MAX_ENDPOINTS: usize = 500_000;
+/// An update has the changes of one second.
+const CHANGES_PER_UPDATE: u32 = 28;
+/// One day of updates.
+const UPDATES: u32 = 86_400;
 
-/// A line of the process's status, in kB.
-fn status(name: &str) -> f64 {
+/// The value of a field of `/proc/self/status`, in kB.
+fn status_kb(field: &str) -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let line = status.lines().find_map(|line| line.strip_prefix(name)).unwrap_or_default();
+    let line = status.lines().find_map(|line| line.strip_prefix(field)).unwrap_or_default();
     line.trim_matches(|c: char| !c.is_ascii_digit()).parse().unwrap_or(f64::NAN)
 }
 
@@ -29,13 +32,13 @@
     let address = SocketAddr::from(([10, a, b, c], 1024 + (version % 60_000) as u16));
     let place = Place { address, destination: DestinationId(u64::from(number)), kind: 0 };
     let name = format!("endpoint-{number:08}");
-    staged.add(directory, &Line { name: &name, place, live, rate: 50.0 }).expect("room");
+    staged.add(directory, &Line { name: &name, place, live, rate: 50.0 }).expect("the list fits");
 }
 
-/// How long each step took.
-fn commit(directory: &mut Directory, staged: StagedList, whole: bool, now: Duration) -> Vec<Duration> {
+/// Puts a list in force. Returns the duration of each step.
+fn commit(directory: &mut Directory, staged: StagedList, full: bool, now: Duration) -> Vec<Duration> {
     let mut steps = Vec::new();
-    let mut update = Update::new(staged, whole, directory, now);
+    let mut update = Update::new(staged, full, directory, now);
     loop {
         let start = Instant::now();
         let step = update.step(directory);
@@ -46,76 +49,77 @@
     }
 }
 
-fn spread(times: &mut [Duration]) -> String {
+fn percentiles(times: &mut [Duration]) -> String {
     times.sort();
-    let at = |share: f64| times[((times.len() - 1) as f64 * share) as usize];
+    let at = |fraction: f64| times[((times.len() - 1) as f64 * fraction) as usize];
     format!("p50 {:?}, p99 {:?}, p99.9 {:?}, longest {:?}", at(0.5), at(0.99), at(0.999), at(1.0))
 }
 
-/// Memory beside what the process had before, in kB.
-fn memory(directory: &Directory, before: f64, what: &str) {
-    let each = |bytes: f64| bytes / f64::from(LISTED);
+/// Prints the memory in use beyond `baseline_kb`.
+fn print_memory(directory: &Directory, baseline_kb: f64, phase: &str) {
+    let per_endpoint = |bytes: f64| bytes / f64::from(ENDPOINTS);
     println!(
-        "{what}: {} listed, allocated {:.1} bytes each, resident {:.1} bytes each, at most {:.1} MB above the start",
+        "{phase}: {} endpoints, allocated {:.1} bytes each, resident {:.1} bytes each, peak {:.1} MB above the start",
         directory.len(),
-        each(directory.bytes() as f64),
-        each((status("VmRSS:") - before) * 1024.0),
-        (status("VmHWM:") - before) / 1024.0
+        per_endpoint(directory.bytes() as f64),
+        per_endpoint((status_kb("VmRSS:") - baseline_kb) * 1024.0),
+        (status_kb("VmHWM:") - baseline_kb) / 1024.0
     );
 }
 
 fn main() {
     let mut directory = Directory::new();
-    let before = status("VmRSS:");
-    for what in ["first list", "the same again"] {
+    let baseline_kb = status_kb("VmRSS:");
+    for phase in ["first list", "same list again"] {
         let start = Instant::now();
-        let mut staged = StagedList::new(&mut directory, MOST);
-        for number in 0..LISTED {
+        let mut staged = StagedList::new(&mut directory, MAX_ENDPOINTS);
+        for number in 0..ENDPOINTS {
             add(&mut directory, &mut staged, number, 0, true);
         }
-        let (read, differences) = (start.elapsed(), staged.differences());
+        let (staged_in, differences) = (start.elapsed(), staged.differences());
         let start = Instant::now();
         let mut steps = commit(&mut directory, staged, true, Duration::ZERO);
         println!(
-            "{what}: {differences} differ, read in {read:?}, in force in {:?}, {} steps, {}",
+            "{phase}: {differences} differences, staged in {staged_in:?}, in force in {:?}, {} steps, {}",
             start.elapsed(),
             steps.len(),
-            spread(&mut steps)
+            percentiles(&mut steps)
         );
     }
-    memory(&directory, before, "after the lists");
+    print_memory(&directory, baseline_kb, "after the lists");
 
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let (mut times, visited) = (Vec::with_capacity(NEWS as usize), directory.visited());
-    times.resize(NEWS as usize, Duration::ZERO);
-    let before = before + f64::from(NEWS) * size_of::<Duration>() as f64 / 1024.0;
+    let (mut times, visited_before) = (Vec::with_capacity(UPDATES as usize), directory.visited());
+    times.resize(UPDATES as usize, Duration::ZERO);
+    let baseline_kb = baseline_kb + f64::from(UPDATES) * size_of::<Duration>() as f64 / 1024.0;
     let mut drained = Vec::new();
-    for news in 1..=NEWS {
+    for version in 1..=UPDATES {
         let start = Instant::now();
-        let mut staged = StagedList::new(&mut directory, MOST);
-        for change in 0..CHANGES {
-            let number = rng.random_range(0..LISTED);
+        let mut staged = StagedList::new(&mut directory, MAX_ENDPOINTS);
+        for change in 0..CHANGES_PER_UPDATE {
+            let number = rng.random_range(0..ENDPOINTS);
             match (change % 4, drained.len()) {
                 (0, ..1000) => {
                     drained.push(number);
                     add(&mut directory, &mut staged, number, 0, false);
                 }
                 (1, 1..) => {
-                    let back = drained.swap_remove(rng.random_range(0..drained.len()));
-                    add(&mut directory, &mut staged, back, news, true);
+                    let returning = drained.swap_remove(rng.random_range(0..drained.len()));
+                    add(&mut directory, &mut staged, returning, version, true);
                 }
-                _ => add(&mut directory, &mut staged, number, news, true),
+                _ => add(&mut directory, &mut staged, number, version, true),
             }
         }
-        commit(&mut directory, staged, false, Duration::from_secs(news.into()));
-        times[news as usize - 1] = start.elapsed();
+        commit(&mut directory, staged, false, Duration::from_secs(version.into()));
+        times[version as usize - 1] = start.elapsed();
     }
-    let (total, changes) = (times.iter().sum::<Duration>(), f64::from(NEWS) * f64::from(CHANGES));
+    let (total, changes) =
+        (times.iter().sum::<Duration>(), f64::from(UPDATES) * f64::from(CHANGES_PER_UPDATE));
     println!(
-        "{NEWS} news of {CHANGES} changes: {:.2} us and {:.1} visits a change; a news {}",
+        "{UPDATES} updates of {CHANGES_PER_UPDATE} changes: {:.2} us and {:.1} visits per change; per update {}",
         total.as_secs_f64() * 1e6 / changes,
-        (directory.visited() - visited) as f64 / changes,
-        spread(&mut times)
+        (directory.visited() - visited_before) as f64 / changes,
+        percentiles(&mut times)
     );
-    memory(&directory, before, "after them");
+    print_memory(&directory, baseline_kb, "after the updates");
 }
--- a/crates/sailcart-sender/examples/ledger.rs
+++ b/crates/sailcart-sender/examples/ledger.rs
@@ -1,4 +1,6 @@
-//! What a packet costs in the ledger, beside so many that stay: `cargo run --release -p sailcart-sender --example ledger`.
+//! Measures what the records of a packet cost while a number of other packets stays in the ledger.
+//!
+//!     cargo run --release -p sailcart-sender --example ledger
 
 use std::time::{Duration, Instant};
 
@@ -7,8 +9,8 @@
 use sailcart_sender::memory::ledger::Ledger;
 use sailcart_sender::memory::moment::Moment;
 
-const ROOM: u64 = 3_000_000;
-const HELD: u64 = 1_500;
+const CAPACITY_BYTES: u64 = 3_000_000;
+const HELD_PACKETS: u64 = 1_500;
 
 fn packet(ledger: &Ledger) -> Packet {
     let number = ledger.next();
@@ -26,32 +28,35 @@
 }
 
 fn main() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let mut ledger = Ledger::open(folder.path(), ROOM, 1000, sailcart_store::Sync::None).expect("a ledger");
-    for _ in 0..HELD {
+    let folder = tempfile::tempdir().expect("a temporary folder");
+    let mut ledger = Ledger::open(folder.path(), CAPACITY_BYTES, 1000, sailcart_store::Sync::None)
+        .expect("the ledger opens");
+    for _ in 0..HELD_PACKETS {
         let packet = packet(&ledger);
-        ledger.take(packet).expect("room");
+        ledger.take(packet).expect("the packet fits");
     }
-    let mut all = Vec::new();
+    let mut times = Vec::new();
     let start = Instant::now();
     while start.elapsed() < Duration::from_secs(3) {
         let packet = packet(&ledger);
-        let id = packet.number;
-        let mut timed = |act: &mut dyn FnMut()| {
+        let number = packet.number;
+        let mut timed = |operation: &mut dyn FnMut()| {
             let start = Instant::now();
-            act();
-            all.push(start.elapsed());
+            operation();
+            times.push(start.elapsed());
         };
         let mut packet = Some(packet);
-        timed(&mut || ledger.take(packet.take().expect("one")).expect("room"));
+        timed(&mut || ledger.take(packet.take().expect("called once")).expect("the packet fits"));
         timed(&mut || {
-            ledger.sends(&[id], Moment::by_wall_clock(Duration::from_secs(1_764_000_000))).expect("room")
+            ledger
+                .sends(&[number], Moment::by_wall_clock(Duration::from_secs(1_764_000_000)))
+                .expect("the record fits")
         });
-        timed(&mut || ledger.over(id));
+        timed(&mut || ledger.over(number));
     }
-    let rate = all.len() as f64 / start.elapsed().as_secs_f64();
-    all.sort();
-    let us = |part: f64| all[((all.len() - 1) as f64 * part) as usize].as_secs_f64() * 1e6;
+    let rate = times.len() as f64 / start.elapsed().as_secs_f64();
+    times.sort();
+    let us = |fraction: f64| times[((times.len() - 1) as f64 * fraction) as usize].as_secs_f64() * 1e6;
     println!(
         "{rate:.0} records/s, p50 {:.1}, p99 {:.1}, p99.9 {:.1}, max {:.0} us",
         us(0.5),
--- a/crates/sailcart-sender/examples/list_speed.rs
+++ b/crates/sailcart-sender/examples/list_speed.rs
@@ -1,4 +1,4 @@
-//! How fast a destination list is read: one of 440,000 entries, in pieces of 64 KiB.
+//! Measures how fast the list of endpoints is parsed: a list of 440,000 entries, in pieces of 64 KiB.
 //!
 //!     cargo run --release -p sailcart-sender --example list_speed
 
@@ -9,7 +9,7 @@
 use sailcart_sender::wire::list_reader::ListReader;
 
 const ENTRIES: usize = 440_000;
-const ROUNDS: usize = 5;
+const REPETITIONS: usize = 5;
 
 fn main() {
     let mut list = String::from(r#"{"generation":1,"reset":true,"instances":["#);
@@ -27,19 +27,19 @@
         );
     }
     list.push_str("]}");
-    for _ in 0..ROUNDS {
+    for _ in 0..REPETITIONS {
         let start = Instant::now();
         let mut reader = ListReader::default();
-        let mut read = 0;
+        let mut entries_read = 0;
         for piece in list.as_bytes().chunks(PIECE) {
-            read += reader.push(piece).map_or(0, |entries| entries.len());
+            entries_read += reader.push(piece).map_or(0, |entries| entries.len());
         }
-        let took = start.elapsed().as_secs_f64();
+        let seconds = start.elapsed().as_secs_f64();
         let megabytes = list.len() as f64 / 1e6;
-        let whole = reader.finish().is_ok();
+        let complete = reader.finish().is_ok();
         println!(
-            "{read} entries, {megabytes:.1} MB in {took:.3} s: {:.0} MB/s, whole: {whole}",
-            megabytes / took
+            "{entries_read} entries, {megabytes:.1} MB in {seconds:.3} s: {:.0} MB/s, complete: {complete}",
+            megabytes / seconds
         );
     }
 }
--- a/crates/sailcart-sender/src/memory/backlog.rs
+++ b/crates/sailcart-sender/src/memory/backlog.rs
@@ -1,6 +1,8 @@
-//! Changes of the journal that have happened and that the folder has not taken yet, in their order. Only what follows from the past
-//! stands here: how calls came back, ends, notices that were acknowledged. What must stand on the disk before it happens is refused
-//! instead, so a backlog holds three groups for each packet that was kept when the folder began to fail, at most.
+//! Journal changes that have happened but could not be written to the state folder yet, in order.
+//!
+//! The backlog holds only consequences of past events: outcomes of calls, completions of packets and
+//! acknowledgements of notices. An action that needs its record on disk first is refused instead. So the
+//! backlog holds at most three groups for each packet that was held when the folder began to fail.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,7 +11,7 @@
 
 use super::records::Key;
 
-/// A change that owns its bytes.
+/// A [`Change`] that owns its bytes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OwnedChange {
     Put(Key, Vec<u8>),
@@ -17,7 +19,7 @@
 }
 
 impl OwnedChange {
-    /// As the store takes it.
+    /// Borrows the change in the form that the store accepts.
     pub fn as_change(&self) -> Change<'_> {
         match self {
             OwnedChange::Put(key, value) => Change::Put(key, value),
@@ -26,59 +28,61 @@
     }
 }
 
-/// Changes about one packet that count together or not at all.
+/// Changes to the records of one packet that are written atomically.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Group {
+pub struct ChangeGroup {
     pub packet: PacketId,
     pub changes: Vec<OwnedChange>,
 }
 
-impl Group {
-    /// As the store takes them.
+impl ChangeGroup {
+    /// Borrows the changes in the form that the store accepts.
     pub fn as_changes(&self) -> Vec<Change<'_>> {
         self.changes.iter().map(OwnedChange::as_change).collect()
     }
 }
 
-/// Groups in the order in which they happened.
+/// A first-in, first-out queue of change groups.
 #[derive(Debug, Default)]
 pub struct Backlog {
-    groups: VecDeque<Group>,
-    /// How many groups each packet has here.
-    by_packet: BTreeMap<PacketId, u32>,
+    groups: VecDeque<ChangeGroup>,
+    group_counts: BTreeMap<PacketId, u32>,
 }
 
 impl Backlog {
-    pub fn push(&mut self, group: Group) {
-        *self.by_packet.entry(group.packet).or_default() += 1;
+    /// Appends a group.
+    pub fn push(&mut self, group: ChangeGroup) {
+        *self.group_counts.entry(group.packet).or_default() += 1;
         self.groups.push_back(group);
     }
 
-    /// The group that is due next.
-    pub fn first(&self) -> Option<&Group> {
+    /// The group to be written next.
+    pub fn first(&self) -> Option<&ChangeGroup> {
         self.groups.front()
     }
 
-    /// The first group has been written.
-    pub fn written(&mut self) {
+    /// Removes the first group once it has been written.
+    pub fn remove_first(&mut self) {
         let Some(group) = self.groups.pop_front() else { return };
-        if let Some(count) = self.by_packet.get_mut(&group.packet) {
+        if let Some(count) = self.group_counts.get_mut(&group.packet) {
             *count -= 1;
             if *count == 0 {
-                self.by_packet.remove(&group.packet);
+                self.group_counts.remove(&group.packet);
             }
         }
     }
 
-    /// Whether something about a packet is still to be written.
-    pub fn concerns(&self, packet: PacketId) -> bool {
-        self.by_packet.contains_key(&packet)
+    /// Whether a group of this packet is still unwritten.
+    pub fn contains(&self, packet: PacketId) -> bool {
+        self.group_counts.contains_key(&packet)
     }
 
+    /// Whether all groups have been written.
     pub fn is_empty(&self) -> bool {
         self.groups.is_empty()
     }
 
+    /// The number of unwritten groups.
     pub fn len(&self) -> usize {
         self.groups.len()
     }
--- a/crates/sailcart-sender/src/memory/format1.rs
+++ b/crates/sailcart-sender/src/memory/format1.rs
@@ -1,4 +1,4 @@
-//! The journal of format 1, one file: read once, and carried over.
+//! Reads the journal of format 1, a single file, so that its records can be migrated into the store.
 
 use std::fs;
 use std::io;
@@ -13,66 +13,76 @@
 use super::records;
 use super::{Notice, Packet, Stand};
 
-const NAME: &str = "journal";
-const HEAD: &[u8] = b"sailcart journal 1\n";
+const FILE_NAME: &str = "journal";
+const HEADER: &[u8] = b"sailcart journal 1\n";
 
-/// One record; all of a packet's records bear its number.
+/// One journal record. Every record of a packet carries the packet's number.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
-    Taken(Packet),
-    Stands(PacketId, Stand),
-    /// The packet is over, and the platform is owed a notice of it.
-    Owed(PacketId, Box<str>, Notice),
-    /// Nothing more is owed.
-    Over(PacketId),
+    Accepted(Packet),
+    DispatchState(PacketId, Stand),
+    /// The packet completed without being delivered, and its notice is pending.
+    PendingNotice(PacketId, Box<str>, Notice),
+    /// The packet completed, and its notice, if any, was acknowledged.
+    Completed(PacketId),
 }
 
-/// The folder's journal of format 1, if it has one. A torn tail never counted.
+/// Reads the records of the folder's format 1 journal; `None` if the folder has no such file.
+///
+/// A torn write at the end of the file is ignored: its record never counted.
+///
+/// # Errors
+/// [`io::ErrorKind::InvalidData`] if the file has another header; errors of the file system.
 pub fn read(folder: &Path) -> io::Result<Option<Vec<Record>>> {
-    let all = match fs::read(folder.join(NAME)) {
-        Err(fault) if fault.kind() == io::ErrorKind::NotFound => return Ok(None),
+    let content = match fs::read(folder.join(FILE_NAME)) {
+        Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
         other => other?,
     };
-    if !HEAD.starts_with(&all) && !all.starts_with(HEAD) {
-        let words = format!("{} is not a journal that this version reads", folder.join(NAME).display());
-        return Err(io::Error::new(io::ErrorKind::InvalidData, words));
+    if !HEADER.starts_with(&content) && !content.starts_with(HEADER) {
+        let message =
+            format!("{}: expected the header of a format 1 journal", folder.join(FILE_NAME).display());
+        return Err(io::Error::new(io::ErrorKind::InvalidData, message));
     }
-    let (mut records, mut rest) = (Vec::new(), all.strip_prefix(HEAD).unwrap_or_default());
+    let (mut records, mut rest) = (Vec::new(), content.strip_prefix(HEADER).unwrap_or_default());
     while let Ok((after, record)) = unframe(rest) {
         let Ok((_, record)) = all_consuming(decode).parse(record) else { break };
         records.push(record);
         rest = after;
     }
     if !rest.is_empty() {
-        log::warn!("journal: code=torn {} bytes cut, {} records kept", rest.len(), records.len());
+        log::warn!(
+            "journal: code=torn ignored {} bytes at the end, read {} records",
+            rest.len(),
+            records.len()
+        );
     }
     Ok(Some(records))
 }
 
-/// It has been carried over: its records stand elsewhere.
-pub fn retire(folder: &Path) -> io::Result<()> {
-    let _ = fs::remove_file(folder.join(NAME).with_extension("new"));
-    fs::remove_file(folder.join(NAME))
+/// Deletes the format 1 journal after its records have been migrated.
+pub fn remove(folder: &Path) -> io::Result<()> {
+    let _ = fs::remove_file(folder.join(FILE_NAME).with_extension("new"));
+    fs::remove_file(folder.join(FILE_NAME))
 }
 
-/// Length and checksum, then the record.
+/// Parses one frame: the record's length, its CRC-32, the record.
 fn unframe(input: &[u8]) -> IResult<&[u8], &[u8]> {
-    let (rest, (length, sum)) = (be_u32, be_u32).parse(input)?;
+    let (rest, (length, checksum)) = (be_u32, be_u32).parse(input)?;
     let (rest, record) = take(length)(rest)?;
-    if crc32fast::hash(record) != sum {
+    if crc32fast::hash(record) != checksum {
         return Err(nom::Err::Error(nom::error::Error::new(input, nom::error::ErrorKind::Verify)));
     }
     Ok((rest, record))
 }
 
 fn decode(input: &[u8]) -> IResult<&[u8], Record> {
-    let (rest, (form, id)) = (be_u8, be_u64.map(PacketId)).parse(input)?;
-    match form {
-        1 => (|input| records::packet(id, input)).map(Record::Taken).parse(rest),
-        2 => records::stand.map(|stand| Record::Stands(id, stand)).parse(rest),
-        3 => {
-            (records::word, records::notice).map(|(name, notice)| Record::Owed(id, name, notice)).parse(rest)
-        }
-        _ => Ok((rest, Record::Over(id))),
+    let (rest, (tag, number)) = (be_u8, be_u64.map(PacketId)).parse(input)?;
+    match tag {
+        1 => (|input| records::packet(number, input)).map(Record::Accepted).parse(rest),
+        2 => records::dispatch_state.map(|state| Record::DispatchState(number, state)).parse(rest),
+        3 => (records::string, records::notice)
+            .map(|(id, notice)| Record::PendingNotice(number, id, notice))
+            .parse(rest),
+        _ => Ok((rest, Record::Completed(number))),
     }
 }
--- a/crates/sailcart-sender/src/memory/ledger.rs
+++ b/crates/sailcart-sender/src/memory/ledger.rs
@@ -1,5 +1,8 @@
-//! Packets taken on and notices owed. What must stand in the journal before it happens is refused where it cannot be written; what has
-//! happened is written as soon as the folder takes it, and told to nobody before whom the next process could contradict it.
+//! The ledger: accepted packets, pending notices and recently completed ids, each backed by the journal.
+//!
+//! An action whose record must be on disk first is refused while the state folder cannot be written. What
+//! has already happened is recorded as soon as the folder can be written again. Until then it is reported
+//! only where a later process, which would not find the record, could not contradict the report.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::io;
@@ -9,413 +12,474 @@
 use sailcart::PacketId;
 use sailcart_store::{Change, Disk, Fault, Room, Store, Sync};
 
-use super::backlog::{Backlog, Group, OwnedChange};
+use super::backlog::{Backlog, ChangeGroup, OwnedChange};
 use super::format1;
 use super::moment::Moment;
-use super::records::{self, Form, Record, key};
+use super::records::{self, Record, RecordKind, key};
 use super::{Notice, Packet, Stand};
 
-struct Kept {
+struct HeldPacket {
     packet: Rc<Packet>,
-    stand: Stand,
+    dispatch_state: Stand,
 }
 
 /// A notice that the platform has not acknowledged.
-struct Owed {
+struct PendingNotice {
     id: Box<str>,
     notice: Notice,
-    /// When its packet's time is over: from then on no process calls for it. `None` for one of an earlier life, whose record stands.
+    /// After the packet's deadline no process dispatches it again. `None` for a notice of a previous
+    /// process, whose record is on disk.
     ends: Option<Moment>,
 }
 
-/// The last packets that are over, and what their clients were told at once where they were not taken on.
+/// The most recently completed packets by the id that the client chose.
 #[derive(Default)]
-struct Ended {
-    told: HashMap<Box<str>, Option<Notice>>,
+struct CompletedIds {
+    /// The notice that the client received in place of an acceptance; `None` if the packet was accepted.
+    rejections: HashMap<Box<str>, Option<Notice>>,
     order: VecDeque<Box<str>>,
-    most: usize,
+    max_ids: usize,
 }
 
-impl Ended {
-    fn note(&mut self, id: &str, told: Option<Notice>) {
-        if self.told.insert(id.into(), told).is_none() {
-            self.order.push_back(id.into());
+impl CompletedIds {
+    fn insert(&mut self, client_id: &str, rejection: Option<Notice>) {
+        if self.rejections.insert(client_id.into(), rejection).is_none() {
+            self.order.push_back(client_id.into());
         }
-        while self.order.len() > self.most {
-            self.order.pop_front().and_then(|first| self.told.remove(&first));
+        while self.order.len() > self.max_ids {
+            self.order.pop_front().and_then(|first| self.rejections.remove(&first));
         }
     }
 }
 
-/// Of the room, the part that ids of packets that are over may take.
-const REMEMBERED: u64 = 16;
-/// Bytes that one takes there, about.
-const ID: u64 = 96;
+/// The ids of completed packets may use the capacity of the journal divided by this.
+const COMPLETED_IDS_CAPACITY_DIVISOR: u64 = 16;
+/// Approximate size of such an id in the journal.
+const COMPLETED_ID_BYTES: u64 = 96;
 
+/// Accepted packets, pending notices and completed ids, in memory and in the journal.
 pub struct Ledger {
     store: Store<Disk>,
-    kept: BTreeMap<PacketId, Kept>,
-    owed: BTreeMap<PacketId, Owed>,
-    numbers: HashMap<Box<str>, PacketId>,
-    ended: Ended,
-    /// Those that are over and stand in the store, the first one first.
-    over: VecDeque<PacketId>,
-    most_over: usize,
-    next: u64,
-    /// What packets that are kept may still need beside their own records.
-    reserved: u64,
-    /// What has happened and could not be written yet.
+    held: BTreeMap<PacketId, HeldPacket>,
+    pending_notices: BTreeMap<PacketId, PendingNotice>,
+    numbers_by_id: HashMap<Box<str>, PacketId>,
+    completed_ids: CompletedIds,
+    /// Completed packets whose ids are in the store, oldest first.
+    stored_completed: VecDeque<PacketId>,
+    max_stored_completed: usize,
+    next_number: u64,
+    /// Capacity of the store set aside for further records of the accepted packets.
+    reserved_bytes: u64,
+    /// Changes that have happened and could not be written yet.
     backlog: Backlog,
-    /// Writes fail, and so was told.
-    alarm: bool,
-    /// No room for the last packet that came, and so was told.
-    full: bool,
+    /// Writes are failing, and this has been logged.
+    write_failure_logged: bool,
+    /// The last submitted packet did not fit, and this has been logged.
+    no_space_logged: bool,
 }
 
 impl Ledger {
-    /// `room` is all that the folder may hold. So many `ended` packets are remembered in memory, and of them as many
-    /// over a restart as a sixteenth of the room holds.
+    /// Opens the journal in `folder`, migrates a journal of format 1, and restores what they contain.
+    ///
+    /// The folder may take up to `capacity_bytes`. Up to `max_completed` completed ids are remembered in
+    /// memory; across a restart only as many of them as fit into a sixteenth of the capacity.
     ///
     /// # Errors
-    /// What [`Store::open`] refuses; a journal of another format than 1 beside it.
-    pub fn open(folder: &Path, room: u64, ended: usize, sync: Sync) -> io::Result<Self> {
-        let opened = Store::open(Disk::new(folder), Room { bytes: room, sync });
-        let (store, standing) = opened.map_err(|fault| match fault {
+    /// The errors of [`Store::open`]; a record of an unknown kind; a journal file in the folder that is not
+    /// of format 1.
+    pub fn open(folder: &Path, capacity_bytes: u64, max_completed: usize, sync: Sync) -> io::Result<Self> {
+        let opened = Store::open(Disk::new(folder), Room { bytes: capacity_bytes, sync });
+        let (store, recovered) = opened.map_err(|error| match error {
             Fault::InUse => {
-                let words = format!("{} is in use by another sender", folder.display());
-                io::Error::new(io::ErrorKind::WouldBlock, words)
+                let message = format!("{} is in use by another sender", folder.display());
+                io::Error::new(io::ErrorKind::WouldBlock, message)
             }
             other => other.into(),
         })?;
-        if standing.cut > 0 {
-            log::warn!("journal: code=torn {} bytes cut, {} records kept", standing.cut, standing.records);
+        if recovered.cut > 0 {
+            log::warn!(
+                "journal: code=torn truncated {} bytes at the end, read {} records",
+                recovered.cut,
+                recovered.records
+            );
         }
-        let most_over = ended.min((room / REMEMBERED / ID) as usize);
+        let max_stored_completed = max_completed
+            .min((capacity_bytes / COMPLETED_IDS_CAPACITY_DIVISOR / COMPLETED_ID_BYTES) as usize);
         let mut ledger = Ledger {
             store,
-            kept: BTreeMap::new(),
-            owed: BTreeMap::new(),
-            numbers: HashMap::new(),
-            ended: Ended { most: ended, ..Ended::default() },
-            over: VecDeque::new(),
-            most_over,
-            next: 0,
-            reserved: 0,
+            held: BTreeMap::new(),
+            pending_notices: BTreeMap::new(),
+            numbers_by_id: HashMap::new(),
+            completed_ids: CompletedIds { max_ids: max_completed, ..CompletedIds::default() },
+            stored_completed: VecDeque::new(),
+            max_stored_completed,
+            next_number: 0,
+            reserved_bytes: 0,
             backlog: Backlog::default(),
-            alarm: false,
-            full: false,
+            write_failure_logged: false,
+            no_space_logged: false,
         };
-        ledger.recover()?;
-        ledger.carry_over(folder)?;
+        ledger.load_records()?;
+        ledger.migrate_format1(folder)?;
         Ok(ledger)
     }
 
-    /// Packets come before how they stand and what is owed, by the order of keys.
-    fn recover(&mut self) -> io::Result<()> {
+    /// Keys are ordered by record kind, so each packet is read before its dispatch state and its notice.
+    fn load_records(&mut self) -> io::Result<()> {
         let keys: Vec<Box<[u8]>> = self.store.keys(&[], None).map(Box::from).collect();
         for key in keys {
             let Some(value) = self.store.get(&key)? else { continue };
-            let record = records::read(&key, &value);
-            match record.ok_or_else(|| unknown(&key))? {
-                Record::Packet(packet) => self.enter(packet),
-                Record::Stand(id, stand) => drop(self.kept.entry(id).and_modify(|kept| kept.stand = stand)),
-                Record::Owed(id, name, notice) => {
-                    self.ended.note(&name, None);
-                    self.next = self.next.max(id.0 + 1);
-                    self.owed.insert(id, Owed { id: name, notice, ends: None });
+            let record = records::decode(&key, &value);
+            match record.ok_or_else(|| unknown_record(&key))? {
+                Record::Packet(packet) => self.insert(packet),
+                Record::DispatchState(number, state) => {
+                    self.held.entry(number).and_modify(|held| held.dispatch_state = state);
+                }
+                Record::PendingNotice(number, client_id, notice) => {
+                    self.completed_ids.insert(&client_id, None);
+                    self.next_number = self.next_number.max(number.0 + 1);
+                    self.pending_notices.insert(number, PendingNotice { id: client_id, notice, ends: None });
                 }
-                Record::Over(id, name, told) => {
-                    self.ended.note(&name, told);
-                    self.next = self.next.max(id.0 + 1);
-                    self.over.push_back(id);
+                Record::Completed(number, client_id, rejection) => {
+                    self.completed_ids.insert(&client_id, rejection);
+                    self.next_number = self.next_number.max(number.0 + 1);
+                    self.stored_completed.push_back(number);
                 }
             }
         }
         Ok(())
     }
 
-    /// A journal of format 1: nothing new is taken before all of it stands here, so that a start cut short in the
-    /// middle does the same again.
-    fn carry_over(&mut self, folder: &Path) -> io::Result<()> {
+    /// Migrates a journal of format 1. No new packet is accepted before all of its records are on disk in
+    /// the store, so that a start that was interrupted half-way can repeat the migration.
+    fn migrate_format1(&mut self, folder: &Path) -> io::Result<()> {
         let Some(records) = format1::read(folder)? else { return Ok(()) };
         let count = records.len();
         for record in records {
             match record {
-                format1::Record::Taken(packet) => self.take(packet)?,
-                format1::Record::Stands(id, stand) => self.put_stand(id, stand),
-                format1::Record::Owed(id, _, notice) => self.owe(id, notice),
-                format1::Record::Over(id) => {
-                    self.over(id);
-                    self.told(&[id]);
+                format1::Record::Accepted(packet) => self.take(packet)?,
+                format1::Record::DispatchState(number, state) => self.update_dispatch_state(number, state),
+                format1::Record::PendingNotice(number, _, notice) => self.owe(number, notice),
+                format1::Record::Completed(number) => {
+                    self.over(number);
+                    self.told(&[number]);
                 }
             }
         }
         self.write_backlog()?;
         self.store.sync()?;
-        format1::retire(folder)?;
+        format1::remove(folder)?;
         log::info!("journal: code=carried_over {count} records of format 1");
         Ok(())
     }
 
-    fn enter(&mut self, packet: Packet) {
-        self.reserved += Self::reserve(&packet);
-        self.next = self.next.max(packet.number.0 + 1);
-        self.numbers.insert(packet.id.clone(), packet.number);
-        let kept = Kept { packet: Rc::new(packet), stand: Stand::default() };
-        self.kept.insert(kept.packet.number, kept);
+    fn insert(&mut self, packet: Packet) {
+        self.reserved_bytes += Self::reservation(&packet);
+        self.next_number = self.next_number.max(packet.number.0 + 1);
+        self.numbers_by_id.insert(packet.id.clone(), packet.number);
+        let held = HeldPacket { packet: Rc::new(packet), dispatch_state: Stand::default() };
+        self.held.insert(held.packet.number, held);
     }
 
-    fn leave(&mut self, id: PacketId, told: Option<Notice>) -> Option<Kept> {
-        let kept = self.kept.remove(&id)?;
-        self.ended.note(&kept.packet.id, told);
-        self.reserved -= Self::reserve(&kept.packet);
-        self.numbers.remove(&kept.packet.id);
-        Some(kept)
+    fn remove(&mut self, number: PacketId, rejection: Option<Notice>) -> Option<HeldPacket> {
+        let removed = self.held.remove(&number)?;
+        self.completed_ids.insert(&removed.packet.id, rejection);
+        self.reserved_bytes -= Self::reservation(&removed.packet);
+        self.numbers_by_id.remove(&removed.packet.id);
+        Some(removed)
     }
 
-    /// What a packet may still need: how it stands, and its notice or its being over.
-    fn reserve(packet: &Packet) -> u64 {
-        let (start, notice) = (packet.ends, Notice::Dismissed(Some(Default::default())));
-        let stand = Stand { doubt: Some(start), out: Some(start), dispatches: 0 };
-        let cost = |form, value: &[u8]| Store::<Disk>::cost(&key(form, packet.number), value);
-        cost(Form::Stand, &records::write_stand(&stand))
-            + cost(Form::Owed, &records::write_owed(&packet.id, &notice))
-            + cost(Form::Over, &records::write_over(&packet.id, Some(&notice)))
+    /// Bytes that the further records of a packet may take: its dispatch state, its notice and its
+    /// completion.
+    fn reservation(packet: &Packet) -> u64 {
+        let (moment, notice) = (packet.ends, Notice::Dismissed(Some(Default::default())));
+        let state = Stand { doubt: Some(moment), out: Some(moment), dispatches: 0 };
+        let cost = |kind, value: &[u8]| Store::<Disk>::cost(&key(kind, packet.number), value);
+        cost(RecordKind::DispatchState, &records::encode_dispatch_state(&state))
+            + cost(RecordKind::PendingNotice, &records::encode_pending_notice(&packet.id, &notice))
+            + cost(RecordKind::Completed, &records::encode_completed(&packet.id, Some(&notice)))
     }
 
-    /// The number that the next packet gets.
+    /// The number for the next packet to be accepted.
     pub fn next(&self) -> PacketId {
-        PacketId(self.next)
+        PacketId(self.next_number)
     }
 
-    pub fn number(&self, id: &str) -> Option<PacketId> {
-        self.numbers.get(id).copied()
+    /// The number of an accepted packet that has not completed.
+    pub fn number(&self, client_id: &str) -> Option<PacketId> {
+        self.numbers_by_id.get(client_id).copied()
     }
 
-    /// Of a packet that is over and still remembered, what its client was told in place of being taken on.
-    pub fn ended(&self, id: &str) -> Option<Option<Notice>> {
-        self.ended.told.get(id).copied()
+    /// Whether a packet with this id has completed, as far as that is remembered. The inner value is the
+    /// notice that its client received in place of an acceptance, if any.
+    pub fn ended(&self, client_id: &str) -> Option<Option<Notice>> {
+        self.completed_ids.rejections.get(client_id).copied()
     }
 
-    pub fn packet(&self, id: PacketId) -> Option<&Rc<Packet>> {
-        self.kept.get(&id).map(|kept| &kept.packet)
+    /// An accepted packet that has not completed.
+    pub fn packet(&self, number: PacketId) -> Option<&Rc<Packet>> {
+        self.held.get(&number).map(|held| &held.packet)
     }
 
-    pub fn stand(&self, id: PacketId) -> Stand {
-        self.kept.get(&id).map(|kept| kept.stand).unwrap_or_default()
+    /// The dispatch state of an accepted packet that has not completed.
+    pub fn stand(&self, number: PacketId) -> Stand {
+        self.held.get(&number).map(|held| held.dispatch_state).unwrap_or_default()
     }
 
+    /// All accepted packets that have not completed, in order of acceptance.
     pub fn unended(&self) -> Vec<Rc<Packet>> {
-        self.kept.values().map(|kept| kept.packet.clone()).collect()
+        self.held.values().map(|held| held.packet.clone()).collect()
     }
 
-    /// Takes a packet on, or tells that it does not fit: with all that it may still need.
+    /// Accepts a packet and records it.
+    ///
+    /// # Errors
+    /// [`io::ErrorKind::StorageFull`] if the packet with all its further records does not fit; otherwise
+    /// the error of the write. The packet is not accepted then.
     pub fn take(&mut self, packet: Packet) -> io::Result<()> {
-        let (key, value) = (key(Form::Packet, packet.number), records::write_packet(&packet));
-        let more = Store::<Disk>::cost(&key, &value) + Self::reserve(&packet);
-        if self.store.live() + self.reserved + more > self.store.room().budget() {
-            if !std::mem::replace(&mut self.full, true) {
+        let (key, value) = (key(RecordKind::Packet, packet.number), records::encode_packet(&packet));
+        let required = Store::<Disk>::cost(&key, &value) + Self::reservation(&packet);
+        if self.store.live() + self.reserved_bytes + required > self.store.room().budget() {
+            if !std::mem::replace(&mut self.no_space_logged, true) {
                 log::warn!(
-                    "journal: code=no_room for more packets; they are dismissed until others are over"
+                    "journal: code=no_room for more packets; new ones are dismissed until others complete"
                 );
             }
             return Err(io::ErrorKind::StorageFull.into());
         }
-        match self.record(&[Change::Put(&key, &value)]) {
-            // Its sync failed: it may stand, so it is taken. Its client hears so with the commit that makes sure of it.
+        match self.write_after_backlog(&[Change::Put(&key, &value)]) {
+            // After a failed sync the record may be on disk, so the packet is accepted. Its client is
+            // informed with the commit that makes the record durable.
             Ok(()) | Err(Fault::Unsure { .. }) => {}
-            Err(fault) => return Err(fault.into()),
+            Err(error) => return Err(error.into()),
         }
-        if std::mem::take(&mut self.full) {
+        if std::mem::take(&mut self.no_space_logged) {
             log::info!("journal: code=room_again");
         }
-        self.enter(packet);
+        self.insert(packet);
         Ok(())
     }
 
-    /// A call is about to go out: all its packets in one record.
+    /// Records that a call with these packets is about to be sent, in one atomic write.
     ///
     /// # Errors
-    /// Where it cannot be recorded, also for the loss of power where that is asked for: then the call must not go.
-    pub fn sends(&mut self, ids: &[PacketId], at: Moment) -> io::Result<()> {
-        let kept: Vec<PacketId> = ids.iter().copied().filter(|id| self.kept.contains_key(id)).collect();
-        let before: Vec<_> = kept.iter().map(|id| (*id, self.stand(*id))).collect();
-        let stands = before.iter().map(|(id, old)| {
-            // One that is still out was sent by an earlier life: nobody will hear whether it ran.
+    /// The record could not be written or, where records have to survive a power loss, could not be synced.
+    /// The call must not be sent then.
+    pub fn sends(&mut self, numbers: &[PacketId], at: Moment) -> io::Result<()> {
+        let held: Vec<PacketId> =
+            numbers.iter().copied().filter(|number| self.held.contains_key(number)).collect();
+        let old_states: Vec<_> = held.iter().map(|number| (*number, self.stand(*number))).collect();
+        let new_states = old_states.iter().map(|(number, old)| {
+            // A dispatch that is still in flight was sent by a previous process: its outcome stays unknown.
             let doubt = old.doubt.or(old.out);
-            (*id, Stand { dispatches: old.dispatches + 1, doubt, out: Some(at) })
+            (*number, Stand { dispatches: old.dispatches + 1, doubt, out: Some(at) })
         });
-        let stands: Vec<_> = stands.collect();
-        let values = stands.iter().map(|(id, stand)| (key(Form::Stand, *id), records::write_stand(stand)));
-        let values: Vec<_> = values.collect();
-        let changes: Vec<_> = values.iter().map(|(key, value)| Change::Put(key, value)).collect();
-        let recorded = self.record(&changes);
-        let may_stand = matches!(recorded, Ok(()) | Err(Fault::Unsure { .. }));
-        let synced = recorded.and_then(|()| self.sync());
+        let new_states: Vec<_> = new_states.collect();
+        let records = new_states.iter().map(|(number, state)| {
+            (key(RecordKind::DispatchState, *number), records::encode_dispatch_state(state))
+        });
+        let records: Vec<_> = records.collect();
+        let changes: Vec<_> = records.iter().map(|(key, value)| Change::Put(key, value)).collect();
+        let written = self.write_after_backlog(&changes);
+        let may_be_stored = matches!(written, Ok(()) | Err(Fault::Unsure { .. }));
+        let synced = written.and_then(|()| self.sync());
         if synced.is_ok() {
-            stands.into_iter().for_each(|(id, stand)| self.set_stand(id, stand));
-        } else if may_stand {
-            // The record may count although the call does not go.
-            before.into_iter().for_each(|(id, stand)| self.put_stand(id, stand));
+            new_states.into_iter().for_each(|(number, state)| self.set_dispatch_state(number, state));
+        } else if may_be_stored {
+            // The record may be valid although the call is not sent: overwrite it.
+            old_states.into_iter().for_each(|(number, state)| self.update_dispatch_state(number, state));
         }
         Ok(synced?)
     }
 
-    /// The dispatch came back.
-    pub fn came_back(&mut self, id: PacketId, may_have_run: bool) {
-        let old = self.stand(id);
-        let doubt = old.doubt.or(old.out.filter(|_| may_have_run));
-        let stand = Stand { dispatches: old.dispatches, doubt, out: None };
-        if stand != old {
-            self.put_stand(id, stand);
+    /// Records that a dispatch completed without completing its packet.
+    pub fn came_back(&mut self, number: PacketId, may_have_executed: bool) {
+        let old = self.stand(number);
+        let doubt = old.doubt.or(old.out.filter(|_| may_have_executed));
+        let state = Stand { dispatches: old.dispatches, doubt, out: None };
+        if state != old {
+            self.update_dispatch_state(number, state);
         }
     }
 
-    fn set_stand(&mut self, id: PacketId, stand: Stand) {
-        self.kept.entry(id).and_modify(|kept| kept.stand = stand);
+    /// Sets the state in memory only.
+    fn set_dispatch_state(&mut self, number: PacketId, state: Stand) {
+        self.held.entry(number).and_modify(|held| held.dispatch_state = state);
     }
 
-    fn put_stand(&mut self, id: PacketId, stand: Stand) {
-        if self.kept.contains_key(&id) {
-            self.set_stand(id, stand);
-            let change = OwnedChange::Put(key(Form::Stand, id), records::write_stand(&stand));
-            self.record_later(Group { packet: id, changes: vec![change] });
+    /// Sets the state and records it.
+    fn update_dispatch_state(&mut self, number: PacketId, state: Stand) {
+        if self.held.contains_key(&number) {
+            self.set_dispatch_state(number, state);
+            let change = OwnedChange::Put(
+                key(RecordKind::DispatchState, number),
+                records::encode_dispatch_state(&state),
+            );
+            self.write_or_defer(ChangeGroup { packet: number, changes: vec![change] });
         }
     }
 
-    /// The packet is over, and nothing more is owed for it.
-    pub fn over(&mut self, id: PacketId) {
-        if let Some(kept) = self.leave(id, None) {
-            self.finish(id, &kept.packet.id);
+    /// Completes a packet for which no notice is needed.
+    pub fn over(&mut self, number: PacketId) {
+        if let Some(removed) = self.remove(number, None) {
+            self.record_completion(number, &removed.packet.id);
         }
     }
 
-    /// Nothing more is owed.
-    fn finish(&mut self, id: PacketId, name: &str) {
-        let changes = self.final_changes(id, name, None);
-        self.remember(id);
-        self.record_later(Group { packet: id, changes });
+    fn record_completion(&mut self, number: PacketId, client_id: &str) {
+        let changes = self.completion_changes(number, client_id, None);
+        self.push_stored_completed(number);
+        self.write_or_defer(ChangeGroup { packet: number, changes });
     }
 
-    /// The packet is over, and its client, which has heard nothing yet, is to be told so with the next [`commit`](Self::commit) that
-    /// succeeds. False, with nothing changed, where that cannot be recorded: the next process would find it as taken.
+    /// Completes a packet whose client has received no reply yet. The client must receive `rejection` after
+    /// the next [`commit`](Self::commit) that succeeds.
+    ///
+    /// Returns false and changes nothing if the completion cannot be recorded: the next process would find
+    /// the packet accepted.
     #[must_use]
-    pub fn over_at_once(&mut self, id: PacketId, told: Notice) -> bool {
-        let Some(name) = self.kept.get(&id).map(|kept| kept.packet.id.clone()) else { return true };
-        let changes = self.final_changes(id, &name, Some(told));
-        let recorded = self.record(&changes.iter().map(OwnedChange::as_change).collect::<Vec<_>>());
-        // A record whose sync failed may stand: nobody hears of it before it does.
-        let stands = matches!(recorded, Ok(()) | Err(Fault::Unsure { .. }));
-        if stands {
-            self.leave(id, Some(told));
-            self.remember(id);
+    pub fn over_at_once(&mut self, number: PacketId, rejection: Notice) -> bool {
+        let Some(client_id) = self.held.get(&number).map(|held| held.packet.id.clone()) else { return true };
+        let changes = self.completion_changes(number, &client_id, Some(rejection));
+        let written =
+            self.write_after_backlog(&changes.iter().map(OwnedChange::as_change).collect::<Vec<_>>());
+        // After a failed sync the record may be on disk; the client is informed once it is known to be.
+        let may_be_stored = matches!(written, Ok(()) | Err(Fault::Unsure { .. }));
+        if may_be_stored {
+            self.remove(number, Some(rejection));
+            self.push_stored_completed(number);
         }
-        stands
+        may_be_stored
     }
 
-    /// What ends all records of a packet. Its id stands for a while, so that one that comes again after a restart is known.
-    fn final_changes(&self, id: PacketId, name: &str, told: Option<Notice>) -> Vec<OwnedChange> {
-        let ends = [Form::Packet, Form::Stand, Form::Owed].map(|form| OwnedChange::End(key(form, id)));
-        let mut changes = Vec::from(ends);
-        if self.over.len() >= self.most_over {
-            changes.extend(self.over.front().map(|first| OwnedChange::End(key(Form::Over, *first))));
+    /// The changes that remove all records of a packet. Its id stays in the store for a while, so that a
+    /// packet resubmitted after a restart is recognized; the oldest such id makes space for it.
+    fn completion_changes(
+        &self,
+        number: PacketId,
+        client_id: &str,
+        rejection: Option<Notice>,
+    ) -> Vec<OwnedChange> {
+        let removals = [RecordKind::Packet, RecordKind::DispatchState, RecordKind::PendingNotice]
+            .map(|kind| OwnedChange::End(key(kind, number)));
+        let mut changes = Vec::from(removals);
+        if self.stored_completed.len() >= self.max_stored_completed {
+            changes.extend(
+                self.stored_completed
+                    .front()
+                    .map(|first| OwnedChange::End(key(RecordKind::Completed, *first))),
+            );
         }
-        if self.most_over > 0 {
-            changes.push(OwnedChange::Put(key(Form::Over, id), records::write_over(name, told.as_ref())));
+        if self.max_stored_completed > 0 {
+            changes.push(OwnedChange::Put(
+                key(RecordKind::Completed, number),
+                records::encode_completed(client_id, rejection.as_ref()),
+            ));
         }
         changes
     }
 
-    /// Among the ids that stand for a while, this is the latest.
-    fn remember(&mut self, id: PacketId) {
-        if self.over.len() >= self.most_over {
-            self.over.pop_front();
+    /// Applies to `stored_completed` what [`completion_changes`](Self::completion_changes) does in the store.
+    fn push_stored_completed(&mut self, number: PacketId) {
+        if self.stored_completed.len() >= self.max_stored_completed {
+            self.stored_completed.pop_front();
         }
-        if self.most_over > 0 {
-            self.over.push_back(id);
+        if self.max_stored_completed > 0 {
+            self.stored_completed.push_back(number);
         }
     }
 
-    /// The packet is over, and a notice is owed.
-    pub fn owe(&mut self, id: PacketId, notice: Notice) {
-        let Some(kept) = self.leave(id, None) else { return };
-        let name = kept.packet.id.clone();
-        let ends = [Form::Packet, Form::Stand].map(|form| OwnedChange::End(key(form, id)));
-        let mut changes = Vec::from(ends);
-        changes.push(OwnedChange::Put(key(Form::Owed, id), records::write_owed(&name, &notice)));
-        self.next = self.next.max(id.0 + 1);
-        self.owed.insert(id, Owed { id: name, notice, ends: Some(kept.packet.ends) });
-        self.record_later(Group { packet: id, changes });
+    /// Completes a packet and records its notice as pending.
+    pub fn owe(&mut self, number: PacketId, notice: Notice) {
+        let Some(removed) = self.remove(number, None) else { return };
+        let client_id = removed.packet.id.clone();
+        let removals =
+            [RecordKind::Packet, RecordKind::DispatchState].map(|kind| OwnedChange::End(key(kind, number)));
+        let mut changes = Vec::from(removals);
+        changes.push(OwnedChange::Put(
+            key(RecordKind::PendingNotice, number),
+            records::encode_pending_notice(&client_id, &notice),
+        ));
+        self.next_number = self.next_number.max(number.0 + 1);
+        self.pending_notices
+            .insert(number, PendingNotice { id: client_id, notice, ends: Some(removed.packet.ends) });
+        self.write_or_defer(ChangeGroup { packet: number, changes });
     }
 
     /// All notices that the platform has not acknowledged.
     pub fn owed(&self) -> impl Iterator<Item = (PacketId, &str, Notice)> {
-        self.owed.iter().map(|(id, owed)| (*id, &*owed.id, owed.notice))
+        self.pending_notices.iter().map(|(number, pending)| (*number, &*pending.id, pending.notice))
     }
 
-    /// Those that may be told: their end is recorded, or their packet's time is over, so that no process calls for it again.
+    /// The pending notices that may be sent: those whose completion is on disk, and those whose packet's
+    /// deadline has passed, since no process dispatches such a packet again.
     pub fn tellable(
         &self,
-        is_over: impl Fn(Moment) -> bool,
+        has_passed: impl Fn(Moment) -> bool,
     ) -> impl Iterator<Item = (PacketId, &str, Notice)> {
         let all_recorded = self.is_recorded();
-        let may = move |id: &PacketId, owed: &Owed| match owed.ends {
+        let may_be_sent = move |number: &PacketId, pending: &PendingNotice| match pending.ends {
             None => true,
             Some(ends) => {
-                all_recorded || is_over(ends) || !(self.store.wants_sync() || self.backlog.concerns(*id))
+                all_recorded
+                    || has_passed(ends)
+                    || !(self.store.wants_sync() || self.backlog.contains(*number))
             }
         };
-        let may_go = self.owed.iter().filter(move |(id, owed)| may(id, owed));
-        may_go.map(|(id, owed)| (*id, &*owed.id, owed.notice))
+        let sendable =
+            self.pending_notices.iter().filter(move |(number, pending)| may_be_sent(number, pending));
+        sendable.map(|(number, pending)| (*number, &*pending.id, pending.notice))
     }
 
-    /// The platform has these notices.
-    pub fn told(&mut self, ids: &[PacketId]) {
-        for id in ids {
-            if let Some(owed) = self.owed.remove(id) {
-                self.finish(*id, &owed.id);
+    /// Records that the platform has acknowledged the notices of these packets.
+    pub fn told(&mut self, numbers: &[PacketId]) {
+        for number in numbers {
+            if let Some(pending) = self.pending_notices.remove(number) {
+                self.record_completion(*number, &pending.id);
             }
         }
     }
 
-    /// All that has happened stands in the journal.
+    /// Whether everything that has happened is in the journal and synced as the settings ask.
     pub fn is_recorded(&self) -> bool {
         self.backlog.is_empty() && !self.store.wants_sync()
     }
 
-    /// Groups of changes that wait for the folder.
+    /// The number of change groups that could not be written yet.
     pub fn behind(&self) -> usize {
         self.backlog.len()
     }
 
-    /// Writes what waits for the folder, as far as that goes; then all that is written outlives the power, where that is asked for:
-    /// before a round's answers are told.
+    /// Writes as much of the backlog as possible, then syncs the store if the journal has to survive a
+    /// power loss. A round's replies are sent only after this has succeeded.
     ///
     /// # Errors
-    /// As a sync fails: what was written since the last one is not answered for until a later call succeeds.
+    /// The sync failed. Nothing written since the last successful sync may be reported until a later call
+    /// succeeds.
     pub fn commit(&mut self) -> io::Result<()> {
-        // What is left stands first in line for the next call; the alarm has told of it.
-        let _left = self.write_backlog();
+        // On failure the rest of the backlog waits for the next call; the failure has been logged.
+        let _unwritten = self.write_backlog();
         Ok(self.sync()?)
     }
 
     fn sync(&mut self) -> Result<(), Fault> {
         let synced = if self.store.wants_sync() { self.store.sync() } else { return Ok(()) };
-        self.tell_health(&synced);
+        self.log_write_health(&synced);
         synced
     }
 
-    /// Writes changes without which something must not happen, behind all that has.
-    fn record(&mut self, changes: &[Change]) -> Result<(), Fault> {
+    /// Writes changes that must be on disk before the action they describe. The backlog goes first, to keep
+    /// the order.
+    fn write_after_backlog(&mut self, changes: &[Change]) -> Result<(), Fault> {
         self.write_backlog()?;
         self.write(changes)
     }
 
-    /// Writes changes that follow from what has happened, as soon as the folder takes them.
-    fn record_later(&mut self, group: Group) {
-        // Those that are left are written by the next call that can.
-        let in_turn = self.write_backlog().is_ok();
-        if !in_turn || self.write(&group.as_changes()).is_err() {
+    /// Writes changes that follow from past events, or appends them to the backlog if that fails.
+    fn write_or_defer(&mut self, group: ChangeGroup) {
+        // After a failure the next call that succeeds writes the rest of the backlog.
+        let backlog_written = self.write_backlog().is_ok();
+        if !backlog_written || self.write(&group.as_changes()).is_err() {
             self.backlog.push(group);
         }
     }
@@ -423,29 +487,29 @@
     fn write_backlog(&mut self) -> Result<(), Fault> {
         while let Some(group) = self.backlog.first() {
             let written = self.store.write(&group.as_changes());
-            self.tell_health(&written);
+            self.log_write_health(&written);
             written?;
-            self.backlog.written();
+            self.backlog.remove_first();
         }
         Ok(())
     }
 
     fn write(&mut self, changes: &[Change]) -> Result<(), Fault> {
         let written = self.store.write(changes);
-        self.tell_health(&written);
+        self.log_write_health(&written);
         written
     }
 
-    /// One line when the folder begins to fail, one when it is well again.
-    fn tell_health(&mut self, written: &Result<(), Fault>) {
+    /// Logs one line when writes begin to fail, and one when they succeed again.
+    fn log_write_health(&mut self, written: &Result<(), Fault>) {
         match written {
-            Err(fault) if !std::mem::replace(&mut self.alarm, true) => {
+            Err(error) if !std::mem::replace(&mut self.write_failure_logged, true) => {
                 log::error!(
-                    "journal: code={} {fault}; nothing is taken until it is written again",
-                    fault.code()
+                    "journal: code={} {error}; nothing is taken until it is written again",
+                    error.code()
                 );
             }
-            Ok(()) if std::mem::take(&mut self.alarm) => {
+            Ok(()) if std::mem::take(&mut self.write_failure_logged) => {
                 log::info!("journal: code=written_again waiting={}", self.backlog.len());
             }
             _ => {}
@@ -453,7 +517,7 @@
     }
 }
 
-fn unknown(key: &[u8]) -> io::Error {
-    let words = format!("a record of a form that this version does not know ({:?})", key.first());
-    io::Error::new(io::ErrorKind::InvalidData, words)
+fn unknown_record(key: &[u8]) -> io::Error {
+    let message = format!("a record of a kind that this version does not know ({:?})", key.first());
+    io::Error::new(io::ErrorKind::InvalidData, message)
 }
--- a/crates/sailcart-sender/src/memory/mod.rs
+++ b/crates/sailcart-sender/src/memory/mod.rs
@@ -1,4 +1,5 @@
-//! What is kept in memory, and in the folder that lasts: packets and notices owed, their journal, connections.
+//! The state that the sender holds between rounds: accepted packets and pending notices with their journal in
+//! the state folder, scheduled rounds, and idle connections to endpoints.
 
 pub mod backlog;
 pub mod format1;
@@ -15,33 +16,41 @@
 
 use self::moment::Moment;
 
-/// A packet as it was handed in.
+/// A packet as its client submitted it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Packet {
+    /// Assigned by this sender in the order of acceptance.
     pub number: PacketId,
+    /// Chosen by the client.
     pub id: Box<str>,
     pub category: Box<str>,
     pub customer: Option<Box<str>>,
+    /// The idempotency key that endpoints receive with each dispatch.
     pub mark: Option<Box<str>>,
+    /// The key whose packets are dispatched in order of acceptance, in categories that ask for it.
     pub about: Option<Box<str>>,
     pub destination: DestinationId,
+    /// The deadline: when the patience that the client asked for is used up.
     pub ends: Moment,
     pub body: Box<[u8]>,
 }
 
-/// How far a packet's dispatches have come.
+/// The dispatch state of a packet.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Stand {
+    /// The number of dispatches so far.
     pub dispatches: u32,
-    /// When the first dispatch that may have run was sent.
+    /// When the first dispatch that may have executed was sent.
     pub doubt: Option<Moment>,
-    /// When the dispatch that is out was sent.
+    /// When the dispatch in flight was sent.
     pub out: Option<Moment>,
 }
 
-/// What the platform is owed for a packet that ended without being delivered.
+/// The platform is notified of each packet that completed without being delivered.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Notice {
+    /// The packet may be submitted again, if a wait is given not before it has passed.
     Dismissed(Option<Duration>),
+    /// The packet failed; it must not be submitted again.
     Scrapped,
 }
--- a/crates/sailcart-sender/src/memory/moment.rs
+++ b/crates/sailcart-sender/src/memory/moment.rs
@@ -1,58 +1,61 @@
-//! Points in time that outlive their process. A wall clock may be stepped at any moment, so a span between two of them stands on the
-//! machine's monotonic clock, which runs on over processes until the machine itself starts anew; the kernel's boot id tells that.
+//! Points in time that stay valid across restarts of the process.
+//!
+//! The wall clock may be stepped at any moment, so intervals are measured on the machine's monotonic clock.
+//! It keeps running from one process to the next until the machine reboots, which shows in the kernel's
+//! boot id.
 
 use std::fmt::{self, Display};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use nix::time::{ClockId, clock_gettime};
 
-/// Where the kernel tells the id of this start of the machine: a random UUID.
-const BOOT_ID: &str = "/proc/sys/kernel/random/boot_id";
-/// Hexadecimal digits of it that tell starts apart.
-const BOOT_DIGITS: usize = 16;
+/// The file from which the kernel's boot id, a random UUID, is read.
+const BOOT_ID_PATH: &str = "/proc/sys/kernel/random/boot_id";
+/// Number of leading hexadecimal digits of the UUID that make up a [`BootId`].
+const BOOT_ID_HEX_DIGITS: usize = 16;
 
-/// One start of a machine.
+/// Identifies one boot of the machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BootId(pub u64);
 
 impl Display for BootId {
-    fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        write!(to, "{:016x}", self.0)
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        write!(formatter, "{:016x}", self.0)
     }
 }
 
-/// A time of the monotonic clock.
+/// A reading of the monotonic clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Uptime {
     pub boot: BootId,
-    /// Since some point of that start.
+    /// Time since an unspecified point of that boot.
     pub since: Duration,
 }
 
-/// A point in time that means the same to the next process.
+/// A point in time that a later process can interpret too.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Moment {
-    /// By the wall clock, since the Unix epoch: for people, and for a machine that was started anew.
+    /// Wall clock time since the Unix epoch: for people, and for comparison across a reboot.
     pub unix: Duration,
-    /// `None` where the kernel tells no boot id, and in records of earlier formats.
+    /// `None` if the kernel reports no boot id, and in records of earlier formats.
     pub uptime: Option<Uptime>,
 }
 
-/// How far apart two moments are.
+/// Where one moment lies relative to another, with the clock by which it was measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Distance {
-    /// By the monotonic clock: real time.
+    /// Measured on the monotonic clock, so exact.
     Sure(Span),
-    /// By the wall clock alone, which may have been stepped between.
+    /// Measured on the wall clock, which may have been stepped in between.
     Unsure(Span),
 }
 
-/// Before or after, and by how much.
+/// A signed interval, seen from now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Span {
-    /// It lies so long ago.
+    /// In the past.
     Ago(Duration),
-    /// It is so far ahead.
+    /// In the future.
     Ahead(Duration),
 }
 
@@ -63,32 +66,32 @@
 }
 
 impl Moment {
-    /// A moment of the wall clock alone.
+    /// A moment that is known by the wall clock only.
     pub fn by_wall_clock(unix: Duration) -> Moment {
         Moment { unix, uptime: None }
     }
 
-    /// Now, on both clocks.
+    /// The present, read from both clocks.
     pub fn now(boot: Option<BootId>) -> Moment {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let since = clock_gettime(ClockId::CLOCK_MONOTONIC).ok().map(Duration::from);
-        let uptime = boot.zip(since).map(|(boot, since)| Uptime { boot, since });
+        let monotonic = clock_gettime(ClockId::CLOCK_MONOTONIC).ok().map(Duration::from);
+        let uptime = boot.zip(monotonic).map(|(boot, since)| Uptime { boot, since });
         Moment { unix, uptime }
     }
 
-    /// So much later.
+    /// The moment `span` after this one.
     pub fn later(self, span: Duration) -> Moment {
         let uptime = self.uptime.map(|uptime| Uptime { since: uptime.since.saturating_add(span), ..uptime });
         Moment { unix: self.unix.saturating_add(span), uptime }
     }
 
-    /// So much earlier.
+    /// The moment `span` before this one.
     pub fn earlier(self, span: Duration) -> Moment {
         let uptime = self.uptime.map(|uptime| Uptime { since: uptime.since.saturating_sub(span), ..uptime });
         Moment { unix: self.unix.saturating_sub(span), uptime }
     }
 
-    /// Where another moment lies, seen from this one.
+    /// Where `other` lies relative to this moment.
     pub fn distance(self, other: Moment) -> Distance {
         match (self.uptime, other.uptime) {
             (Some(now), Some(at)) if now.boot == at.boot => {
@@ -99,10 +102,10 @@
     }
 }
 
-/// The id of this start of the machine, unless the kernel tells none.
+/// The id of the machine's current boot; `None` if the kernel reports none.
 pub fn boot_id() -> Option<BootId> {
-    let text = std::fs::read_to_string(BOOT_ID).ok()?;
-    let digits: String = text.chars().filter(char::is_ascii_hexdigit).take(BOOT_DIGITS).collect();
-    let whole = digits.len() == BOOT_DIGITS;
-    u64::from_str_radix(&digits, 16).ok().filter(|_| whole).map(BootId)
+    let text = std::fs::read_to_string(BOOT_ID_PATH).ok()?;
+    let digits: String = text.chars().filter(char::is_ascii_hexdigit).take(BOOT_ID_HEX_DIGITS).collect();
+    let complete = digits.len() == BOOT_ID_HEX_DIGITS;
+    u64::from_str_radix(&digits, 16).ok().filter(|_| complete).map(BootId)
 }
--- a/crates/sailcart-sender/src/memory/pool.rs
+++ b/crates/sailcart-sender/src/memory/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints that stand idle.
+//! The pool of idle connections to endpoints.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -7,69 +7,81 @@
 use crate::socket::Socket;
 use sailcart::EndpointId;
 
-struct Idle {
+struct IdleConnection {
     address: SocketAddr,
     stream: Socket,
-    since: Instant,
+    idle_since: Instant,
 }
 
-/// Idle connections by endpoint, the last used first. Not by address, which a new endpoint may take over.
+/// Idle connections by endpoint, the most recently used last in each list and reused first. They are not
+/// grouped by address, since another endpoint may take over an address.
 pub struct Pool {
-    idle: HashMap<EndpointId, Vec<Idle>>,
-    /// Closed after standing idle for this long.
-    most_idle: Duration,
-    /// Idle connections in all at most.
-    most: usize,
+    idle: HashMap<EndpointId, Vec<IdleConnection>>,
+    /// A connection that has been idle for this long is closed.
+    max_idle_time: Duration,
+    /// Over all endpoints.
+    max_connections: usize,
 }
 
 impl Pool {
-    pub fn new(most_idle: Duration, most: usize) -> Self {
-        Pool { idle: HashMap::new(), most_idle, most }
+    /// An empty pool with the given limits.
+    pub fn new(max_idle_time: Duration, max_connections: usize) -> Self {
+        Pool { idle: HashMap::new(), max_idle_time, max_connections }
     }
 
-    /// A connection on which a call can go, if there is one.
+    /// Removes and returns a connection on which a call can be sent, if there is one.
     pub fn take(&mut self, endpoint: EndpointId) -> Option<Socket> {
         let idle = self.idle.get_mut(&endpoint)?;
         while let Some(last) = idle.pop() {
-            match self.most_idle.checked_sub(last.since.elapsed()) {
+            match self.max_idle_time.checked_sub(last.idle_since.elapsed()) {
                 None => ended(last.address, "idle"),
-                Some(_) if gone(&last.stream) => ended(last.address, "peer_closed"),
+                Some(_) if is_unusable(&last.stream) => ended(last.address, "peer_closed"),
                 Some(_) => return Some(last.stream),
             }
         }
         None
     }
 
+    /// Adds a connection that became idle, or closes it if the pool is full.
     pub fn put(&mut self, endpoint: EndpointId, address: SocketAddr, stream: Socket) {
-        if self.len() >= self.most {
+        if self.len() >= self.max_connections {
             return ended(address, "too_many");
         }
-        self.idle.entry(endpoint).or_default().push(Idle { address, stream, since: Instant::now() });
+        self.idle.entry(endpoint).or_default().push(IdleConnection {
+            address,
+            stream,
+            idle_since: Instant::now(),
+        });
     }
 
-    /// Closes an endpoint's idle connections.
+    /// Closes an endpoint's idle connections and logs each with this code.
     pub fn close(&mut self, endpoint: EndpointId, code: &str) {
-        for one in self.idle.remove(&endpoint).unwrap_or_default() {
-            ended(one.address, code);
+        for connection in self.idle.remove(&endpoint).unwrap_or_default() {
+            ended(connection.address, code);
         }
     }
 
+    /// Closes all idle connections and logs each with this code.
     pub fn close_all(&mut self, code: &str) {
         for endpoint in self.idle.keys().copied().collect::<Vec<_>>() {
             self.close(endpoint, code);
         }
     }
 
-    /// Closes what has stood idle for too long or was closed by its peer.
+    /// Closes connections that have been idle for too long or were closed by their peer.
     pub fn sweep(&mut self) {
         for idle in self.idle.values_mut() {
-            idle.retain(|one| {
-                let code = if one.since.elapsed() >= self.most_idle { "idle" } else { "peer_closed" };
-                let over = code == "idle" || gone(&one.stream);
-                if over {
-                    ended(one.address, code);
+            idle.retain(|connection| {
+                let code = if connection.idle_since.elapsed() >= self.max_idle_time {
+                    "idle"
+                } else {
+                    "peer_closed"
+                };
+                let must_close = code == "idle" || is_unusable(&connection.stream);
+                if must_close {
+                    ended(connection.address, code);
                 }
-                !over
+                !must_close
             });
         }
         self.idle.retain(|_, idle| !idle.is_empty());
@@ -80,13 +92,15 @@
     }
 }
 
-/// Nothing is due on an idle connection: whatever can be read there is its end, or makes it useless.
-fn gone(stream: &Socket) -> bool {
+/// Whether anything can be read from an idle connection. No bytes are expected there, so a successful read
+/// means that the peer has closed it or sent unrequested bytes, and an error other than `WouldBlock` that
+/// it broke.
+fn is_unusable(stream: &Socket) -> bool {
     let read = stream.0.try_read(&mut [0]);
-    !matches!(read, Err(fault) if fault.kind() == std::io::ErrorKind::WouldBlock)
+    !matches!(read, Err(error) if error.kind() == std::io::ErrorKind::WouldBlock)
 }
 
-/// The one log line of a connection to an endpoint.
+/// Logs the end of a connection to an endpoint: one line for each connection.
 pub fn ended(address: SocketAddr, code: &str) {
     log::info!("endpoint {address}: connection ended, code={code}");
 }
--- a/crates/sailcart-sender/src/memory/records.rs
+++ b/crates/sailcart-sender/src/memory/records.rs
@@ -1,5 +1,5 @@
-//! What stands in the journal of each packet, as keys and values of the store: the packet, how far its dispatches
-//! have come, a notice owed, and the id of one that is over.
+//! Encodes and decodes the journal's records as keys and values of the store: a packet, its dispatch state, a
+//! pending notice, and the id of a completed packet.
 
 use std::time::Duration;
 
@@ -12,75 +12,84 @@
 use super::moment::{BootId, Moment, Uptime};
 use super::{Notice, Packet, Stand};
 
-/// What a key is about; keys of one form stand together.
+/// The first byte of a key. The store lists records ordered by kind, then by packet number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Form {
+pub enum RecordKind {
     Packet = 1,
-    Stand = 2,
-    Owed = 3,
-    Over = 4,
+    DispatchState = 2,
+    PendingNotice = 3,
+    Completed = 4,
 }
 
+/// The record kind, then the packet number in big-endian order.
 pub type Key = [u8; 9];
 
-/// The first byte of values that hold moments. Those of the format before had the wall clock alone and began with a zero: the first of a
-/// time in microseconds, or of a small number.
+/// The first byte of values that contain moments. Values of format 2 have no such byte: they contain the wall
+/// clock time alone and begin with a zero, the high byte of a time in microseconds or of a small number.
 const FORMAT: u8 = 3;
 
-pub fn key(form: Form, id: PacketId) -> Key {
-    let mut key = [form as u8; 9];
-    key[1..].copy_from_slice(&id.0.to_be_bytes());
+/// The key of a packet's record of this kind.
+pub fn key(kind: RecordKind, number: PacketId) -> Key {
+    let mut key = [kind as u8; 9];
+    key[1..].copy_from_slice(&number.0.to_be_bytes());
     key
 }
 
-/// A record as it was read.
+/// A decoded record.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
     Packet(Packet),
-    Stand(PacketId, Stand),
-    Owed(PacketId, Box<str>, Notice),
-    /// Over, and what its client was told at once where it was not taken on.
-    Over(PacketId, Box<str>, Option<Notice>),
+    DispatchState(PacketId, Stand),
+    PendingNotice(PacketId, Box<str>, Notice),
+    /// A completed packet with its id, and the notice that its client received in place of an acceptance,
+    /// if any.
+    Completed(PacketId, Box<str>, Option<Notice>),
 }
 
-/// `None` for what this version does not write.
-pub fn read(key: &[u8], value: &[u8]) -> Option<Record> {
-    let (_, (form, id)) =
+/// Decodes a record; `None` if it is malformed or of a kind that this version does not write.
+pub fn decode(key: &[u8], value: &[u8]) -> Option<Record> {
+    let (_, (kind, number)) =
         all_consuming((be_u8::<_, nom::error::Error<_>>, be_u64.map(PacketId))).parse(key).ok()?;
-    let read = match form {
-        1 => all_consuming(|input| packet(id, input)).map(Record::Packet).parse(value),
-        2 => all_consuming(stand).map(|stand| Record::Stand(id, stand)).parse(value),
-        3 => all_consuming((word, notice)).map(|(name, notice)| Record::Owed(id, name, notice)).parse(value),
+    let decoded = match kind {
+        1 => all_consuming(|input| packet(number, input)).map(Record::Packet).parse(value),
+        2 => all_consuming(dispatch_state).map(|state| Record::DispatchState(number, state)).parse(value),
+        3 => all_consuming((string, notice))
+            .map(|(id, notice)| Record::PendingNotice(number, id, notice))
+            .parse(value),
         4 => {
-            let told = (be_u8, notice).map(|(told, notice)| (told == 1).then_some(notice));
-            all_consuming((word, told)).map(|(name, told)| Record::Over(id, name, told)).parse(value)
+            let rejection = (be_u8, notice).map(|(present, notice)| (present == 1).then_some(notice));
+            all_consuming((string, rejection))
+                .map(|(id, rejection)| Record::Completed(number, id, rejection))
+                .parse(value)
         }
         _ => return None,
     };
-    read.ok().map(|(_, record)| record)
+    decoded.ok().map(|(_, record)| record)
 }
 
-pub fn write_packet(packet: &Packet) -> Vec<u8> {
+/// Encodes the value of a packet's record.
+pub fn encode_packet(packet: &Packet) -> Vec<u8> {
     let mut out = Vec::with_capacity(packet.body.len() + 160);
     out.push(FORMAT);
     put_moment(&mut out, packet.ends);
-    number(&mut out, packet.destination.0);
-    bytes(&mut out, packet.id.as_bytes());
-    bytes(&mut out, packet.category.as_bytes());
-    for word in [&packet.customer, &packet.mark, &packet.about] {
-        out.push(word.is_some().into());
-        if let Some(word) = word {
-            bytes(&mut out, word.as_bytes());
+    put_u64(&mut out, packet.destination.0);
+    put_bytes(&mut out, packet.id.as_bytes());
+    put_bytes(&mut out, packet.category.as_bytes());
+    for optional in [&packet.customer, &packet.mark, &packet.about] {
+        out.push(optional.is_some().into());
+        if let Some(optional) = optional {
+            put_bytes(&mut out, optional.as_bytes());
         }
     }
-    bytes(&mut out, &packet.body);
+    put_bytes(&mut out, &packet.body);
     out
 }
 
-pub fn write_stand(stand: &Stand) -> Vec<u8> {
+/// Encodes the value of a dispatch state's record.
+pub fn encode_dispatch_state(state: &Stand) -> Vec<u8> {
     let mut out = vec![FORMAT];
-    out.extend(stand.dispatches.to_be_bytes());
-    for moment in [stand.doubt, stand.out] {
+    out.extend(state.dispatches.to_be_bytes());
+    for moment in [state.doubt, state.out] {
         out.push(moment.is_some().into());
         if let Some(moment) = moment {
             put_moment(&mut out, moment);
@@ -89,18 +98,21 @@
     out
 }
 
-pub fn write_owed(name: &str, notice: &Notice) -> Vec<u8> {
+/// Encodes the value of a pending notice's record; `id` is the id that the client chose.
+pub fn encode_pending_notice(id: &str, notice: &Notice) -> Vec<u8> {
     let mut out = Vec::new();
-    bytes(&mut out, name.as_bytes());
+    put_bytes(&mut out, id.as_bytes());
     put_notice(&mut out, notice);
     out
 }
 
-pub fn write_over(name: &str, told: Option<&Notice>) -> Vec<u8> {
+/// Encodes the value of a completed packet's record; `id` is the id that the client chose. Without a
+/// rejection the value contains a placeholder in its place.
+pub fn encode_completed(id: &str, rejection: Option<&Notice>) -> Vec<u8> {
     let mut out = Vec::new();
-    bytes(&mut out, name.as_bytes());
-    out.push(told.is_some().into());
-    put_notice(&mut out, told.unwrap_or(&Notice::Scrapped));
+    put_bytes(&mut out, id.as_bytes());
+    out.push(rejection.is_some().into());
+    put_notice(&mut out, rejection.unwrap_or(&Notice::Scrapped));
     out
 }
 
@@ -110,76 +122,81 @@
         Notice::Scrapped => (true, None),
     };
     out.push(scrapped.into());
-    maybe_span(out, wait);
+    put_optional_duration(out, wait);
 }
 
-fn number(out: &mut Vec<u8>, number: u64) {
-    out.extend(number.to_be_bytes());
+fn put_u64(out: &mut Vec<u8>, value: u64) {
+    out.extend(value.to_be_bytes());
 }
 
-fn bytes(out: &mut Vec<u8>, bytes: &[u8]) {
+fn put_bytes(out: &mut Vec<u8>, bytes: &[u8]) {
     out.extend((bytes.len() as u32).to_be_bytes());
     out.extend(bytes);
 }
 
-fn maybe_span(out: &mut Vec<u8>, span: Option<Duration>) {
-    out.push(span.is_some().into());
-    if let Some(span) = span {
-        number(out, micros(span));
+fn put_optional_duration(out: &mut Vec<u8>, duration: Option<Duration>) {
+    out.push(duration.is_some().into());
+    if let Some(duration) = duration {
+        put_u64(out, micros(duration));
     }
 }
 
 fn put_moment(out: &mut Vec<u8>, moment: Moment) {
-    number(out, micros(moment.unix));
+    put_u64(out, micros(moment.unix));
     out.push(moment.uptime.is_some().into());
     if let Some(Uptime { boot, since }) = moment.uptime {
-        number(out, boot.0);
-        number(out, micros(since));
+        put_u64(out, boot.0);
+        put_u64(out, micros(since));
     }
 }
 
-fn micros(span: Duration) -> u64 {
-    u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
+fn micros(duration: Duration) -> u64 {
+    u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// A packet's value. The journal of format 1 has the same after a number.
+/// Parses the value of a packet's record. In the format 1 journal the same bytes follow the packet number.
 pub fn packet(number: PacketId, input: &[u8]) -> IResult<&[u8], Packet> {
-    let (rest, moments) = moments(input)?;
-    let (rest, ends) = moments.read(rest)?;
-    let (rest, (destination, id, category)) = (be_u64.map(DestinationId), word, word).parse(rest)?;
-    let (rest, (customer, mark, about)) = (maybe_word, maybe_word, maybe_word).parse(rest)?;
+    let (rest, encoding) = moment_encoding(input)?;
+    let (rest, ends) = encoding.moment(rest)?;
+    let (rest, (destination, id, category)) = (be_u64.map(DestinationId), string, string).parse(rest)?;
+    let (rest, (customer, mark, about)) = (optional_string, optional_string, optional_string).parse(rest)?;
     let (rest, body) = length_data(be_u32).parse(rest)?;
     let body = body.into();
     Ok((rest, Packet { number, id, category, customer, mark, about, destination, ends, body }))
 }
 
-pub fn stand(input: &[u8]) -> IResult<&[u8], Stand> {
-    let (rest, moments) = moments(input)?;
-    let maybe = |input| maybe(input, |rest| moments.read(rest));
-    let (rest, (dispatches, doubt, out)) = (be_u32, maybe, maybe).parse(rest)?;
+/// Parses the value of a dispatch state's record.
+pub fn dispatch_state(input: &[u8]) -> IResult<&[u8], Stand> {
+    let (rest, encoding) = moment_encoding(input)?;
+    let optional_moment = |input| optional(input, |rest| encoding.moment(rest));
+    let (rest, (dispatches, doubt, out)) = (be_u32, optional_moment, optional_moment).parse(rest)?;
     Ok((rest, Stand { dispatches, doubt, out }))
 }
 
-/// How a value holds its moments.
+/// How a value encodes its moments.
 #[derive(Clone, Copy)]
-enum Moments {
-    /// By the wall clock alone, as up to format 2.
-    Wall,
-    Both,
+enum MomentEncoding {
+    /// Up to format 2.
+    WallClockOnly,
+    BothClocks,
 }
 
-fn moments(input: &[u8]) -> IResult<&[u8], Moments> {
+fn moment_encoding(input: &[u8]) -> IResult<&[u8], MomentEncoding> {
     let (rest, first) = be_u8(input)?;
-    Ok(if first == FORMAT { (rest, Moments::Both) } else { (input, Moments::Wall) })
+    Ok(if first == FORMAT {
+        (rest, MomentEncoding::BothClocks)
+    } else {
+        (input, MomentEncoding::WallClockOnly)
+    })
 }
 
-impl Moments {
-    fn read(self, input: &[u8]) -> IResult<&[u8], Moment> {
-        let (rest, unix) = a_span(input)?;
+impl MomentEncoding {
+    fn moment(self, input: &[u8]) -> IResult<&[u8], Moment> {
+        let (rest, unix) = duration(input)?;
         match self {
-            Moments::Wall => Ok((rest, Moment::by_wall_clock(unix))),
-            Moments::Both => {
-                let (rest, uptime) = maybe(rest, uptime)?;
+            MomentEncoding::WallClockOnly => Ok((rest, Moment::by_wall_clock(unix))),
+            MomentEncoding::BothClocks => {
+                let (rest, uptime) = optional(rest, uptime)?;
                 Ok((rest, Moment { unix, uptime }))
             }
         }
@@ -187,35 +204,37 @@
 }
 
 fn uptime(input: &[u8]) -> IResult<&[u8], Uptime> {
-    (be_u64.map(BootId), a_span).map(|(boot, since)| Uptime { boot, since }).parse(input)
+    (be_u64.map(BootId), duration).map(|(boot, since)| Uptime { boot, since }).parse(input)
 }
 
-/// A value behind a byte that tells whether it is there.
-fn maybe<'a, T>(
+/// Parses a value that is preceded by a presence byte.
+fn optional<'a, T>(
     input: &'a [u8],
-    read: impl Fn(&'a [u8]) -> IResult<&'a [u8], T>,
+    parse: impl Fn(&'a [u8]) -> IResult<&'a [u8], T>,
 ) -> IResult<&'a [u8], Option<T>> {
-    let (rest, there) = be_u8(input)?;
-    cond(there == 1, read).parse(rest)
+    let (rest, present) = be_u8(input)?;
+    cond(present == 1, parse).parse(rest)
 }
 
+/// Parses a notice.
 pub fn notice(input: &[u8]) -> IResult<&[u8], Notice> {
-    let (rest, (scrapped, wait)) = (be_u8, a_maybe_span).parse(input)?;
+    let (rest, (scrapped, wait)) = (be_u8, optional_duration).parse(input)?;
     Ok((rest, if scrapped == 1 { Notice::Scrapped } else { Notice::Dismissed(wait) }))
 }
 
-pub fn word(input: &[u8]) -> IResult<&[u8], Box<str>> {
+/// Parses a UTF-8 string that is preceded by its length in bytes.
+pub fn string(input: &[u8]) -> IResult<&[u8], Box<str>> {
     length_data(be_u32).map_opt(|bytes| std::str::from_utf8(bytes).ok().map(Box::from)).parse(input)
 }
 
-fn maybe_word(input: &[u8]) -> IResult<&[u8], Option<Box<str>>> {
-    maybe(input, word)
+fn optional_string(input: &[u8]) -> IResult<&[u8], Option<Box<str>>> {
+    optional(input, string)
 }
 
-fn a_span(input: &[u8]) -> IResult<&[u8], Duration> {
+fn duration(input: &[u8]) -> IResult<&[u8], Duration> {
     be_u64.map(Duration::from_micros).parse(input)
 }
 
-fn a_maybe_span(input: &[u8]) -> IResult<&[u8], Option<Duration>> {
-    maybe(input, a_span)
+fn optional_duration(input: &[u8]) -> IResult<&[u8], Option<Duration>> {
+    optional(input, duration)
 }
--- a/crates/sailcart-sender/src/memory/untold.rs
+++ b/crates/sailcart-sender/src/memory/untold.rs
@@ -1,38 +1,47 @@
-//! Ends that were decided and that the platform has not heard of: what follows in the order of their keys waits for them.
+//! Tracks which pending notices hold back later packets of the same key.
+//!
+//! A packet in per-key order must not be dispatched before the platform has acknowledged the notices of the
+//! packets that precede it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use sailcart::{KeyId, PacketId};
 
+/// Packets that completed without being delivered and whose notices the platform has not acknowledged.
 #[derive(Debug, Default)]
 pub struct Untold {
-    /// Owed by an earlier life, which kept no keys: each may go before any.
-    unknown: BTreeSet<PacketId>,
+    /// From the previous process. The journal does not store their keys, so each may precede any packet.
+    without_key: BTreeSet<PacketId>,
     keys: BTreeMap<PacketId, KeyId>,
 }
 
 impl Untold {
-    pub fn new(earlier: impl Iterator<Item = PacketId>) -> Self {
-        Untold { unknown: earlier.collect(), keys: BTreeMap::new() }
+    /// Starts with the notices that a previous process left pending.
+    pub fn new(recovered: impl Iterator<Item = PacketId>) -> Self {
+        Untold { without_key: recovered.collect(), keys: BTreeMap::new() }
     }
 
+    /// Records that a notice is pending for a packet with this key.
     pub fn owe(&mut self, id: PacketId, key: KeyId) {
         self.keys.insert(id, key);
     }
 
+    /// Records that the platform has acknowledged the notices of these packets.
     pub fn told(&mut self, ids: &[PacketId]) {
         for id in ids {
-            self.unknown.remove(id);
+            self.without_key.remove(id);
             self.keys.remove(id);
         }
     }
 
+    /// Whether no notice holds back any packet.
     pub fn is_empty(&self) -> bool {
-        self.unknown.is_empty() && self.keys.is_empty()
+        self.without_key.is_empty() && self.keys.is_empty()
     }
 
-    /// Whether one is owed for what was taken before a packet and may have its key.
+    /// Whether a notice is pending for a packet that was accepted before this one and has, or may have, its
+    /// key.
     pub fn before(&self, id: PacketId, key: KeyId) -> bool {
-        self.unknown.range(..id).next().is_some() || self.keys.range(..id).any(|(_, other)| *other == key)
+        self.without_key.range(..id).next().is_some() || self.keys.range(..id).any(|(_, other)| *other == key)
     }
 }
--- a/crates/sailcart-sender/src/memory/wakes.rs
+++ b/crates/sailcart-sender/src/memory/wakes.rs
@@ -1,14 +1,16 @@
-//! The rounds that the sender has asked for.
+//! The rounds that the sender has scheduled.
 
 use std::collections::BTreeSet;
 use std::time::Instant;
 
-/// Each stands until its time has come, also where an earlier one was asked for: the sender asks once only.
+/// Times at which a round is due. The sender asks for each round once only, so a time stays scheduled until
+/// it has passed, even if an earlier round is scheduled too.
 #[derive(Debug, Default)]
 pub struct Wakes(BTreeSet<Instant>);
 
 impl Wakes {
-    /// Those after it are asked for anew once it has passed, so they go: else each round could leave one more.
+    /// Schedules a round and drops all later ones. The sender asks for those again once this one has passed;
+    /// if they were retained, each round could add one more.
     pub fn ask(&mut self, at: Instant) {
         self.0.retain(|other| *other < at);
         self.0.insert(at);
@@ -19,7 +21,7 @@
         self.0.first().copied()
     }
 
-    /// A round begins: those that are due by now are met by it.
+    /// Removes the rounds that are due by `now`, as a round begins.
     pub fn meet(&mut self, now: Instant) {
         self.0.retain(|at| *at > now);
     }
