--- a/crates/sailcart-sender/src/life/mod.rs
+++ b/crates/sailcart-sender/src/life/mod.rs
@@ -1,4 +1,4 @@
-//! From the start of the process to its end.
+//! The life cycle of the process: start, recovery, reload and stop.
 
 pub mod recovery;
 pub mod reload;
--- a/crates/sailcart-sender/src/life/reload.rs
+++ b/crates/sailcart-sender/src/life/reload.rs
@@ -1,5 +1,5 @@
-//! Reload: at SIGHUP the configuration is read anew and checked whole, on a thread of its own, as its list may be long. A faulty one
-//! changes nothing.
+//! Reload: at SIGHUP the configuration is read again and validated as a whole. This happens on a thread of
+//! its own, as the list in it may be long. An invalid configuration changes nothing.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,52 +15,56 @@
 use crate::config::{self, Mandate, Source};
 use crate::exchange::Exchange;
 
-/// Reads the configuration from where it was read at the start.
-pub type Read = Arc<dyn Fn() -> Result<Mandate, Fault> + Send + Sync>;
+/// Reads the configuration from the file and environment that were used at the start.
+pub type ReadConfig = Arc<dyn Fn() -> Result<Mandate, Fault> + Send + Sync>;
 
-/// What of a newer configuration is followed at once.
-pub enum Follows {
-    /// Where discovery is.
-    Discovery(watch::Sender<SocketAddr>),
-    /// The destinations that the file lists.
-    Listed(Rc<Exchange>),
+/// The part of a new configuration that takes effect without a restart.
+pub enum ReloadTarget {
+    /// The address of discovery.
+    DiscoveryAddress(watch::Sender<SocketAddr>),
+    /// The list of endpoints in the file.
+    EndpointList(Rc<Exchange>),
 }
 
-pub async fn reload(mut hang_up: Signal, old: Value, read: Read, follows: Follows) {
-    while hang_up.recv().await.is_some() {
-        let (read, old) = (read.clone(), old.clone());
-        let wants_list = matches!(follows, Follows::Listed(_));
-        let newer = spawn_blocking(move || newer(&*read, &old, wants_list)).await;
-        let newer =
-            newer.unwrap_or_else(|fault| Err(Fault(format!("the configuration was not read: {fault}"))));
-        match (newer, &follows) {
-            (Ok((Source::Platform(discovery), _)), Follows::Discovery(place)) => {
-                let moved = place.send_if_modified(|place| std::mem::replace(place, discovery) != discovery);
+/// Handles SIGHUP for the life of the process. `initial_config` is the document read at the start, with
+/// which new ones are compared.
+pub async fn reload(mut sighup: Signal, initial_config: Value, read: ReadConfig, target: ReloadTarget) {
+    while sighup.recv().await.is_some() {
+        let (read, initial_config) = (read.clone(), initial_config.clone());
+        let wants_list = matches!(target, ReloadTarget::EndpointList(_));
+        let reloaded = spawn_blocking(move || read_new_config(&*read, &initial_config, wants_list)).await;
+        let reloaded =
+            reloaded.unwrap_or_else(|error| Err(Fault(format!("reading the configuration failed: {error}"))));
+        match (reloaded, &target) {
+            (Ok((Source::Platform(discovery), _)), ReloadTarget::DiscoveryAddress(address_sender)) => {
+                let moved = address_sender
+                    .send_if_modified(|address| std::mem::replace(address, discovery) != discovery);
                 log::info!("reload: discovery at {discovery}, code={}", if moved { "moved" } else { "kept" });
             }
-            (Ok((Source::Static, Some(known))), Follows::Listed(exchange)) => {
+            (Ok((Source::Static, Some(known))), ReloadTarget::EndpointList(exchange)) => {
                 let list = known.summary();
                 exchange.take_over_as_told(list.whole, known.entries());
                 log::info!("reload: {} endpoints listed, code=listed", list.read);
             }
-            (Ok(_), _) => log::warn!("reload: another kind of source, code=next_start"),
-            (Err(fault), _) => {
+            (Ok(_), _) => log::warn!("reload: the kind of source has changed, code=next_start"),
+            (Err(error), _) => {
                 log::error!(
                     "reload: the old configuration stays, code=faulty {}",
-                    fault.0.replace('\n', "; ")
+                    error.0.replace('\n', "; ")
                 );
             }
         }
     }
 }
 
-/// Where lists come from by the configuration as it is now, and its own list where that is followed; the rest goes where it was read.
-fn newer(
+/// Reads the new configuration. Returns the source of lists and, if wanted, the list in the file; the rest
+/// of the configuration is dropped here, on the thread that read it.
+fn read_new_config(
     read: &dyn Fn() -> Result<Mandate, Fault>,
-    old: &Value,
+    initial_config: &Value,
     wants_list: bool,
 ) -> Result<(Source, Option<KnownList>), Fault> {
     let new = read()?;
-    let source = config::moved(old, &new)?;
+    let source = config::moved(initial_config, &new)?;
     Ok((source, wants_list.then_some(new.known)))
 }
--- a/crates/sailcart-sender/src/life/start.rs
+++ b/crates/sailcart-sender/src/life/start.rs
@@ -1,4 +1,4 @@
-//! Start: the journal is read and taken over, then clients are let in.
+//! Start: the journal is recovered, the list of endpoints is put in force, then clients are accepted.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 use crate::config::{Mandate, Source};
 use crate::endpoints::Endpoints;
 use crate::exchange::Exchange;
-use crate::life::reload::{Follows, Read, reload};
+use crate::life::reload::{ReadConfig, ReloadTarget, reload};
 use crate::life::{recovery, stop};
 use crate::machine;
 use crate::memory::ledger::Ledger;
@@ -23,69 +23,79 @@
 use crate::platform;
 use crate::rhythm::Rhythm;
 
-/// How long a port that is in use is waited for.
-const LONGEST_BIND: Duration = Duration::from_secs(4);
+/// How long a start waits for a port that is in use.
+const MAX_PORT_WAIT: Duration = Duration::from_secs(4);
 
-/// How long a start waits for a socket that this machine does not have, and the pause between two tries.
-const LONGEST_OWN_FAULT: Duration = Duration::from_secs(25);
-const OWN_FAULT_PAUSE: Duration = Duration::from_millis(25);
+/// How long a start retries after local errors, such as a lack of sockets, and the delay between attempts.
+const MAX_LOCAL_ERROR_WAIT: Duration = Duration::from_secs(25);
+const LOCAL_ERROR_DELAY: Duration = Duration::from_millis(25);
 
-/// Runs a sender on this thread until it is told to end.
-pub fn serve(mandate: Mandate, read: Read) -> io::Result<()> {
+/// Runs a sender on this thread until SIGTERM or SIGINT. `read` reads the configuration again at each reload.
+///
+/// # Errors
+/// The start failed: the state folder cannot be opened, or the listening socket cannot be bound.
+pub fn serve(mandate: Mandate, read: ReadConfig) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let ended = LocalSet::new().block_on(&runtime, run(mandate, read));
-    runtime.shutdown_background(); // a configuration that is being read holds no stop up
-    ended
+    let result = LocalSet::new().block_on(&runtime, run(mandate, read));
+    runtime.shutdown_background(); // does not wait for a reload that is still reading the configuration
+    result
 }
 
-async fn run(mandate: Mandate, read: Read) -> io::Result<()> {
-    let mut terminate = signal(SignalKind::terminate())?;
-    let mut interrupt = signal(SignalKind::interrupt())?;
-    let hang_up = signal(SignalKind::hangup())?; // from here on it no longer ends the process
+async fn run(mandate: Mandate, read: ReadConfig) -> io::Result<()> {
+    let mut sigterm = signal(SignalKind::terminate())?;
+    let mut sigint = signal(SignalKind::interrupt())?;
+    let sighup = signal(SignalKind::hangup())?; // from here on it no longer terminates the process
     let ledger =
         Ledger::open(&mandate.state, mandate.bounds.journal, mandate.bounds.ended, mandate.bounds.sync);
-    let ledger = ledger.map_err(|e| name("state", e))?;
+    let ledger = ledger.map_err(|e| with_key("state", e))?;
     let (terms, known, bounds) = (mandate.terms, mandate.known, mandate.bounds);
-    // Before the peer, by more than a call takes to get there: one that crosses its close is lost.
+    // An eighth before the endpoint closes the connection, which is longer than a call takes to reach it: a
+    // call that crosses the endpoint's close is lost.
     let pool = Pool::new(mandate.carriage.idle_close * 7 / 8, bounds.idle);
     let endpoints = Rc::new(Endpoints::new(pool, terms.connect_time_out));
     let asked = terms.list_asked;
     let exchange = Rc::new(Exchange::new(terms, mandate.seed, mandate.names, ledger));
     recovery::recover(&exchange, &known);
-    let follows = match mandate.source {
+    let reload_target = match mandate.source {
         Source::Platform(discovery) => {
-            let (moves, place) = watch::channel(discovery);
-            let (heard, first) = oneshot::channel();
-            let (version, rhythm) = (known.summary().version, Rhythm::new(asked, mandate.seed));
+            let (address_sender, address_receiver) = watch::channel(discovery);
+            let (first_call_completed, first_call) = oneshot::channel();
+            let (version, schedule) = (known.summary().version, Rhythm::new(asked, mandate.seed));
             drop(known); // it may be large
-            let follower =
-                platform::Follower::new(place.clone(), version, rhythm, bounds.listed, exchange.clone());
-            spawn_local(follower.follow(heard));
-            spawn_local(platform::notify(place, exchange.clone()));
+            let follower = platform::Follower::new(
+                address_receiver.clone(),
+                version,
+                schedule,
+                bounds.listed,
+                exchange.clone(),
+            );
+            spawn_local(follower.follow(first_call_completed));
+            spawn_local(platform::send_notices(address_receiver, exchange.clone()));
             if asked.is_none() {
-                // What an agent has counts as told from the first moment on: the list of the life before may name endpoints
-                // that drained since. A silent agent is waited for no longer than one call.
-                let _ = first.await;
+                // What the agent has counts as known from the first moment on, and the list of the previous
+                // process may name endpoints that have drained since. The start waits for one call at most
+                // if the agent is silent.
+                let _ = first_call.await;
             }
-            Follows::Discovery(moves)
+            ReloadTarget::DiscoveryAddress(address_sender)
         }
         Source::Static => {
             exchange.take_over_as_told(known.summary().whole, known.entries());
             drop(known);
-            spawn_local(platform::note(exchange.clone()));
-            Follows::Listed(exchange.clone())
+            spawn_local(platform::log_notices(exchange.clone()));
+            ReloadTarget::EndpointList(exchange.clone())
         }
     };
-    spawn_local(reload(hang_up, mandate.file, read, follows));
+    spawn_local(reload(sighup, mandate.file, read, reload_target));
     spawn_local(endpoints.clone().sweep());
     spawn_local(exchange.clone().rounds(mandate.carriage.round, endpoints.clone()));
-    let listener = bind(mandate.listen).await.map_err(|e| name("listen", e))?;
+    let listener = bind(mandate.listen).await.map_err(|e| with_key("listen", e))?;
     log::info!("{} listens on {}", mandate.name, mandate.listen);
     let clients = Clients::new(exchange.clone(), bounds.clients);
     let accepting = spawn_local(clients.clone().accept(listener));
     tokio::select! {
-        _ = terminate.recv() => log::info!("{} stops, code=sigterm", mandate.name),
-        _ = interrupt.recv() => log::info!("{} stops, code=sigint", mandate.name),
+        _ = sigterm.recv() => log::info!("{} stops, code=sigterm", mandate.name),
+        _ = sigint.recv() => log::info!("{} stops, code=sigint", mandate.name),
     }
     stop::stop(&exchange, &clients, accepting).await;
     endpoints.close_all("stopping");
@@ -93,34 +103,34 @@
     Ok(())
 }
 
-/// The life before may not have let go of its port yet, and the machine may be out of sockets for a moment. Nine in ten have ten
-/// seconds to be ready.
+/// Binds the listening socket. Retries while the previous process may still hold the port, or while this
+/// machine is short of sockets. Nine in ten senders must be ready within ten seconds.
 async fn bind(listen: SocketAddr) -> io::Result<TcpListener> {
     let start = Instant::now();
-    let mut told = None;
+    let mut logged_code = None;
     loop {
-        let fault = match TcpListener::bind(listen).await {
+        let error = match TcpListener::bind(listen).await {
             Ok(listener) => return Ok(listener),
-            Err(fault) => fault,
+            Err(error) => error,
         };
-        let (code, longest, pause) = match fault.kind() {
-            io::ErrorKind::AddrInUse => ("in_use", LONGEST_BIND, LONGEST_BIND / 16),
-            // An address that is not this machine's will not become so.
-            io::ErrorKind::AddrNotAvailable => return Err(fault),
-            _ if machine::is_own_fault(&fault) => ("own_fault", LONGEST_OWN_FAULT, OWN_FAULT_PAUSE),
-            _ => return Err(fault),
+        let (code, max_wait, retry_delay) = match error.kind() {
+            io::ErrorKind::AddrInUse => ("in_use", MAX_PORT_WAIT, MAX_PORT_WAIT / 16),
+            // Permanent: the address belongs to no interface of this machine.
+            io::ErrorKind::AddrNotAvailable => return Err(error),
+            _ if machine::is_own_fault(&error) => ("own_fault", MAX_LOCAL_ERROR_WAIT, LOCAL_ERROR_DELAY),
+            _ => return Err(error),
         };
-        if start.elapsed() >= longest {
-            return Err(fault);
+        if start.elapsed() >= max_wait {
+            return Err(error);
         }
-        if told.replace(code) != Some(code) {
-            log::warn!("{listen} is waited for, code={code} {fault}");
+        if logged_code.replace(code) != Some(code) {
+            log::warn!("cannot listen on {listen} yet, retrying, code={code} {error}");
         }
-        sleep(pause).await;
+        sleep(retry_delay).await;
     }
 }
 
-/// Names the key whose value could not be used.
-fn name(key: &str, fault: io::Error) -> io::Error {
-    io::Error::new(fault.kind(), format!("{key}: {fault}"))
+/// Adds the configuration key whose value caused the error.
+fn with_key(key: &str, error: io::Error) -> io::Error {
+    io::Error::new(error.kind(), format!("{key}: {error}"))
 }
--- a/crates/sailcart-sender/src/life/stop.rs
+++ b/crates/sailcart-sender/src/life/stop.rs
@@ -1,5 +1,6 @@
-//! Stop: nothing new is taken, what is owed is paid as far as time allows, and the process ends before it is killed. What is not
-//! over by then stands in the journal, and the log says what it was.
+//! Stop: no new packets are accepted, outstanding work is finished as far as time allows, and the process
+//! exits before it is killed. Whatever is unfinished by then is in the journal, and the log reports how
+//! much it was.
 
 use std::io;
 use std::rc::Rc;
@@ -12,65 +13,75 @@
 use crate::clients::Clients;
 use crate::exchange::Exchange;
 
-/// New connections still come for this long after the signal; then clients go elsewhere, but use the ones they
-/// have for as long as these stay open.
-const LATE_COMERS: Duration = Duration::from_millis(400);
-/// The kill comes 3.7 s after the signal at the soonest.
-const LONGEST: Duration = Duration::from_millis(3200);
-/// What those that waited in the listener's queue are left, out of that.
-const LAST: Duration = Duration::from_millis(400);
-const LOOK: Duration = Duration::from_millis(5);
+/// For this long after the signal clients may still open connections. After that they connect elsewhere,
+/// but go on using the connections they have for as long as these stay open.
+const LATE_CONNECTIONS: Duration = Duration::from_millis(400);
+/// How long a stop may take: the process is killed 3.7 s after the signal at the earliest.
+const MAX_STOP: Duration = Duration::from_millis(3200);
+/// The part of [`MAX_STOP`] reserved for connections that wait in the listener's accept queue.
+const ACCEPT_QUEUE_RESERVE: Duration = Duration::from_millis(400);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What is still owed at a stop.
+/// How much work is unfinished.
 #[derive(PartialEq, Default)]
-struct StillOwed {
+struct Outstanding {
+    /// Packets in flight.
     calls: usize,
     connections: usize,
     notices: usize,
-    /// Changes that the state folder has not taken.
+    /// Groups of journal changes that could not be written to the state folder.
     unwritten: usize,
 }
 
-impl StillOwed {
+impl Outstanding {
     fn now(exchange: &Exchange, clients: &Clients) -> Self {
-        StillOwed {
+        Outstanding {
             calls: exchange.calls_out(),
             connections: clients.open(),
-            notices: exchange.owed(|owed| owed.count()),
+            notices: exchange.owed(|pending| pending.count()),
             unwritten: exchange.behind(),
         }
     }
 }
 
+/// Stops the exchange and the clients' connections, and returns when the process may exit. `accepting` is
+/// the task that accepts connections.
 pub async fn stop(exchange: &Exchange, clients: &Rc<Clients>, accepting: JoinHandle<TcpListener>) {
     let start = Instant::now();
     exchange.stop();
-    sleep(LATE_COMERS).await;
+    sleep(LATE_CONNECTIONS).await;
     clients.hang_up();
-    while StillOwed::now(exchange, clients) != StillOwed::default() && start.elapsed() < LONGEST - LAST {
-        sleep(LOOK).await;
+    while Outstanding::now(exchange, clients) != Outstanding::default()
+        && start.elapsed() < MAX_STOP - ACCEPT_QUEUE_RESERVE
+    {
+        sleep(POLL_INTERVAL).await;
     }
     exchange.answer_unsynced();
     clients.stop_accepting();
-    if let Err(fault) = empty(clients, accepting, start).await {
-        log::warn!("clients: code=not_accepted {fault}");
+    if let Err(error) = drain_accept_queue(clients, accepting, start).await {
+        log::warn!("clients: code=not_accepted {error}");
     }
-    let StillOwed { calls, connections, notices, unwritten } = StillOwed::now(exchange, clients);
+    let Outstanding { calls, connections, notices, unwritten } = Outstanding::now(exchange, clients);
     log::info!(
         "{calls} packets still out, {connections} connections still open, {notices} notices still owed, {unwritten} changes unwritten, {} violations",
         exchange.violations()
     );
 }
 
-/// Who waits in the queue is heard and ended like the others, until nobody does: then the listener goes.
-async fn empty(clients: &Rc<Clients>, accepting: JoinHandle<TcpListener>, start: Instant) -> io::Result<()> {
+/// Serves and closes the connections in the accept queue like the others until there are none left or time
+/// is up, then closes the listener.
+async fn drain_accept_queue(
+    clients: &Rc<Clients>,
+    accepting: JoinHandle<TcpListener>,
+    start: Instant,
+) -> io::Result<()> {
     let Ok(listener) = accepting.await else { return Ok(()) };
     let listener = listener.into_std()?;
-    while start.elapsed() < LONGEST {
+    while start.elapsed() < MAX_STOP {
         if clients.empty_queue(&listener) && clients.open() == 0 {
             break;
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
     Ok(())
 }
--- a/crates/sailcart-sender/src/pauses.rs
+++ b/crates/sailcart-sender/src/pauses.rs
@@ -1,32 +1,38 @@
-//! How long to wait before something that failed is tried again. Pure: it neither sleeps nor reads a clock.
+//! Backoff delays before a failed operation is retried. Pure: this module neither sleeps nor reads a clock.
 
 use std::time::Duration;
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Each pause is drawn from the whole of a span that doubles with every failure in a row, up to a most. Guards against hundreds of
-/// senders that were turned away together and come again together: they would keep out even those that are let in. Libraries
-/// for this add chance on top of a sure pause, which keeps such a crowd together at first.
+/// Exponential backoff with full jitter: each delay is drawn at random from a range whose upper bound
+/// doubles with every consecutive failure, up to a maximum.
+///
+/// Hundreds of senders that were turned away together must not return together: that would keep out even
+/// those that discovery could serve. Backoff libraries add jitter on top of a fixed delay, which keeps such
+/// a group together at first.
 pub struct Pauses {
     rng: ChaCha8Rng,
-    least: Duration,
-    span: Duration,
+    min_delay: Duration,
+    /// Upper bound of the last draw; zero after a success.
+    upper_bound: Duration,
 }
 
 impl Pauses {
-    pub fn new(seed: u64, least: Duration) -> Self {
-        Pauses { rng: ChaCha8Rng::seed_from_u64(seed), least, span: Duration::ZERO }
+    /// A backoff whose delays are at least `min_delay`.
+    pub fn new(seed: u64, min_delay: Duration) -> Self {
+        Pauses { rng: ChaCha8Rng::seed_from_u64(seed), min_delay, upper_bound: Duration::ZERO }
     }
 
-    /// The next pause; a row begins with a span of `first`, or of the least, and none is drawn from more than `most`.
-    pub fn next(&mut self, first: Duration, most: Duration) -> Duration {
-        self.span = (self.span * 2).max(first).max(self.least).min(most);
-        self.least + self.span.saturating_sub(self.least).mul_f64(self.rng.random())
+    /// The delay after a failure. After a success the upper bound starts at `first` (at least at the minimum
+    /// delay); it never exceeds `max`.
+    pub fn next(&mut self, first: Duration, max: Duration) -> Duration {
+        self.upper_bound = (self.upper_bound * 2).max(first).max(self.min_delay).min(max);
+        self.min_delay + self.upper_bound.saturating_sub(self.min_delay).mul_f64(self.rng.random())
     }
 
-    /// It went well: the next failure is the first of its row.
+    /// Records a success: the upper bound of the next delay starts anew.
     pub fn over(&mut self) {
-        self.span = Duration::ZERO;
+        self.upper_bound = Duration::ZERO;
     }
 }
--- a/crates/sailcart-sender/src/platform/connection.rs
+++ b/crates/sailcart-sender/src/platform/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to the platform, which a reload may move.
+//! A reusable connection to the platform, whose address may change when the configuration is reloaded.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,75 +12,85 @@
 use crate::caller::{self, Reply, Sink, Term};
 use crate::socket::Socket;
 
-/// The platform is elsewhere since a reload, and a call was given up for it. Not [`io::ErrorKind::Interrupted`], which the system's own
-/// calls return too: whoever hears of a move goes on without a pause.
+/// A call was abandoned because a reload changed the platform's address.
+///
+/// Distinct from [`io::ErrorKind::Interrupted`], which system calls return too: after an address change the
+/// caller goes on without a backoff.
 #[derive(Debug, thiserror::Error)]
-#[error("the platform has moved")]
-pub(super) struct Moved;
+#[error("the platform's address has changed")]
+pub(super) struct AddressChangedError;
 
-/// Whether a call was given up as the platform has moved.
-pub(super) fn is_move(fault: &io::Error) -> bool {
-    fault.get_ref().is_some_and(|inner| inner.is::<Moved>())
+/// Whether a call failed with [`AddressChangedError`].
+pub(super) fn is_address_change(error: &io::Error) -> bool {
+    error.get_ref().is_some_and(|inner| inner.is::<AddressChangedError>())
 }
 
-/// Where the platform is: a reload may move it.
-pub type Place = watch::Receiver<SocketAddr>;
+/// The platform's current address, updated by reloads.
+pub type AddressReceiver = watch::Receiver<SocketAddr>;
 
-/// A connection to the platform, opened when there is something to say.
-pub(super) struct Wire {
-    pub(super) place: Place,
+/// A connection to the platform that is opened by the first call and kept alive between calls.
+pub(super) struct Connection {
+    pub(super) address_receiver: AddressReceiver,
     pub(super) stream: Option<Socket>,
-    /// How long a connection may take to come up, whatever a call on it may wait for.
-    pub(super) connect: Duration,
+    /// Applies to connecting alone, however long the answer of the call may take.
+    pub(super) connect_timeout: Duration,
 }
 
-impl Wire {
+impl Connection {
     pub(super) fn address(&self) -> SocketAddr {
-        *self.place.borrow()
+        *self.address_receiver.borrow()
     }
 
-    /// One call and its answer. Guards against waiting at an address that has been left: what is out there ends
-    /// at once, as [`Moved`], and the next call goes to the new one.
+    /// Sends one call and reads its answer.
+    ///
+    /// If the address changes meanwhile, the call fails at once with [`AddressChangedError`] instead of
+    /// waiting for an answer from the old address, and the next call goes to the new one.
     pub(super) async fn call<S: Sink>(
         &mut self,
         bytes: &[u8],
-        limits: Limits,
+        limits: AnswerLimits,
         sink: &mut S,
     ) -> Result<Reply, S::Fault> {
-        let (mut place, left) = (self.place.clone(), self.address());
+        let (mut address_receiver, old_address) = (self.address_receiver.clone(), self.address());
         tokio::select! {
             biased;
-            Ok(()) = place.changed() => {
-                self.leave(left);
-                Err(io::Error::other(Moved).into())
+            Ok(()) = address_receiver.changed() => {
+                self.disconnect(old_address);
+                Err(io::Error::other(AddressChangedError).into())
             }
-            reply = self.turn(bytes, limits, sink) => reply,
+            reply = self.call_current_address(bytes, limits, sink) => reply,
         }
     }
 
-    /// A pause before the next call; true, and at once, where the platform moves meanwhile.
-    pub(super) async fn moves_within(&mut self, pause: Duration) -> bool {
-        let left = self.address();
+    /// Waits before the next call. Returns early, with true, if the address changes meanwhile.
+    pub(super) async fn address_changes_within(&mut self, delay: Duration) -> bool {
+        let old_address = self.address();
         tokio::select! {
-            () = sleep(pause) => return false,
-            Ok(()) = self.place.changed() => {}
+            () = sleep(delay) => return false,
+            Ok(()) = self.address_receiver.changed() => {}
         }
-        self.leave(left);
+        self.disconnect(old_address);
         true
     }
 
-    fn leave(&mut self, left: SocketAddr) {
-        self.place.mark_unchanged();
+    fn disconnect(&mut self, old_address: SocketAddr) {
+        self.address_receiver.mark_unchanged();
         self.stream = None;
-        log::info!("platform {left}: connection ended, code=moved");
+        log::info!("platform {old_address}: connection ended, code=moved");
     }
 
-    /// One call and its answer within a time, its connection included. One on which it did not come whole is closed.
-    async fn turn<S: Sink>(&mut self, bytes: &[u8], limits: Limits, sink: &mut S) -> Result<Reply, S::Fault> {
-        let Limits { within, least_rate, most } = limits;
+    /// Sends one call and reads its answer within the limits, connecting first if necessary. A connection
+    /// on which no complete answer came is closed.
+    async fn call_current_address<S: Sink>(
+        &mut self,
+        bytes: &[u8],
+        limits: AnswerLimits,
+        sink: &mut S,
+    ) -> Result<Reply, S::Fault> {
+        let AnswerLimits { within, least_rate, max_body_bytes } = limits;
         let term = Term { start: Instant::now(), within, least_rate };
-        let mut stream = timeout(within, self.say(bytes)).await.map_err(io::Error::from)??;
-        let reply = caller::hand_on(&mut stream, most, term, sink).await?;
+        let mut stream = timeout(within, self.send(bytes)).await.map_err(io::Error::from)??;
+        let reply = caller::hand_on(&mut stream, max_body_bytes, term, sink).await?;
         if reply.keeps() {
             stream.nothing_is_due();
             self.stream = Some(stream);
@@ -90,12 +100,12 @@
         Ok(reply)
     }
 
-    /// The connection on which the call has gone out.
-    async fn say(&mut self, bytes: &[u8]) -> io::Result<Socket> {
-        let (kept, address) = (self.stream.take(), self.address());
-        let mut stream = match kept {
+    /// Sends a call on the idle connection or a new one, and returns the connection.
+    async fn send(&mut self, bytes: &[u8]) -> io::Result<Socket> {
+        let (idle, address) = (self.stream.take(), self.address());
+        let mut stream = match idle {
             Some(stream) => stream,
-            None => Socket(timeout(self.connect, TcpStream::connect(address)).await??),
+            None => Socket(timeout(self.connect_timeout, TcpStream::connect(address)).await??),
         };
         stream.0.set_nodelay(true)?;
         stream.write_all(bytes).await?;
@@ -103,13 +113,12 @@
     }
 }
 
-/// What an answer may take.
+/// Bounds on the answer to a call.
 #[derive(Clone, Copy)]
-pub(super) struct Limits {
-    /// From the call's first moment on.
+pub(super) struct AnswerLimits {
+    /// Time for the call and its answer, connecting included. A large body has more by `least_rate`.
     pub(super) within: Duration,
-    /// As in [`Term`].
+    /// In bytes per second, as in [`Term`].
     pub(super) least_rate: Option<u32>,
-    /// Bytes of its body at most.
-    pub(super) most: usize,
+    pub(super) max_body_bytes: usize,
 }
--- a/crates/sailcart-sender/src/platform/follower.rs
+++ b/crates/sailcart-sender/src/platform/follower.rs
@@ -1,4 +1,5 @@
-//! Discovery is watched without gaps, and each list that it tells is staged as it comes.
+//! Follows the list of endpoints that discovery serves, without gaps between versions, and stages each list
+//! or update as it is received.
 
 use std::fmt::{self, Display};
 use std::io;
@@ -9,7 +10,7 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use super::connection::{Limits, Place, Wire, is_move};
+use super::connection::{AddressReceiver, AnswerLimits, Connection, is_address_change};
 use crate::caller::{Sink, TooLarge};
 use crate::exchange::{Exchange, ListTooLarge, StagedList};
 use crate::rhythm::{self, Failure, Rhythm};
@@ -17,277 +18,301 @@
 use crate::wire::list_reader::{ListReader, MOST_ENTRY, Summary};
 use crate::wire::{MOST_BODY, discovery, http};
 
-/// A list that comes more slowly is given up, in bytes a second.
-const LEAST_RATE: u32 = 4_000_000;
+/// A list that is received more slowly than this is abandoned.
+const MIN_LIST_BYTES_PER_SECOND: u32 = 4_000_000;
 
-/// What a call brought.
+/// What a call that succeeded brought.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum News {
-    Some,
-    None,
+enum Received {
+    Entries,
+    Nothing,
 }
 
-/// Why a call brought no list that counts.
+/// Why a call brought no valid list.
 #[derive(Debug)]
-enum NoList {
-    /// Discovery is elsewhere now.
-    Moved,
-    /// No connection, or one that broke, or an answer that took too long.
-    Lost(io::Error),
-    /// An answer with another status: discovery has too much to do.
-    TurnedAway(u16),
-    /// A list that cannot be: it is not one, or of long ago.
-    Spoilt(String),
-    /// More endpoints or bytes than there is room for.
+enum ListError {
+    /// A reload changed the address of discovery.
+    AddressChanged,
+    /// The connection failed or broke, or the answer took too long.
+    ConnectionFailed(io::Error),
+    /// An answer with a status other than 200: discovery is overloaded.
+    Status(u16),
+    /// The body is no valid list, or the list is older than the one in force.
+    Malformed(String),
+    /// The list has more endpoints or bytes than the limits allow.
     TooLarge,
 }
 
-impl From<io::Error> for NoList {
-    fn from(fault: io::Error) -> Self {
-        match fault.kind() {
-            _ if is_move(&fault) => NoList::Moved,
-            io::ErrorKind::InvalidData => NoList::Spoilt(fault.to_string()),
-            _ => NoList::Lost(fault),
+impl From<io::Error> for ListError {
+    fn from(error: io::Error) -> Self {
+        match error.kind() {
+            _ if is_address_change(&error) => ListError::AddressChanged,
+            io::ErrorKind::InvalidData => ListError::Malformed(error.to_string()),
+            _ => ListError::ConnectionFailed(error),
         }
     }
 }
 
-impl From<TooLarge> for NoList {
+impl From<TooLarge> for ListError {
     fn from(_: TooLarge) -> Self {
-        NoList::TooLarge
+        ListError::TooLarge
     }
 }
 
-impl From<ListTooLarge> for NoList {
+impl From<ListTooLarge> for ListError {
     fn from(_: ListTooLarge) -> Self {
-        NoList::TooLarge
+        ListError::TooLarge
     }
 }
 
-impl From<Fault> for NoList {
-    fn from(fault: Fault) -> Self {
-        NoList::Spoilt(fault.0)
+impl From<Fault> for ListError {
+    fn from(error: Fault) -> Self {
+        ListError::Malformed(error.0)
     }
 }
 
-impl Display for NoList {
-    fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
+impl Display for ListError {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            NoList::Moved => write!(to, "discovery has moved"),
-            NoList::Lost(fault) => write!(to, "{fault}"),
-            NoList::TurnedAway(status) => write!(to, "answer {status}"),
-            NoList::Spoilt(words) => write!(to, "{words}"),
-            NoList::TooLarge => write!(to, "the list is too large"),
+            ListError::AddressChanged => write!(formatter, "the address of discovery has changed"),
+            ListError::ConnectionFailed(error) => write!(formatter, "{error}"),
+            ListError::Status(status) => write!(formatter, "answer {status}"),
+            ListError::Malformed(message) => write!(formatter, "{message}"),
+            ListError::TooLarge => write!(formatter, "the list is too large"),
         }
     }
 }
 
-/// Reads a list as it comes and stages what it tells.
-struct Intake<'a> {
+/// Parses a list as it is received, and stages its entries.
+struct ListIntake<'a> {
     exchange: &'a Exchange,
     reader: ListReader,
     staged: StagedList,
-    /// Bytes of an answer that is no list.
-    other: usize,
+    /// Bytes received of a body that is no list, as the status is not 200.
+    other_bytes: usize,
 }
 
-impl Sink for Intake<'_> {
-    type Fault = NoList;
+impl Sink for ListIntake<'_> {
+    type Fault = ListError;
 
-    fn take(&mut self, head: &Head, piece: &[u8]) -> Result<(), NoList> {
+    fn take(&mut self, head: &Head, piece: &[u8]) -> Result<(), ListError> {
         if head.status != 200 {
-            self.other += piece.len();
-            return if self.other > MOST_BODY { Err(NoList::TurnedAway(head.status)) } else { Ok(()) };
+            self.other_bytes += piece.len();
+            return if self.other_bytes > MOST_BODY { Err(ListError::Status(head.status)) } else { Ok(()) };
         }
         let entries = self.reader.push(piece)?;
         Ok(self.exchange.add(&mut self.staged, entries)?)
     }
 }
 
-/// Follows the destination list.
+/// Follows the list of endpoints by polling discovery: each call either fetches the full list or waits for
+/// an update that is newer than a version (a watch).
 ///
-/// A list is read as it comes, and others on this thread have their turn after each [`caller::PIECE`] of it. Nothing of it
-/// counts until all of it has come and can be. A call has the time of its rhythm, and a large list more in step with the
-/// bytes that came ([`LEAST_RATE`]). For `n` endpoints a list has `n` times [`MOST_ENTRY`] bytes at most, so it is over, good
-/// or given up, in the time of its call (0.75 s with an agent, 2.25 s without; for a watch its wait as well) and `n` times
-/// 1.024 ms: 384 s for the 375,000 endpoints of 192 MB. With entries of 165 bytes, as they mostly are, it is over in 16 s.
-/// This holds while this thread reads as fast as bytes come; bytes that wait here are read, however late.
+/// # Large lists
 ///
-/// A list that is too large is refused: the last good one stays in force, and what was too large is asked for again after
-/// pauses that grow to a minute. Where it was the whole list (as asked for after one that was spoilt), the watch from the last
-/// good version goes on meanwhile at its own pace, so changes that follow that version are still heard in the ordinary term.
-/// Where the answer to the watch itself was too large, nothing can be heard without reading it anew, so nothing is promised
-/// of changes before the pause is over.
+/// A list is parsed as it is received, and this thread yields to other tasks after each [`caller::PIECE`].
+/// No part of the list takes effect before all of it has been received and found valid.
+///
+/// A call has the time that its polling schedule gives, and a large list more in proportion to the bytes
+/// received (`MIN_LIST_BYTES_PER_SECOND`). A list of `n` endpoints has at most `n` times [`MOST_ENTRY`]
+/// bytes. So it is complete or abandoned within the time of its call (0.75 s with an agent, 2.25 s without;
+/// for a watch also its wait) plus `n` times 1.024 ms: 384 s for the 375,000 endpoints that fit into 192
+/// MB. With entries of the usual 165 bytes it takes 16 s. This holds as long as this thread reads as fast
+/// as bytes arrive; bytes that have already arrived are read, however late.
+///
+/// # Lists that are too large
+///
+/// A list that is too large is refused and the last valid one stays in force. The refused request is
+/// repeated after delays that grow to a minute. If it was for the full list (after a malformed one), the
+/// watch from the last valid version continues meanwhile at its own pace, so updates after that version
+/// still arrive on the usual schedule. If the answer to the watch itself was too large, no update can be
+/// received without reading that answer again, so nothing is promised about updates before the delay has
+/// passed.
+///
+/// [`caller::PIECE`]: crate::caller::PIECE
 pub struct Follower {
-    wire: Wire,
-    rhythm: Rhythm,
-    /// Endpoints that a list may bring.
-    listed: usize,
+    connection: Connection,
+    schedule: Rhythm,
+    /// The most endpoints that a list may contain.
+    max_endpoints: usize,
     exchange: Rc<Exchange>,
-    /// From which version on the next call watches; without one it asks for the whole list.
-    from: Option<u64>,
-    /// The version in force, where this discovery told it.
-    good: Option<u64>,
-    /// When the whole list, which was too large, is asked for again.
-    whole_at: Option<Instant>,
-    /// What the last line of the log told of: one for an outage, not one for each try.
-    told: Option<io::ErrorKind>,
-    /// The log has told of a list that is too large, and it still is.
-    told_too_large: bool,
+    /// The version after which the next call watches; `None` if it fetches the full list.
+    watch_from: Option<u64>,
+    /// The version in force; `None` if the current discovery did not serve it.
+    version_in_force: Option<u64>,
+    /// When to fetch the full list again after it was too large.
+    full_list_at: Option<Instant>,
+    /// The error that was logged last; an outage has one line, not one for each attempt.
+    logged_error: Option<io::ErrorKind>,
+    /// The list is too large, and this has been logged.
+    logged_too_large: bool,
 }
 
 impl Follower {
-    /// Begins after a version. `listed` is how many endpoints a list may bring.
-    pub fn new(place: Place, version: u64, rhythm: Rhythm, listed: usize, exchange: Rc<Exchange>) -> Self {
+    /// Creates a follower that watches for updates after `version`. Lists of more than `max_endpoints` are
+    /// refused.
+    pub fn new(
+        address_receiver: AddressReceiver,
+        version: u64,
+        schedule: Rhythm,
+        max_endpoints: usize,
+        exchange: Rc<Exchange>,
+    ) -> Self {
         Follower {
-            wire: Wire { place, stream: None, connect: rhythm.call() },
-            rhythm,
-            listed,
+            connection: Connection { address_receiver, stream: None, connect_timeout: schedule.call() },
+            schedule,
+            max_endpoints,
             exchange,
-            from: Some(version),
-            good: Some(version),
-            whole_at: None,
-            told: None,
-            told_too_large: false,
+            watch_from: Some(version),
+            version_in_force: Some(version),
+            full_list_at: None,
+            logged_error: None,
+            logged_too_large: false,
         }
     }
 
-    /// Asks again and again. `heard` is told when the first call has come to its end, with a list or without.
-    pub async fn follow(mut self, heard: oneshot::Sender<()>) {
-        let mut heard = Some(heard);
+    /// Polls discovery for the life of the process. `first_call_completed` is notified when the first call
+    /// has completed, whether it brought a list or not.
+    pub async fn follow(mut self, first_call_completed: oneshot::Sender<()>) {
+        let mut first_call_completed = Some(first_call_completed);
         loop {
-            if self.whole_at.is_some_and(|at| at <= Instant::now()) {
-                self.from = None;
+            if self.full_list_at.is_some_and(|at| at <= Instant::now()) {
+                self.watch_from = None;
             }
             let start = Instant::now();
-            let asked = self.ask().await;
-            heard.take().map(|heard| heard.send(()));
-            match asked {
-                Ok(News::Some) => {}
-                Ok(News::None) => {
-                    // One that ends at once is opened again after a pause all the same: well within the time in which it goes on.
-                    let pause = rhythm::LEAST.saturating_sub(start.elapsed());
-                    self.pause(pause).await;
+            let polled = self.poll().await;
+            first_call_completed.take().map(|sender| sender.send(()));
+            match polled {
+                Ok(Received::Entries) => {}
+                Ok(Received::Nothing) => {
+                    // A watch that is answered at once is not repeated at once, to bound the rate of calls.
+                    // The delay is short enough that updates still arrive on schedule.
+                    let delay = rhythm::MIN_DELAY.saturating_sub(start.elapsed());
+                    self.wait(delay).await;
                 }
-                Err(fault) => self.fail(fault).await,
+                Err(error) => self.handle_failure(error).await,
             }
         }
     }
 
-    /// One call; a list that it brings is in force then. Tells whether it brought anything.
-    async fn ask(&mut self) -> Result<News, NoList> {
-        let (path, within) = self.call();
-        let call = http::get(&self.wire.address().to_string(), &path);
-        let most = self.listed.saturating_mul(MOST_ENTRY);
-        let limits = Limits { within, least_rate: Some(LEAST_RATE), most };
+    /// Makes one call and puts the list or update that it brings in force.
+    async fn poll(&mut self) -> Result<Received, ListError> {
+        let (path, within) = self.next_call();
+        let call = http::get(&self.connection.address().to_string(), &path);
+        let max_body_bytes = self.max_endpoints.saturating_mul(MOST_ENTRY);
+        let limits = AnswerLimits { within, least_rate: Some(MIN_LIST_BYTES_PER_SECOND), max_body_bytes };
         let exchange = self.exchange.clone();
-        let staged = exchange.stage(self.listed);
-        let mut intake = Intake { exchange: &exchange, reader: ListReader::default(), staged, other: 0 };
-        let reply = self.wire.call(&call, limits, &mut intake).await?;
+        let staged = exchange.stage(self.max_endpoints);
+        let mut intake =
+            ListIntake { exchange: &exchange, reader: ListReader::default(), staged, other_bytes: 0 };
+        let reply = self.connection.call(&call, limits, &mut intake).await?;
         let status = reply.head.map_or(0, |head| head.status);
         if status != 200 {
-            return Err(NoList::TurnedAway(status));
+            return Err(ListError::Status(status));
         }
         let list = intake.reader.finish()?;
-        no_older(&list, self.from)?;
+        check_not_older(&list, self.watch_from)?;
         exchange.fits(&intake.staged, list.whole)?;
-        // Also when nothing changed: what left the list long ago is forgotten on such news.
+        // Also without changes: a commit forgets endpoints that left the list long ago.
         exchange.commit(intake.staged, list.whole).await;
-        let news = if list.read > 0 { News::Some } else { News::None };
-        if list.whole || news == News::Some {
+        let received = if list.read > 0 { Received::Entries } else { Received::Nothing };
+        if list.whole || received == Received::Entries {
             log::info!("discovery: version {}, {} entries", list.version, list.read);
         }
-        self.is_in_force(&list);
-        Ok(news)
+        self.note_in_force(&list);
+        Ok(received)
     }
 
-    /// What the next call asks for, and how long its answer is waited for.
-    fn call(&self) -> (String, Duration) {
-        let Some(from) = self.from else { return (discovery::WHOLE.to_owned(), self.rhythm.call()) };
-        let (hold, within) = self.rhythm.watch();
-        let left = self.whole_at.map(|at| at.saturating_duration_since(Instant::now()));
-        let shorter = left.map_or(hold, |left| left.min(hold));
-        (discovery::watch(from, shorter), within - (hold - shorter))
+    /// The path of the next call, and the time within which its answer must arrive.
+    fn next_call(&self) -> (String, Duration) {
+        let Some(from) = self.watch_from else { return (discovery::WHOLE.to_owned(), self.schedule.call()) };
+        let (hold, within) = self.schedule.watch();
+        let until_full_list = self.full_list_at.map(|at| at.saturating_duration_since(Instant::now()));
+        let shortened = until_full_list.map_or(hold, |until_full_list| until_full_list.min(hold));
+        (discovery::watch(from, shortened), within - (hold - shortened))
     }
 
-    fn is_in_force(&mut self, list: &Summary) {
-        let asked_whole = self.from.is_none();
-        self.good = Some(list.version);
-        self.from = self.good;
-        self.told = None;
-        self.rhythm.over();
-        if self.whole_at.is_none() || list.whole || asked_whole {
-            self.whole_at = None;
-            self.told_too_large = false;
-            self.rhythm.fits();
+    /// Updates the state after a list or update was put in force.
+    fn note_in_force(&mut self, list: &Summary) {
+        let asked_for_full = self.watch_from.is_none();
+        self.version_in_force = Some(list.version);
+        self.watch_from = self.version_in_force;
+        self.logged_error = None;
+        self.schedule.over();
+        if self.full_list_at.is_none() || list.whole || asked_for_full {
+            self.full_list_at = None;
+            self.logged_too_large = false;
+            self.schedule.fits();
         }
     }
 
-    /// Sees to what is asked next after a call without a list, and when.
-    async fn fail(&mut self, fault: NoList) {
-        match fault {
-            NoList::Moved => self.forget(),
-            NoList::TooLarge => self.refuse().await,
-            NoList::Lost(_) => self.rest(&fault, Failure::Lost).await,
-            NoList::TurnedAway(_) => self.rest(&fault, Failure::TurnedAway).await,
-            NoList::Spoilt(_) => {
-                // It counts for nothing: the whole is asked for, unless that is known to be too large.
-                self.from = self.good.filter(|_| self.whole_at.is_some());
-                self.rest(&fault, Failure::Lost).await;
+    /// Decides what the next call asks for after a call without a valid list, and waits until it is due.
+    async fn handle_failure(&mut self, error: ListError) {
+        match error {
+            ListError::AddressChanged => self.reset(),
+            ListError::TooLarge => self.handle_too_large().await,
+            ListError::ConnectionFailed(_) => self.back_off(&error, Failure::Lost).await,
+            ListError::Status(_) => self.back_off(&error, Failure::TurnedAway).await,
+            ListError::Malformed(_) => {
+                // Fetch the full list next, unless it is known to be too large.
+                self.watch_from = self.version_in_force.filter(|_| self.full_list_at.is_some());
+                self.back_off(&error, Failure::Lost).await;
             }
         }
     }
 
-    async fn rest(&mut self, fault: &NoList, failure: Failure) {
-        let kind = match fault {
-            NoList::Lost(fault) => fault.kind(),
-            NoList::Spoilt(_) => io::ErrorKind::InvalidData,
+    async fn back_off(&mut self, error: &ListError, failure: Failure) {
+        let kind = match error {
+            ListError::ConnectionFailed(error) => error.kind(),
+            ListError::Malformed(_) => io::ErrorKind::InvalidData,
             _ => io::ErrorKind::Other,
         };
-        if self.told.replace(kind) != Some(kind) {
-            log::warn!("discovery: code=no_list {fault}");
+        if self.logged_error.replace(kind) != Some(kind) {
+            log::warn!("discovery: code=no_list {error}");
         }
-        let pause = self.rhythm.pause(failure);
-        self.pause(pause).await;
+        let delay = self.schedule.pause(failure);
+        self.wait(delay).await;
     }
 
-    async fn refuse(&mut self) {
-        let pause = self.rhythm.refused();
-        if !std::mem::replace(&mut self.told_too_large, true) {
-            let most = self.listed;
+    async fn handle_too_large(&mut self) {
+        let delay = self.schedule.refused();
+        if !std::mem::replace(&mut self.logged_too_large, true) {
+            let max_endpoints = self.max_endpoints;
             log::warn!(
-                "discovery: code=list_too_large more than {most} endpoints or {MOST_ENTRY} bytes for each"
+                "discovery: code=list_too_large the list exceeds {max_endpoints} endpoints or {MOST_ENTRY} bytes per endpoint"
             );
         }
-        log::debug!("discovery: what was too large is asked for again in {pause:?}");
-        if self.from.is_none() && self.good.is_some() {
-            self.from = self.good;
-            self.whole_at = Some(Instant::now() + pause);
+        log::debug!("discovery: the list was too large, it is requested again in {delay:?}");
+        if self.watch_from.is_none() && self.version_in_force.is_some() {
+            self.watch_from = self.version_in_force;
+            self.full_list_at = Some(Instant::now() + delay);
         } else {
-            self.pause(pause).await;
+            self.wait(delay).await;
         }
     }
 
-    async fn pause(&mut self, pause: Duration) {
-        if self.wire.moves_within(pause).await {
-            self.forget();
+    async fn wait(&mut self, delay: Duration) {
+        if self.connection.address_changes_within(delay).await {
+            self.reset();
         }
     }
 
-    /// Discovery is elsewhere, and may count otherwise: its whole list is read.
-    fn forget(&mut self) {
-        self.from = None;
-        self.good = None;
-        self.whole_at = None;
+    /// Starts over with the full list after the address changed, since another discovery may number
+    /// versions differently.
+    fn reset(&mut self) {
+        self.watch_from = None;
+        self.version_in_force = None;
+        self.full_list_at = None;
     }
 }
 
-/// Guards against a list of long ago, as of a discovery that fell behind. One that is so also when asked for the whole
-/// counts anew, and is taken.
-fn no_older(list: &Summary, held: Option<u64>) -> Result<(), NoList> {
-    match held {
-        Some(held) if list.version < held => {
-            Err(NoList::Spoilt(format!("version {}, older than {held}", list.version)))
+/// Rejects a list that is older than the version watched from, as a discovery that fell behind would serve
+/// it. The next call fetches the full list; an older version is accepted there, since discovery's numbering
+/// may have been reset.
+fn check_not_older(list: &Summary, watched_from: Option<u64>) -> Result<(), ListError> {
+    match watched_from {
+        Some(watched_from) if list.version < watched_from => {
+            Err(ListError::Malformed(format!("version {}, older than {watched_from}", list.version)))
         }
         _ => Ok(()),
     }
--- a/crates/sailcart-sender/src/platform/mod.rs
+++ b/crates/sailcart-sender/src/platform/mod.rs
@@ -1,10 +1,11 @@
-//! The platform's side: where the list of destinations comes from, and where notices go.
+//! The connections to the platform: discovery, which serves the list of endpoints, and the receiver of
+//! notices.
 
 mod connection;
 mod follower;
 mod notices;
 mod refused;
 
-pub use connection::Place;
+pub use connection::AddressReceiver;
 pub use follower::Follower;
-pub use notices::{note, notify};
+pub use notices::{log_notices, send_notices};
--- a/crates/sailcart-sender/src/platform/notices.rs
+++ b/crates/sailcart-sender/src/platform/notices.rs
@@ -1,4 +1,4 @@
-//! Notices are told until the platform acknowledges them.
+//! Sends pending notices to the platform until it acknowledges them, or logs them where there is no platform.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -10,8 +10,8 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use super::connection::{Limits, Place, Wire, is_move};
-use super::refused::Refused;
+use super::connection::{AddressReceiver, AnswerLimits, Connection, is_address_change};
+use super::refused::RefusedNotices;
 use crate::caller::Sink;
 use crate::exchange::Exchange;
 use crate::memory::Notice;
@@ -19,15 +19,16 @@
 use crate::wire::http::Head;
 use crate::wire::{MOST_BODY, http, notice};
 
-/// How long what was not taken is kept before it is told again.
-const PAUSE: Duration = Duration::from_millis(50);
-/// How long this waits where nothing is owed.
-const LONGEST_REST: Duration = Duration::from_secs(3600);
+/// The delay before notices are sent again after a call that was not acknowledged, and between looks at
+/// notices that may not be sent yet.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
+/// The longest wait while no notice is pending.
+const MAX_IDLE_WAIT: Duration = Duration::from_secs(3600);
 
-/// The body of an answer that nobody reads.
-struct Unread;
+/// Ignores the body of an answer.
+struct DiscardBody;
 
-impl Sink for Unread {
+impl Sink for DiscardBody {
     type Fault = io::Error;
 
     fn take(&mut self, _: &Head, _: &[u8]) -> io::Result<()> {
@@ -35,140 +36,160 @@
     }
 }
 
-/// Calls with notices that may be out at once. While the platform does not answer one, what becomes due goes with another.
-const LANES: usize = 4;
-/// How long the first call has to itself: what the platform answers in time needs no other.
-const OWN_TIME: Duration = Duration::from_millis(50);
+/// The number of calls with notices that may be in flight at once. While the platform does not answer one
+/// call, the notices that become pending go out with another.
+const MAX_CONCURRENT_CALLS: usize = 4;
+/// How long the first call is in flight before another may start: no second one is needed if the platform
+/// answers within this time.
+const SECOND_CALL_DELAY: Duration = Duration::from_millis(50);
 
-/// What the lanes share.
+/// The state that the workers share.
 #[derive(Default)]
-struct Shared {
-    /// Notices that a call has with it now.
+struct SharedState {
+    /// The notices of all calls in flight.
     in_flight: RefCell<BTreeSet<PacketId>>,
-    refused: RefCell<Refused>,
+    refused: RefCell<RefusedNotices>,
 }
 
-impl Shared {
+impl SharedState {
     fn is_free(&self, id: PacketId) -> bool {
         !self.in_flight.borrow().contains(&id)
     }
 
-    /// Whether a notice waits that no call has with it.
-    fn waits(&self, exchange: &Exchange) -> bool {
-        exchange.tellable(|owed| owed.filter(|(id, ..)| self.is_free(*id)).count() > 0)
+    /// Whether a notice may be sent that is in no call in flight.
+    fn has_free(&self, exchange: &Exchange) -> bool {
+        exchange.tellable(|all| all.filter(|(id, ..)| self.is_free(*id)).count() > 0)
     }
 
-    /// The notices of the next call, which has them with it from now on, and its body.
+    /// Selects the notices of the next call, marks them as in flight, and returns them with the body of the
+    /// call.
     fn take(&self, exchange: &Exchange) -> (Vec<PacketId>, String) {
         let mut refused = self.refused.borrow_mut();
         let others_wait = exchange
-            .tellable(|owed| owed.filter(|(id, ..)| self.is_free(*id) && !refused.contains(*id)).count() > 0);
-        let alone = refused.alone(others_wait);
-        let goes =
-            |id: PacketId| self.is_free(id) && alone.map_or(!refused.contains(id), |alone| alone == id);
-        let (ids, body) = exchange.tellable(|owed| lines(&mut owed.filter(|(id, ..)| goes(*id))));
+            .tellable(|all| all.filter(|(id, ..)| self.is_free(*id) && !refused.contains(*id)).count() > 0);
+        let single = refused.next_single(others_wait);
+        let is_selected =
+            |id: PacketId| self.is_free(id) && single.map_or(!refused.contains(id), |single| single == id);
+        let (ids, body) = exchange.tellable(|all| encode_body(&mut all.filter(|(id, ..)| is_selected(*id))));
         self.in_flight.borrow_mut().extend(&ids);
         (ids, body)
     }
 
-    /// A call came back: its notices are acknowledged, or free for another.
-    fn put_back(&self, ids: &[PacketId]) {
+    /// Releases the notices of a call that has completed: they are acknowledged, or available for another
+    /// call.
+    fn release(&self, ids: &[PacketId]) {
         self.in_flight.borrow_mut().retain(|id| !ids.contains(id));
     }
 }
 
-/// Tells what notices are owed, again and again until the platform has them.
-pub async fn notify(place: Place, exchange: Rc<Exchange>) {
-    let shared = Rc::new(Shared::default());
-    for _ in 1..LANES {
-        spawn_local(further_lane(place.clone(), exchange.clone(), shared.clone()));
+/// Sends pending notices until the platform acknowledges them. Runs for the life of the process.
+pub async fn send_notices(address_receiver: AddressReceiver, exchange: Rc<Exchange>) {
+    let shared = Rc::new(SharedState::default());
+    for _ in 1..MAX_CONCURRENT_CALLS {
+        spawn_local(run_additional_worker(address_receiver.clone(), exchange.clone(), shared.clone()));
     }
-    let mut lane = Lane::new(place);
+    let mut worker = Worker::new(address_receiver);
     loop {
-        if !lane.call(&exchange, &shared).await {
+        if !worker.call(&exchange, &shared).await {
             wait_for_notices(&exchange).await;
         }
     }
 }
 
-/// Goes on where what is due waits behind calls that are out.
-async fn further_lane(place: Place, exchange: Rc<Exchange>, shared: Rc<Shared>) {
-    let mut lane = Lane::new(place);
+/// Sends notices that became pending while other calls are in flight.
+async fn run_additional_worker(
+    address_receiver: AddressReceiver,
+    exchange: Rc<Exchange>,
+    shared: Rc<SharedState>,
+) {
+    let mut worker = Worker::new(address_receiver);
     loop {
-        sleep(OWN_TIME).await;
+        sleep(SECOND_CALL_DELAY).await;
         if shared.in_flight.borrow().is_empty() {
             exchange.notices_out.notified().await;
-        } else if shared.waits(&exchange) {
-            lane.call(&exchange, &shared).await;
+        } else if shared.has_free(&exchange) {
+            worker.call(&exchange, &shared).await;
         }
     }
 }
 
-/// One connection to the receiver of notices.
-struct Lane {
-    wire: Wire,
-    /// What the last line of the log told of: one for an outage, not one for each try.
-    told: Option<io::ErrorKind>,
-    /// Calls in a row without an answer.
-    lost: u32,
+/// Sends calls one after the other on a connection of its own.
+struct Worker {
+    connection: Connection,
+    /// The error that was logged last; an outage has one line, not one for each attempt.
+    logged_error: Option<io::ErrorKind>,
+    /// Calls without an answer since the last one that had an answer.
+    consecutive_losses: u32,
 }
 
-impl Lane {
-    fn new(place: Place) -> Self {
-        Lane { wire: Wire { place, stream: None, connect: Duration::MAX }, told: None, lost: 0 }
+impl Worker {
+    fn new(address_receiver: AddressReceiver) -> Self {
+        Worker {
+            connection: Connection { address_receiver, stream: None, connect_timeout: Duration::MAX },
+            logged_error: None,
+            consecutive_losses: 0,
+        }
     }
 
-    /// One call with what is due, if anything is.
-    async fn call(&mut self, exchange: &Exchange, shared: &Shared) -> bool {
+    /// Sends one call with the available notices and handles its answer; false if no notice is available.
+    async fn call(&mut self, exchange: &Exchange, shared: &SharedState) -> bool {
         let (ids, body) = shared.take(exchange);
         if ids.is_empty() {
             return false;
         }
         exchange.notices_out.notify_waiters();
-        let call = http::post(&self.wire.address().to_string(), notice::PATH, "", body.as_bytes());
-        let limits = Limits { within: rhythm::notice(self.lost), least_rate: None, most: MOST_BODY };
-        let reply = self.wire.call(&call, limits, &mut Unread).await;
-        self.lost = if reply.is_ok() { 0 } else { self.lost + 1 };
+        let call = http::post(&self.connection.address().to_string(), notice::PATH, "", body.as_bytes());
+        let limits = AnswerLimits {
+            within: rhythm::notice(self.consecutive_losses),
+            least_rate: None,
+            max_body_bytes: MOST_BODY,
+        };
+        let reply = self.connection.call(&call, limits, &mut DiscardBody).await;
+        self.consecutive_losses = if reply.is_ok() { 0 } else { self.consecutive_losses + 1 };
         let status = reply.map(|reply| reply.head.map_or(0, |head| head.status));
         if matches!(status, Ok(204)) {
-            shared.refused.borrow_mut().forget(&ids);
+            shared.refused.borrow_mut().remove(&ids);
             exchange.told(&ids);
         }
-        let rests = self.hear(status, &ids, &body, exchange, shared);
-        shared.put_back(&ids);
-        if rests {
-            sleep(PAUSE).await;
+        let needs_delay = self.handle_status(status, &ids, &body, exchange, shared);
+        shared.release(&ids);
+        if needs_delay {
+            sleep(RETRY_DELAY).await;
         }
         true
     }
 
-    /// Sees to an answer. True where the next call is to wait a little.
-    fn hear(
+    /// Handles the status of an answer; true if the next call must be delayed.
+    fn handle_status(
         &mut self,
         status: io::Result<u16>,
         ids: &[PacketId],
         body: &str,
         exchange: &Exchange,
-        shared: &Shared,
+        shared: &SharedState,
     ) -> bool {
         match status {
             Ok(204) => {
-                self.told = None;
+                self.logged_error = None;
                 return false;
             }
             Ok(400) => {
-                // One of them cannot be read, or this answer was spoilt: each goes alone from now on, and again.
-                let given_up = shared.refused.borrow_mut().note(ids);
-                if !given_up.is_empty() {
-                    log::error!("notices: code=unreadable given up: {}", body.trim_end());
-                    exchange.told(&given_up);
+                // Either the platform cannot read one of these notices, or the answer was corrupted. Each
+                // is sent again in a call of its own.
+                let abandoned = shared.refused.borrow_mut().record_refusal(ids);
+                if !abandoned.is_empty() {
+                    log::error!(
+                        "notices: code=unreadable abandoned after repeated answers 400: {}",
+                        body.trim_end()
+                    );
+                    exchange.told(&abandoned);
                 }
             }
             Ok(status) => log::warn!("notices: code=answer_{status}"),
-            Err(fault) if is_move(&fault) => return false,
-            Err(fault) => {
-                if self.told.replace(fault.kind()) != Some(fault.kind()) {
-                    log::warn!("notices: code=not_told {fault}");
+            Err(error) if is_address_change(&error) => return false,
+            Err(error) => {
+                if self.logged_error.replace(error.kind()) != Some(error.kind()) {
+                    log::warn!("notices: code=not_told {error}");
                 }
             }
         }
@@ -176,38 +197,41 @@
     }
 }
 
-/// Until there may be one to tell. One that waits for its record is looked at again: its packet's time may be over first.
+/// Waits until there may be a notice to send. While one waits for its record to be written, this returns
+/// after a short delay, since the packet's deadline may pass first.
 async fn wait_for_notices(exchange: &Exchange) {
-    let held_back = exchange.owed(|owed| owed.next().is_some());
-    let pause = if held_back { PAUSE } else { LONGEST_REST };
+    let any_pending = exchange.owed(|pending| pending.next().is_some());
+    let max_wait = if any_pending { RETRY_DELAY } else { MAX_IDLE_WAIT };
     tokio::select! {
         () = exchange.notices.notified() => {}
-        () = sleep(pause) => {}
+        () = sleep(max_wait) => {}
     }
 }
 
-/// Without a platform, what would be a notice is a line of the log.
-pub async fn note(exchange: Rc<Exchange>) {
+/// Logs each notice in place of sending it, for a configuration without a platform. Runs for the life of
+/// the process.
+pub async fn log_notices(exchange: Rc<Exchange>) {
     loop {
-        let ended = exchange
-            .tellable(|owed| owed.map(|(number, id, end)| (number, id.to_owned(), end)).collect::<Vec<_>>());
-        for (_, id, end) in &ended {
-            match end {
+        let pending = exchange.tellable(|all| {
+            all.map(|(number, id, notice)| (number, id.to_owned(), notice)).collect::<Vec<_>>()
+        });
+        for (_, id, notice) in &pending {
+            match notice {
                 Notice::Dismissed(_) => log::info!("packet {id}: ended, code=dismissed"),
                 Notice::Scrapped => log::info!("packet {id}: ended, code=scrapped"),
             }
         }
-        let numbers: Vec<PacketId> = ended.into_iter().map(|(number, ..)| number).collect();
+        let numbers: Vec<PacketId> = pending.into_iter().map(|(number, ..)| number).collect();
         exchange.told(&numbers);
         wait_for_notices(&exchange).await;
     }
 }
 
-/// As many lines as one body holds.
-fn lines(owed: &mut dyn Iterator<Item = (PacketId, &str, Notice)>) -> (Vec<PacketId>, String) {
+/// Encodes one line for each notice, up to [`MOST_BODY`] bytes. Returns the notices that fit, and the body.
+fn encode_body(pending: &mut dyn Iterator<Item = (PacketId, &str, Notice)>) -> (Vec<PacketId>, String) {
     let (mut ids, mut body) = (Vec::new(), String::new());
-    for (number, id, owed) in owed {
-        let line = match owed {
+    for (number, id, notice) in pending {
+        let line = match notice {
             Notice::Dismissed(wait) => notice::dismissed(id, wait),
             Notice::Scrapped => notice::scrapped(id),
         };
--- a/crates/sailcart-sender/src/platform/refused.rs
+++ b/crates/sailcart-sender/src/platform/refused.rs
@@ -1,49 +1,56 @@
-//! Notices that the platform answered with 400. One that cannot be read would take all others of its call along, and an answer may be
-//! spoilt: so each of them goes alone from then on, the one that was refused least first, and is given up after a number of tries only.
+//! Notices to which the platform answered 400.
+//!
+//! A notice that the platform cannot read would block all others in its call, and the answer itself may
+//! have been corrupted on its way. So each notice of a refused call is sent in a call of its own from then
+//! on, the least refused first, and is abandoned only after a number of attempts.
 
 use std::collections::BTreeMap;
 
 use sailcart::PacketId;
 
-/// Tries after which a notice is given up: with the pauses between them over five seconds for one notice alone.
-const MOST_TRIES: u32 = 100;
+/// Refusals after which a notice is abandoned. With the delays in between this takes over five seconds if
+/// there is only one such notice.
+const MAX_ATTEMPTS: u32 = 100;
 
-/// How often each notice was refused.
+/// The refused notices, with the number of refusals of each.
 #[derive(Debug, Default)]
-pub struct Refused {
-    tries: BTreeMap<PacketId, u32>,
-    /// The last call was one of these.
-    was_alone: bool,
+pub struct RefusedNotices {
+    attempts: BTreeMap<PacketId, u32>,
+    last_call_was_single: bool,
 }
 
-impl Refused {
+impl RefusedNotices {
+    /// Whether this notice was refused and is still pending.
     pub fn contains(&self, id: PacketId) -> bool {
-        self.tries.contains_key(&id)
+        self.attempts.contains_key(&id)
     }
 
-    /// The one that goes alone with the next call: the least refused, in turn with those that were never refused, if there are any.
-    pub fn alone(&mut self, others_wait: bool) -> Option<PacketId> {
-        let least = self.tries.iter().min_by_key(|(_, tries)| **tries).map(|(id, _)| *id);
-        let alone = least.filter(|_| !others_wait || !self.was_alone);
-        self.was_alone = alone.is_some();
-        alone
+    /// Selects the notice for a call of its own: the least refused one. If `others_wait`, calls for refused
+    /// notices alternate with calls for those that were never refused, and `None` means that it is the turn
+    /// of the latter.
+    pub fn next_single(&mut self, others_wait: bool) -> Option<PacketId> {
+        let least_refused = self.attempts.iter().min_by_key(|(_, attempts)| **attempts).map(|(id, _)| *id);
+        let single = least_refused.filter(|_| !others_wait || !self.last_call_was_single);
+        self.last_call_was_single = single.is_some();
+        single
     }
 
-    /// These were refused together. Tells those that are given up.
-    pub fn note(&mut self, ids: &[PacketId]) -> Vec<PacketId> {
+    /// Counts a refusal of a call with these notices. Returns those that are abandoned, which are removed.
+    pub fn record_refusal(&mut self, ids: &[PacketId]) -> Vec<PacketId> {
         for id in ids {
-            *self.tries.entry(*id).or_default() += 1;
+            *self.attempts.entry(*id).or_default() += 1;
         }
-        let over = |id: &&PacketId| self.tries.get(id).is_some_and(|tries| *tries >= MOST_TRIES);
-        let given_up: Vec<PacketId> = ids.iter().filter(over).copied().collect();
-        self.forget(&given_up);
-        given_up
+        let is_exhausted =
+            |id: &&PacketId| self.attempts.get(id).is_some_and(|attempts| *attempts >= MAX_ATTEMPTS);
+        let abandoned: Vec<PacketId> = ids.iter().filter(is_exhausted).copied().collect();
+        self.remove(&abandoned);
+        abandoned
     }
 
-    /// The platform has these, or they were given up.
-    pub fn forget(&mut self, ids: &[PacketId]) {
+    /// Removes notices that were acknowledged or abandoned.
+    pub fn remove(&mut self, ids: &[PacketId]) {
         for id in ids {
-            self.tries.remove(id);
+            self.attempts.remove(id);
         }
     }
 }
--- a/crates/sailcart-sender/src/rhythm.rs
+++ b/crates/sailcart-sender/src/rhythm.rs
@@ -1,106 +1,128 @@
-//! When discovery is asked, and how long it is waited for. Pure: it neither sleeps nor reads a clock.
+//! The polling schedule of discovery: when the sender calls it, and how long it waits for the answer. Pure:
+//! this module neither sleeps nor reads a clock.
 //!
-//! Whatever discovery has to tell counts as told [`TOLD`] after it had it and could be reached, also after calls that failed,
-//! were refused or were given up. So the longest way from there to a list in hand has to be shorter. `docs/notes/told.md` has
-//! the sums, and what they cost discovery.
+//! The protocol expects a sender to know of an update [`TOLD`] after discovery had it and could be reached,
+//! even if calls in between failed, were refused or were abandoned. So the longest sequence of delays and
+//! timeouts from there to the list in hand has to be shorter than that. `docs/notes/told.md` has the
+//! calculation, and what it costs discovery.
 
 use std::time::Duration;
 
 use crate::pauses::Pauses;
 
-/// The protocol's own term.
+/// The time, set by the protocol, within which a sender must know of an update.
 pub const TOLD: Duration = Duration::from_secs(6);
-/// The least pause before a call is made again.
-pub const LEAST: Duration = Duration::from_millis(50);
-/// A notice that is owed at the end of a packet's time is late 300 ms after it: its call is made again before that.
-const NOTICE: Duration = Duration::from_millis(250);
-/// The least pause before a list that was too large is asked for again; the row begins with a span of twice as much.
-const LEAST_REFUSED: Duration = Duration::from_secs(1);
-/// The longest pause before a list that was too large is asked for again.
-const MOST_REFUSED: Duration = Duration::from_secs(60);
-/// How long the answer to a wait that is over may take.
-const OVERDUE: Duration = Duration::from_secs(1);
+/// The shortest delay before a call is repeated.
+pub const MIN_DELAY: Duration = Duration::from_millis(50);
+/// How long the first call with a notice waits for its answer. A notice that becomes pending at its
+/// packet's deadline is late 300 ms after it, so its call is repeated before that.
+const NOTICE_TIMEOUT: Duration = Duration::from_millis(250);
+/// The shortest delay before a list that was too large is requested again. The first delay is drawn from up
+/// to twice as much.
+const MIN_TOO_LARGE_DELAY: Duration = Duration::from_secs(1);
+/// The longest delay before a list that was too large is requested again.
+const MAX_TOO_LARGE_DELAY: Duration = Duration::from_secs(60);
+/// How late the answer to a watch may be, counted from the end of its wait, where all senders share one
+/// discovery.
+const MAX_OVERDUE: Duration = Duration::from_secs(1);
 
 /// Why a call brought no list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// Refused, cut, spoilt, or given up.
+    /// The call was refused, broke off, was abandoned, or brought a malformed answer.
     Lost,
-    /// Answered, but without a list: discovery has too much to do.
+    /// An answer without a list: discovery is overloaded.
     TurnedAway,
 }
 
-/// Of calls for the list, in one sender.
+/// The schedule of one sender's calls to discovery.
 pub struct Rhythm {
-    /// How long a watch waits at discovery.
+    /// How long discovery may hold a watch while there is no update.
     hold: Duration,
-    /// How long a call that need not wait may take, its connection included.
-    call: Duration,
-    /// How long the answer to a watch whose wait is over may take.
-    overdue: Duration,
-    /// The longest pause after a call that was lost, and after one that was turned away.
-    most: (Duration, Duration),
-    pauses: Pauses,
-    /// Of lists that were too large: a row of its own, as it goes on beside calls that bring changes.
-    refusals: Pauses,
-    /// The next call is to be answered at once.
-    at_once: bool,
+    /// How long a call that is answered at once may take, connecting included.
+    call_timeout: Duration,
+    /// How late the answer to a watch may be, counted from the end of its hold.
+    max_overdue: Duration,
+    /// The longest delay after [`Failure::Lost`], and after [`Failure::TurnedAway`].
+    max_delays: (Duration, Duration),
+    failure_delays: Pauses,
+    /// For lists that are too large. Separate from `failure_delays`, since calls that bring updates succeed
+    /// meanwhile.
+    too_large_delays: Pauses,
+    /// Whether the next watch asks for an answer at once.
+    skip_hold: bool,
 }
 
 impl Rhythm {
-    /// `asked`: where lists come only when asked for, a sender is held to know what was listed so long ago, and all senders
-    /// share one discovery, which may need two seconds for an answer. Elsewhere each has an agent beside it that answers at
-    /// once and at no cost, and a silent watch is given up as soon as its short wait is over.
+    /// `asked` is set where lists come only when requested: the sender must know what was listed that long
+    /// ago. There all senders share one discovery, which may need two seconds for an answer.
+    ///
+    /// Without it each sender has an agent beside it that answers at once and at no cost, and a watch
+    /// without an answer is abandoned soon after its short hold.
     pub fn new(asked: Option<Duration>, seed: u64) -> Self {
-        let (hold, call, overdue, most) = match asked {
-            Some(within) => (within * 2, TOLD * 3 / 8, OVERDUE, (TOLD / 6, TOLD * 7 / 8)),
+        let (hold, call_timeout, max_overdue, max_delays) = match asked {
+            Some(within) => (within * 2, TOLD * 3 / 8, MAX_OVERDUE, (TOLD / 6, TOLD * 7 / 8)),
             None => (TOLD * 5 / 12, TOLD / 8, TOLD / 8, (TOLD / 16, TOLD / 2)),
         };
-        let pauses = Pauses::new(seed, LEAST);
-        // Other draws than those of the pauses.
-        let refusals = Pauses::new(!seed, LEAST_REFUSED);
-        Rhythm { hold, call, overdue, most, pauses, refusals, at_once: asked.is_none() }
+        let failure_delays = Pauses::new(seed, MIN_DELAY);
+        // Another seed, so that the two sequences are independent.
+        let too_large_delays = Pauses::new(!seed, MIN_TOO_LARGE_DELAY);
+        Rhythm {
+            hold,
+            call_timeout,
+            max_overdue,
+            max_delays,
+            failure_delays,
+            too_large_delays,
+            skip_hold: asked.is_none(),
+        }
     }
 
-    /// How long the next call for the list is to wait at discovery, and how long it is waited for: one after a failure, and the
-    /// first where an agent answers, asks for what there is.
+    /// How long discovery may hold the next watch, and the time within which its answer must arrive. The
+    /// first watch where an agent answers, and each one after a failure, asks for what there is now.
     pub fn watch(&self) -> (Duration, Duration) {
-        if self.at_once { (LEAST, LEAST + self.call) } else { (self.hold, self.hold + self.overdue) }
+        if self.skip_hold {
+            (MIN_DELAY, MIN_DELAY + self.call_timeout)
+        } else {
+            (self.hold, self.hold + self.max_overdue)
+        }
     }
 
+    /// The time within which the answer to a call for the full list must arrive, connecting included.
     pub fn call(&self) -> Duration {
-        self.call
+        self.call_timeout
     }
 
-    /// The pause after a failure.
+    /// The delay after a failure.
     pub fn pause(&mut self, failure: Failure) -> Duration {
-        self.at_once = true;
+        self.skip_hold = true;
         match failure {
-            Failure::Lost => self.pauses.next(LEAST, self.most.0),
-            // Whoever comes sooner keeps the queue of such a discovery full: from the first on, a pause of its whole span.
-            Failure::TurnedAway => self.pauses.next(self.most.1, self.most.1),
+            Failure::Lost => self.failure_delays.next(MIN_DELAY, self.max_delays.0),
+            // Senders that return sooner keep the queue of an overloaded discovery full, so even the first
+            // delay is drawn from the full range.
+            Failure::TurnedAway => self.failure_delays.next(self.max_delays.1, self.max_delays.1),
         }
     }
 
-    /// The pause before a list that was too large is asked for again. Nothing is promised of such a list, and to read it costs
-    /// time: so this is the one pause that may outlast [`TOLD`].
+    /// The delay before a list that was too large is requested again. This delay alone may exceed [`TOLD`]:
+    /// nothing is promised about such a list, and reading it takes time.
     pub fn refused(&mut self) -> Duration {
-        self.refusals.next(LEAST_REFUSED * 2, MOST_REFUSED)
+        self.too_large_delays.next(MIN_TOO_LARGE_DELAY * 2, MAX_TOO_LARGE_DELAY)
     }
 
-    /// What was too large is no longer: the next such list is the first of its row.
+    /// Records that the list fits again: the next delay of [`refused`](Self::refused) starts anew.
     pub fn fits(&mut self) {
-        self.refusals.over();
+        self.too_large_delays.over();
     }
 
-    /// A list is in force.
+    /// Records that a list or update was put in force.
     pub fn over(&mut self) {
-        self.at_once = false;
-        self.pauses.over();
+        self.skip_hold = false;
+        self.failure_delays.over();
     }
 }
 
-/// How long the answer to a notice may take, after so many calls in a row that had none.
-pub fn notice(lost: u32) -> Duration {
-    NOTICE.saturating_mul(1 << lost.min(2))
+/// How long a call with notices waits for its answer, after `consecutive_losses` calls without an answer.
+pub fn notice(consecutive_losses: u32) -> Duration {
+    NOTICE_TIMEOUT.saturating_mul(1 << consecutive_losses.min(2))
 }
