--- a/crates/sailcart-drill/src/instance.rs
+++ b/crates/sailcart-drill/src/instance.rs
@@ -1,4 +1,4 @@
-//! One sender and the names of what it handles.
+//! One simulated sender, with the translation between the simulator's names and the numeric ids of sailcart.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,60 +7,63 @@
     CategoryId, CustomerId, DestinationId, EndpointId, Host, KeyId, KindId, Listing, Outcome, Packet,
     PacketId, Sender,
 };
-use sailcart_terms::{Fault, Names, span, take_number, take_text};
+use sailcart_terms::{Fault, Names, read_milliseconds, read_number, read_text};
 use serde_json::{Value, json};
 
-use crate::row::Row;
+use crate::message::Message;
 
-/// A line of a list, as the wire has it.
+/// An entry of a destination list, as received from the simulator.
 pub struct Entry {
     endpoint: String,
     kind: String,
     destination: u64,
     live: bool,
-    heft: f64,
+    /// Calls per second that the destination takes from all senders; `heft` in the messages.
+    rate: f64,
 }
 
 impl Entry {
     pub fn read(entry: &Value) -> Result<Self, Fault> {
-        let row = Row::plain(entry, "rows_in")?;
-        row.text(1, "rack_zone")?;
-        let live = match row.text(4, "state")? {
+        let message = Message::unnamed(entry, "rows_in")?;
+        message.text(1, "rack_zone")?;
+        let live = match message.text(4, "state")? {
             "live" => true,
             "quiescing" | "dead" => false,
-            other => return Err(format!("expected a known state, not {other}").into()),
+            other => return Err(format!("expected live, quiescing or dead in state, not {other}").into()),
         };
         Ok(Entry {
-            endpoint: row.text(0, "endpoint")?.to_owned(),
-            kind: row.text(2, "type")?.to_owned(),
-            destination: row.whole(3, "cell")?,
+            endpoint: message.text(0, "endpoint")?.to_owned(),
+            kind: message.text(2, "type")?.to_owned(),
+            destination: message.unsigned(3, "cell")?,
             live,
-            heft: row.maybe(5).map_or(Ok(1.0), |heft| take_number(heft, "heft"))?,
+            rate: message.optional(5).map_or(Ok(1.0), |rate| read_number(rate, "heft"))?,
         })
     }
 }
 
-/// Names in use, both ways.
+/// Maps the simulator's names to ids, and ids back to names.
 #[derive(Default)]
-struct Book {
+struct IdMap {
     packets: HashMap<String, PacketId>,
+    /// The simulator's names of packets.
     handles: HashMap<PacketId, String>,
     endpoints: HashMap<String, EndpointId>,
+    /// The simulator's names of endpoints, by id.
     addresses: Vec<String>,
     keys: HashMap<String, KeyId>,
-    next: u64,
+    next_packet: u64,
 }
 
-impl Book {
-    fn packet(&mut self, handle: &str) -> PacketId {
-        let id = PacketId(self.next);
-        self.next += 1;
+impl IdMap {
+    fn add_packet(&mut self, handle: &str) -> PacketId {
+        let id = PacketId(self.next_packet);
+        self.next_packet += 1;
         self.packets.insert(handle.to_owned(), id);
         self.handles.insert(id, handle.to_owned());
         id
     }
 
-    fn forget(&mut self, id: PacketId) {
+    fn remove_packet(&mut self, id: PacketId) {
         if let Some(handle) = self.handles.remove(&id) {
             self.packets.remove(&handle);
         }
@@ -77,177 +80,187 @@
     }
 
     fn key(&mut self, key: &str) -> KeyId {
-        let next = KeyId(self.keys.len() as u64);
-        *self.keys.entry(key.to_owned()).or_insert(next)
+        let new_id = KeyId(self.keys.len() as u64);
+        *self.keys.entry(key.to_owned()).or_insert(new_id)
     }
 }
 
+/// A sender in the simulation. `wall_time` is the simulator's clock.
 pub struct Instance {
     sender: Sender,
     names: Names,
-    book: Book,
-    /// The wire's clock at the sender's start.
+    ids: IdMap,
+    /// The simulator's clock at the sender's start.
     start: Duration,
 }
 
 impl Instance {
-    pub fn new(wall: Duration, seed: u64, env: &Value) -> Result<Self, Fault> {
-        let (terms, names) = sailcart_terms::read(env)?;
+    pub fn new(wall_time: Duration, seed: u64, settings: &Value) -> Result<Self, Fault> {
+        let (terms, names) = sailcart_terms::read(settings)?;
         let mut sender = Sender::new(terms, seed);
-        sender.list_failed(Duration::ZERO); // no watch stands yet
-        Ok(Instance { sender, names, book: Book::default(), start: wall })
+        sender.list_failed(Duration::ZERO); // the list is not being watched yet
+        Ok(Instance { sender, names, ids: IdMap::default(), start: wall_time })
     }
 
-    fn now(&self, wall: Duration) -> Duration {
-        wall.saturating_sub(self.start)
+    /// The time since the sender's start.
+    fn now(&self, wall_time: Duration) -> Duration {
+        wall_time.saturating_sub(self.start)
     }
 
-    pub fn update(&mut self, wall: Duration, whole: bool, entries: &[Entry]) -> Result<(), Fault> {
-        let mut lines = Vec::with_capacity(entries.len());
+    /// Applies a destination list, full or incremental.
+    pub fn update_list(&mut self, wall_time: Duration, full: bool, entries: &[Entry]) -> Result<(), Fault> {
+        let mut listings = Vec::with_capacity(entries.len());
         for entry in entries {
-            lines.push(Listing {
-                endpoint: self.book.endpoint(&entry.endpoint),
+            listings.push(Listing {
+                endpoint: self.ids.endpoint(&entry.endpoint),
                 destination: DestinationId(entry.destination),
-                kind: KindId(known(&self.names.kinds, &entry.kind, "type")?),
+                kind: KindId(position(&self.names.kinds, &entry.kind, "type")?),
                 live: entry.live,
-                rate: entry.heft,
+                rate: entry.rate,
             });
         }
-        self.sender.list(self.now(wall), whole, &lines);
+        self.sender.list(self.now(wall_time), full, &listings);
         Ok(())
     }
 
-    pub fn list_failed(&mut self, wall: Duration) {
-        self.sender.list_failed(self.now(wall));
+    /// Handles a failed request for the destination list.
+    pub fn list_failed(&mut self, wall_time: Duration) {
+        self.sender.list_failed(self.now(wall_time));
     }
 
-    pub fn demand(&mut self, wall: Duration, row: &Row) -> Result<(), Fault> {
-        let handle = row.text(0, "handle")?;
-        let key = row.maybe(1).map(|key| take_text(key, "path_key")).transpose()?;
-        let ends = span(row.at(3, "deadline_ms")?, "deadline_ms")?;
-        let destination = row.whole(5, "to_dest")?;
-        let category = known(&self.names.categories, row.text(6, "qos")?, "qos")?;
-        let customer = match row.maybe(7) {
-            Some(Value::String(name)) => Some(known(&self.names.customers, name, "user_group")?),
+    /// Submits a packet (`Demand`).
+    pub fn submit(&mut self, wall_time: Duration, message: &Message) -> Result<(), Fault> {
+        let handle = message.text(0, "handle")?;
+        let key = message.optional(1).map(|key| read_text(key, "path_key")).transpose()?;
+        let deadline = read_milliseconds(message.required(3, "deadline_ms")?, "deadline_ms")?;
+        let destination = message.unsigned(5, "to_dest")?;
+        let category = position(&self.names.categories, message.text(6, "qos")?, "qos")?;
+        let customer = match message.optional(7) {
+            Some(Value::String(name)) => Some(position(&self.names.customers, name, "user_group")?),
             Some(Value::Number(_)) | None => None,
             Some(_) => return Err("expected text in user_group".into()),
         };
         let packet = Packet {
-            id: self.book.packet(handle),
+            id: self.ids.add_packet(handle),
             destination: DestinationId(destination),
             category: CategoryId(category),
             customer: customer.map(CustomerId),
-            key: key.map(|key| self.book.key(key)),
-            ends: self.now(ends),
+            key: key.map(|key| self.ids.key(key)),
+            ends: self.now(deadline),
             dispatches: 0,
             doubt: None,
             taken_on: false,
         };
-        self.sender.take(self.now(wall), packet);
+        self.sender.take(self.now(wall_time), packet);
         Ok(())
     }
 
-    pub fn verdict(&mut self, wall: Duration, row: &Row) -> Result<(), Fault> {
-        let handle = row.text(0, "handle")?;
-        row.whole(1, "send_no")?;
-        let elapsed = span(row.at(2, "elapsed_ms")?, "elapsed_ms")?;
-        let remark = row.maybe(3).map(|remark| span(remark, "remark_ms")).transpose()?;
-        let over = row.maybe(4).is_some_and(|settled| settled == &Value::Bool(true));
-        let outcome = match row.whole(5, "code")? {
+    /// Handles the outcome of a dispatch (`Verdict`).
+    pub fn complete_dispatch(&mut self, wall_time: Duration, message: &Message) -> Result<(), Fault> {
+        let handle = message.text(0, "handle")?;
+        message.unsigned(1, "send_no")?;
+        let elapsed = read_milliseconds(message.required(2, "elapsed_ms")?, "elapsed_ms")?;
+        let wait = message.optional(3).map(|wait| read_milliseconds(wait, "remark_ms")).transpose()?;
+        let settled = message.optional(4).is_some_and(|settled| settled == &Value::Bool(true));
+        let outcome = match message.unsigned(5, "code")? {
             0 => Outcome::Done,
             13 => Outcome::Error,
-            8 => Outcome::Full(remark.filter(|wait| !wait.is_zero())),
+            8 => Outcome::Full(wait.filter(|wait| !wait.is_zero())),
             4 => Outcome::TimedOut,
             14 => Outcome::NoConnection,
             10 => Outcome::Reset,
             1 => Outcome::Cancelled,
-            9 if remark == Some(Duration::from_millis(1)) => Outcome::NoSlot,
+            9 if wait == Some(Duration::from_millis(1)) => Outcome::NoSlot,
             9 => Outcome::Moot,
-            other => return Err(format!("expected a known outcome, not {other}").into()),
+            other => return Err(format!("expected a known outcome in code, not {other}").into()),
         };
-        row.text(6, "endpoint")?;
-        let now = self.now(wall);
-        if let Some(id) = self.book.packets.get(handle).copied() {
-            let value = |at: usize| row.maybe(7)?.as_array()?.get(at)?.as_f64();
-            let report = self.names.reports.as_ref().and_then(|r| r.read(|(at, _)| value(*at)));
+        message.text(6, "endpoint")?;
+        let now = self.now(wall_time);
+        if let Some(id) = self.ids.packets.get(handle).copied() {
+            let column = |index: usize| message.optional(7)?.as_array()?.get(index)?.as_f64();
+            let report =
+                self.names.reports.as_ref().and_then(|fields| fields.read(|(index, _)| column(*index)));
             if let Some(report) = report {
                 self.sender.report(id, report);
             }
-            self.sender.outcome(now, id, elapsed, outcome, over);
-            self.prune(id);
+            self.sender.outcome(now, id, elapsed, outcome, settled);
+            self.remove_if_completed(id);
         }
         Ok(())
     }
 
-    pub fn dropped(&mut self, wall: Duration, row: &Row) -> Result<(), Fault> {
-        let handle = row.text(0, "handle")?;
-        let now = self.now(wall);
-        if let Some(id) = self.book.packets.get(handle).copied() {
+    /// Withdraws a packet that its client has given up (`Dropped`).
+    pub fn withdraw(&mut self, wall_time: Duration, message: &Message) -> Result<(), Fault> {
+        let handle = message.text(0, "handle")?;
+        let now = self.now(wall_time);
+        if let Some(id) = self.ids.packets.get(handle).copied() {
             self.sender.withdraw(now, id);
-            self.prune(id);
+            self.remove_if_completed(id);
         }
         Ok(())
     }
 
-    fn prune(&mut self, id: PacketId) {
+    fn remove_if_completed(&mut self, id: PacketId) {
         if !self.sender.holds(id) {
-            self.book.forget(id);
+            self.ids.remove_packet(id);
         }
     }
 
-    pub fn decide(&mut self, wall: Duration) -> Vec<Value> {
-        let now = self.now(wall);
-        let mut wire = Wire { book: &mut self.book, out: Vec::new() };
-        self.sender.decide(now, &mut wire);
-        wire.out
+    /// Runs a round of decisions and returns the messages for the simulator.
+    pub fn decide(&mut self, wall_time: Duration) -> Vec<Value> {
+        let now = self.now(wall_time);
+        let mut writer = MessageWriter { ids: &mut self.ids, messages: Vec::new() };
+        self.sender.decide(now, &mut writer);
+        writer.messages
     }
 }
 
-fn known(names: &HashMap<String, usize>, name: &str, what: &str) -> Result<usize, Fault> {
-    let at = names.get(name).copied();
-    at.ok_or_else(|| format!("expected a name from the settings in {what}, not {name}").into())
+/// The position of a name in the settings.
+fn position(names: &HashMap<String, usize>, name: &str, what: &str) -> Result<usize, Fault> {
+    let position = names.get(name).copied();
+    position.ok_or_else(|| format!("expected a name from the settings in {what}, not {name}").into())
 }
 
-fn ms(span: Duration) -> f64 {
-    span.as_micros() as f64 / 1000.0
+fn milliseconds(duration: Duration) -> f64 {
+    duration.as_micros() as f64 / 1000.0
 }
 
-/// Writes each of the sender's answers as a message.
-struct Wire<'a> {
-    book: &'a mut Book,
-    out: Vec<Value>,
+/// Writes each decision of the sender as a message for the simulator.
+struct MessageWriter<'a> {
+    ids: &'a mut IdMap,
+    messages: Vec<Value>,
 }
 
-impl Host for Wire<'_> {
+impl Host for MessageWriter<'_> {
     fn dispatch(&mut self, packet: PacketId, endpoint: EndpointId, time_out: Duration) {
-        let handle = self.book.handles.get(&packet);
-        let address = self.book.addresses.get(endpoint.0 as usize);
-        self.out.push(json!(["Place", handle, address, ms(time_out)]));
+        let handle = self.ids.handles.get(&packet);
+        let address = self.ids.addresses.get(endpoint.0 as usize);
+        self.messages.push(json!(["Place", handle, address, milliseconds(time_out)]));
     }
 
     fn cancel(&mut self, packet: PacketId, dispatch: u32) {
-        self.out.push(json!(["DropAttempt", self.book.handles.get(&packet), dispatch]));
+        self.messages.push(json!(["DropAttempt", self.ids.handles.get(&packet), dispatch]));
     }
 
     fn dismiss(&mut self, packet: PacketId, retry_after: Option<Duration>) {
-        self.out.push(json!(["SayNo", self.book.handles.get(&packet), retry_after.map(ms)]));
-        self.book.forget(packet);
+        self.messages.push(json!(["SayNo", self.ids.handles.get(&packet), retry_after.map(milliseconds)]));
+        self.ids.remove_packet(packet);
     }
 
     fn scrap(&mut self, packet: PacketId) {
-        self.out.push(json!(["ReportFailure", self.book.handles.get(&packet)]));
-        self.book.forget(packet);
+        self.messages.push(json!(["ReportFailure", self.ids.handles.get(&packet)]));
+        self.ids.remove_packet(packet);
     }
 
     fn close_idle(&mut self, endpoint: EndpointId) {
-        self.out.push(json!(["Release", self.book.addresses.get(endpoint.0 as usize)]));
+        self.messages.push(json!(["Release", self.ids.addresses.get(endpoint.0 as usize)]));
     }
 
     fn ask_list(&mut self) {
-        self.out.push(json!(["Follow", true]));
+        self.messages.push(json!(["Follow", true]));
     }
 
     fn wake(&mut self, after: Duration) {
-        self.out.push(json!(["Schedule", 0, ms(after)]));
+        self.messages.push(json!(["Schedule", 0, milliseconds(after)]));
     }
 }
--- a/crates/sailcart-drill/tests/wire.rs
+++ b/crates/sailcart-drill/tests/wire.rs
@@ -1,9 +1,10 @@
-//! The adapter as a process: lines in, lines out, and plain words on what is malformed.
+//! Runs the adapter as a process: batches on standard input, actions on standard output, errors on standard
+//! error.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-const ENV: &str = r#"{"areas":["z"],"balancers":2,"bounds":{"cancel":true,"connect_timeout_ms":1000.0,
+const SETTINGS: &str = r#"{"areas":["z"],"balancers":2,"bounds":{"cancel":true,"connect_timeout_ms":1000.0,
 "max_open":50,"max_retry_after_ms":2000.0,"retry_after":true,"send_cap":6},"domain":{"call_slots":4,
 "kind_batch":[1],"late":"halves","own_limits":[false]},"kinds":["k"],"lanes":[{"aim_ms":3000.0,
 "gain":1.0,"hard_limit_ms":24000.0,"late_share":0.5,"name":"c","repeat":"retryable"}],"new":{"key":null},
@@ -18,33 +19,33 @@
         .expect("the adapter starts");
     let mut input = child.stdin.take().expect("a standard input");
     for line in lines {
-        // The adapter may have stopped at an earlier line.
+        // The adapter exits at the first malformed line, so a later write may fail.
         let _ = writeln!(input, "{}", line.replace('\n', ""));
     }
     drop(input);
     child.wait_with_output().expect("the adapter ends")
 }
 
-fn batch(wall: u64, events: &str) -> String {
-    format!(r#"{{"wall_ms":{wall},"groups":[{{"sender_id":3,"input":[{events}]}}]}}"#)
+fn batch(wall_ms: u64, events: &str) -> String {
+    format!(r#"{{"wall_ms":{wall_ms},"groups":[{{"sender_id":3,"input":[{events}]}}]}}"#)
 }
 
-fn start() -> String {
+fn init() -> String {
     let list = r#"["DefineList",0,[["a:1","z","k",5,"live",8,null]]],["Update","SAVED",1,0]"#;
-    batch(7000, &format!(r#"["Init",9,{ENV}],{list}"#))
+    batch(7000, &format!(r#"["Init",9,{SETTINGS}],{list}"#))
 }
 
-fn demand(id: &str, until: u64) -> String {
-    format!(r#"["Demand","{id}",null,0,{until},null,5,"c",null]"#)
+fn demand(id: &str, deadline_ms: u64) -> String {
+    format!(r#"["Demand","{id}",null,0,{deadline_ms},null,5,"c",null]"#)
 }
 
 #[test]
-fn a_packet_is_placed_and_its_outcome_ends_it() {
+fn a_packet_is_dispatched_and_completed_by_its_outcome() {
     let verdict = r#"["Verdict","p",0,20.5,null,true,0,"a:1",null]"#;
     let after = r#"["Verdict","p",0,20.5,null,true,0,"a:1",null],["Dropped","p"],["Ring",0],["Memo",1,""]"#;
-    let out = run(&[start(), batch(8000, &demand("p", 32000)), batch(8020, verdict), batch(8025, after)]);
-    assert!(out.status.success());
-    let text = String::from_utf8(out.stdout).expect("UTF-8");
+    let output = run(&[init(), batch(8000, &demand("p", 32000)), batch(8020, verdict), batch(8025, after)]);
+    assert!(output.status.success());
+    let text = String::from_utf8(output.stdout).expect("UTF-8");
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(lines.len(), 4);
     assert!(lines[1].contains(r#"["Place","p","a:1","#), "{}", lines[1]);
@@ -52,16 +53,17 @@
 }
 
 #[test]
-fn a_sender_that_dies_and_starts_in_one_batch_knows_only_its_list() {
-    let again = format!(r#"["Teardown"],["Init",9,{ENV}],["Update","FULL",2,0],{}"#, demand("q", 33000));
-    let out = run(&[start(), batch(8000, &demand("p", 32000)), batch(9000, &again)]);
-    let text = String::from_utf8(out.stdout).expect("UTF-8");
+fn a_sender_restarted_within_one_batch_knows_no_earlier_packet() {
+    let restart =
+        format!(r#"["Teardown"],["Init",9,{SETTINGS}],["Update","FULL",2,0],{}"#, demand("q", 33000));
+    let output = run(&[init(), batch(8000, &demand("p", 32000)), batch(9000, &restart)]);
+    let text = String::from_utf8(output.stdout).expect("UTF-8");
     let last = text.lines().last().expect("a reply");
     assert!(last.contains(r#"["Place","q","a:1""#) && !last.contains("\"p\""), "{last}");
 }
 
 #[test]
-fn malformed_lines_end_in_one_plain_line() {
+fn a_malformed_line_gives_one_line_of_error() {
     let cases = [
         ("{".to_owned(), "line 2: expected JSON"),
         (r#"{"wall_ms":1}"#.to_owned(), "line 2: expected groups"),
@@ -76,10 +78,10 @@
         ),
     ];
     for (line, expected) in cases {
-        let out = run(&[start(), line]);
-        let words = String::from_utf8(out.stderr).expect("UTF-8");
-        assert!(!out.status.success());
-        assert!(words.starts_with(expected) && words.lines().count() == 1, "{words}");
-        assert_eq!(out.stdout.iter().filter(|b| **b == b'\n').count(), 1, "only the first line's reply");
+        let output = run(&[init(), line]);
+        let message = String::from_utf8(output.stderr).expect("UTF-8");
+        assert!(!output.status.success());
+        assert!(message.starts_with(expected) && message.lines().count() == 1, "{message}");
+        assert_eq!(output.stdout.iter().filter(|b| **b == b'\n').count(), 1, "only the first line's reply");
     }
 }
--- a/crates/sailcart-sender/src/config/document.rs
+++ b/crates/sailcart-sender/src/config/document.rs
@@ -1,5 +1,8 @@
-//! `sailcart.toml`: the documented configuration, in the project's words. It is turned into the same structure as the
-//! platform's file, and checked and given defaults with it. The comments here are the reference (`config reference`).
+//! The types of `sailcart.toml`, the documented configuration file.
+//!
+//! [`Document::to_platform_json`] converts a document to the structure of the platform's JSON configuration,
+//! so that both are checked and given defaults by the same code. The doc comments of the fields are the user
+//! reference: they are printed by `sailcart config reference` and included in the JSON Schema.
 
 use std::time::Duration;
 
@@ -7,29 +10,31 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-/// A time with its unit, as "3s", "250ms" or "2m".
+/// A duration with its unit, such as "3s", "250ms" or "2m".
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Span(#[serde(with = "humantime_serde")] pub Duration);
+pub struct HumanDuration(#[serde(with = "humantime_serde")] pub Duration);
 
-/// Bytes with their unit, as "192 MB" or "64 MiB".
+/// A number of bytes with its unit, such as "192 MB" or "64 MiB".
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Size(pub u64);
+pub struct HumanSize(pub u64);
 
-impl Serialize for Size {
-    fn serialize<S: serde::Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-        to.collect_str(&bytesize::ByteSize(self.0).display().si())
+impl Serialize for HumanSize {
+    fn serialize<S: serde::Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.collect_str(&bytesize::ByteSize(self.0).display().si())
     }
 }
 
-impl<'de> Deserialize<'de> for Size {
-    fn deserialize<D: serde::Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        let text = String::deserialize(from)?;
-        text.parse::<bytesize::ByteSize>().map(|size| Size(size.0)).map_err(serde::de::Error::custom)
+impl<'de> Deserialize<'de> for HumanSize {
+    fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        let text = String::deserialize(deserializer)?;
+        text.parse::<bytesize::ByteSize>().map(|size| HumanSize(size.0)).map_err(serde::de::Error::custom)
     }
 }
 
-macro_rules! as_text {
+/// Describes types that are written as strings to the JSON Schema; `format` selects their check in
+/// `validation`.
+macro_rules! string_schema {
     ($($name:ident: $format:literal),*) => {
         $(impl JsonSchema for $name {
             fn inline_schema() -> bool {
@@ -47,44 +52,47 @@
     };
 }
 
-as_text!(Span: "span", Size: "size", Address: "address");
+string_schema!(HumanDuration: "span", HumanSize: "size", Address: "address");
 
-/// An address and port, as "127.0.0.1:6379".
+/// An IP address and port, such as "127.0.0.1:6379".
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Address(pub std::net::SocketAddr);
 
+/// The content of `sailcart.toml`.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
-    /// The sender's name in its log. `ROUTER_NAME` goes before it.
+    /// The sender's name in its log. `ROUTER_NAME` overrides it.
     pub name: String,
-    /// Where clients connect. `ROUTER_LISTEN` goes before it.
+    /// Address that the sender listens on for clients. `ROUTER_LISTEN` overrides it.
     pub listen: Address,
-    /// The folder that lasts. `ROUTER_STATE` goes before it.
+    /// Existing folder for data that must survive a restart. `ROUTER_STATE` overrides it.
     pub state: String,
-    /// Up to 16 hex digits for chance; the clock without it.
+    /// Seed of the random number generator: up to 16 hex digits. Without it, the seed is taken from the
+    /// clock.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub seed: Option<String>,
-    /// What the machine gives.
+    /// The resources that the sender may use.
     #[serde(default)]
     pub limits: Limits,
-    /// How this sender and those beside it work.
+    /// Operation of this sender and of the others that share its destinations.
     pub senders: Senders,
-    /// What a destination can take after an outage, and how credit falls.
+    /// How much load a destination can take after an outage, and how the credit of late packets falls.
     #[serde(default)]
     pub rules: Rules,
-    /// Where the list of destinations comes from.
+    /// Source of the destination list.
     pub source: Source,
-    /// What packets are.
+    /// The categories of packets.
     pub categories: Vec<Category>,
-    /// Who hands packets in, with what is agreed.
+    /// The customers that submit packets, with their agreed quotas.
     #[serde(default)]
     pub customers: Vec<Customer>,
-    /// Kinds of destination.
+    /// The kinds of endpoints.
     pub kinds: Vec<Kind>,
 }
 
+/// When records are synced to disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Sync {
@@ -94,56 +102,63 @@
     Round,
 }
 
+/// Resource limits of the process.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Memory of the process, files counted. Three eighths are for the destination list, 192 bytes an endpoint: a list of more
-    /// endpoints is refused (`sailcart check` tells how many fit).
-    pub memory: Size,
-    /// Descriptors.
+    /// Memory limit of the process, its files included. Three eighths of it are for the destination list, at
+    /// 192 bytes per endpoint; a list with more endpoints is rejected (`sailcart check` prints how many fit).
+    pub memory: HumanSize,
+    /// Maximum number of open file descriptors.
     pub sockets: u64,
-    /// Bytes in the state folder.
-    pub disk: Size,
-    /// When records outlive the machine's power: none, each record, or once a round before its answers.
+    /// Maximum size of the state folder.
+    pub disk: HumanSize,
+    /// When records are synced to disk, so that they survive a power loss: never, after each record, or once
+    /// per round before its replies.
     pub sync: Sync,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { memory: Size(192_000_000), sockets: 1024, disk: Size(3_000_000), sync: Sync::None }
+        Limits { memory: HumanSize(192_000_000), sockets: 1024, disk: HumanSize(3_000_000), sync: Sync::None }
     }
 }
 
+/// Settings of the sender and of the group of senders it belongs to.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Senders {
-    /// Senders that share the destinations, this one included.
+    /// Number of senders that share the destinations, this one included.
     #[serde(default = "one")]
     pub count: u64,
-    /// Calls out at once.
+    /// Maximum number of calls in flight.
     pub slots: u64,
-    /// Packets held at most, out or not.
+    /// Maximum number of packets held, whether in flight or not.
     pub hold: u64,
-    /// Dispatches of one packet at most.
+    /// Maximum number of dispatches of one packet.
     #[serde(default = "six")]
     pub dispatches: u64,
-    /// Calls may be called off.
+    /// Whether calls in flight may be cancelled.
     #[serde(default = "yes")]
     pub cancel: bool,
-    /// The least time from one round of decisions to the next.
+    /// Minimum time from one round of decisions to the next.
     #[serde(default = "round")]
-    pub round: Span,
-    /// A connection that takes longer counts as none.
+    pub round: HumanDuration,
+    /// Timeout for connecting to an endpoint. A connection that takes longer counts as failed.
     #[serde(default = "second")]
-    pub connect_time_out: Span,
-    /// Endpoints close a connection that stood idle for so long.
+    pub connect_time_out: HumanDuration,
+    /// How long a connection may be idle before its endpoint closes it. The sender closes idle connections
+    /// earlier.
     #[serde(default = "idle")]
-    pub idle_close: Span,
-    /// The longest that clients are told to stay away; they are told nothing without it.
+    pub idle_close: HumanDuration,
+    /// Longest wait that clients are asked for when a packet is dismissed. Without it, they are not asked to
+    /// wait.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub retry_after: Option<Span>,
+    pub retry_after: Option<HumanDuration>,
 }
 
+// The defaults that the `serde` attributes above and below refer to.
+
 fn one() -> u64 {
     1
 }
@@ -156,18 +171,19 @@
     true
 }
 
-fn round() -> Span {
-    Span(Duration::from_millis(5))
+fn round() -> HumanDuration {
+    HumanDuration(Duration::from_millis(5))
 }
 
-fn second() -> Span {
-    Span(Duration::from_secs(1))
+fn second() -> HumanDuration {
+    HumanDuration(Duration::from_secs(1))
 }
 
-fn idle() -> Span {
-    Span(Duration::from_secs(10))
+fn idle() -> HumanDuration {
+    HumanDuration(Duration::from_secs(10))
 }
 
+/// How the credit of a packet falls after the soft limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Late {
@@ -176,20 +192,22 @@
     Halves,
 }
 
+/// Behaviour of destinations after outages, and the credit of late packets.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    /// Share of its capacity that a destination starts with after an outage.
+    /// Share of its capacity that a destination can take right after an outage.
     pub cold_from: f64,
-    /// It is warm after this.
-    pub cold: Span,
-    /// It falls over at this multiple of its present capacity.
+    /// Time after an outage until a destination has its full capacity again.
+    pub cold: HumanDuration,
+    /// Load, as a multiple of its current capacity, at which a destination breaks down.
     pub fall_multiple: f64,
-    /// How long a key rests after a call that may still run.
-    pub settle: Span,
-    /// Share of the credit of a packet beyond its customer's quota.
+    /// How long the next packet of a key is held back after a call that may still be executing.
+    pub settle: HumanDuration,
+    /// Share of its credit that a packet beyond its customer's quota earns.
     pub over_share: f64,
-    /// How credit falls after the soft limit: evenly to the end of the patience, or by half with each soft limit.
+    /// How the credit falls after the soft limit: linearly until the patience ends, or by half with each
+    /// further soft limit.
     pub late: Late,
 }
 
@@ -199,13 +217,14 @@
             cold_from: 0.3,
             cold: idle(),
             fall_multiple: 1.5,
-            settle: Span(Duration::ZERO),
+            settle: HumanDuration(Duration::ZERO),
             over_share: 1.0,
             late: Late::Halves,
         }
     }
 }
 
+/// Where the destination list comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum SourceKind {
@@ -213,34 +232,36 @@
     Static,
 }
 
+/// The source of the destination list.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Source {
-    /// The platform's discovery, or the endpoints listed here.
+    /// Whether the list comes from the platform's discovery or from this file.
     pub kind: SourceKind,
-    /// With platform: where discovery and the receiver of notices are. `ROUTER_DISCOVERY` goes before it.
+    /// With `platform`: address of discovery, which also receives notices. `ROUTER_DISCOVERY` overrides it.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub discovery: Option<Address>,
-    /// The list tells how many calls a second each destination takes.
+    /// Whether the list contains the calls per second that each destination takes.
     #[serde(default)]
     pub rates_listed: bool,
-    /// With static: the endpoints. Without a platform, ends that would be notices are lines of the log.
+    /// With `static`: the endpoints. Notices are written to the log instead, as there is no platform.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub endpoints: Vec<Endpoint>,
 }
 
+/// An endpoint of a destination.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Endpoint {
-    /// Its own; one that has another address or destination is another endpoint.
+    /// Unique name of the endpoint. With another address or destination it is a different endpoint.
     pub name: String,
-    /// Where calls go.
+    /// Address that calls are sent to.
     pub address: Address,
-    /// The number by which clients name the destination.
+    /// Number by which clients refer to the destination.
     pub destination: u64,
-    /// One of the kinds.
+    /// Name of one of the `kinds`.
     pub kind: String,
-    /// Calls a second that the destination takes from all senders.
+    /// Calls per second that the destination takes from all senders together.
     #[serde(default = "whole")]
     pub rate: f64,
 }
@@ -249,6 +270,7 @@
     1.0
 }
 
+/// Effect of a second dispatch of the same packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Repeat {
@@ -257,120 +279,124 @@
     Unrepeatable,
 }
 
+/// A category of packets.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Category {
-    /// As clients give it.
+    /// Name of the category, as used by clients.
     pub name: String,
-    /// What a second dispatch may do.
+    /// Effect of a second dispatch of the same packet: none, none within `memory`, or a second execution.
     pub repeat: Repeat,
-    /// With deduplicated: how long every endpoint knows a repeat.
+    /// With `deduplicated`: how long every endpoint of a destination recognizes a repeated packet.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub memory: Option<Span>,
-    /// Packets of one key go in order.
+    pub memory: Option<HumanDuration>,
+    /// Whether packets with the same key are delivered in order.
     #[serde(default)]
     pub in_order: bool,
-    /// An answer is wanted within this.
-    pub soft_limit: Span,
-    /// The client gives up after this.
-    pub patience: Span,
-    /// What a packet that is answered in time earns.
+    /// Time within which a packet should be answered to earn its full credit.
+    pub soft_limit: HumanDuration,
+    /// Time after which the client no longer waits for the packet.
+    pub patience: HumanDuration,
+    /// Credit for a packet that is answered within the soft limit.
     #[serde(default = "whole")]
     pub credit: f64,
-    /// Share of the credit that is left in the end.
+    /// Minimum share of the credit that a packet keeps when it is answered late.
     #[serde(default)]
     pub late_share: f64,
 }
 
+/// A customer and its quota.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Customer {
-    /// As clients give it.
+    /// Name of the customer, as used by clients.
     pub name: String,
-    /// Agreed packets a second over all senders.
+    /// Agreed packets per second over all senders.
     pub quota: f64,
 }
 
+/// A kind of endpoint.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Kind {
-    /// As endpoints give it.
+    /// Name of the kind, as used by endpoints.
     pub name: String,
-    /// Packets that one call carries at most.
+    /// Maximum number of packets in one call.
     #[serde(default = "one")]
     pub batch: u64,
-    /// Endpoints are routes, each with a limit and outages of its own.
+    /// Whether each endpoint is a route with its own limit and its own outages. Otherwise these are common to
+    /// the destination.
     #[serde(default)]
     pub own_limits: bool,
 }
 
-fn ms(span: Span) -> f64 {
-    span.0.as_micros() as f64 / 1000.0
+fn milliseconds(duration: HumanDuration) -> f64 {
+    duration.0.as_micros() as f64 / 1000.0
 }
 
 impl Document {
-    /// What must hold between values: the key at fault, and words.
-    pub fn faults(&self) -> Vec<(String, String)> {
-        let mut faults = Vec::new();
-        let mut fault = |key: String, words: &str| faults.push((key, words.to_owned()));
+    /// Checks the conditions that the schema cannot express. Returns the key and message of each error.
+    pub fn errors(&self) -> Vec<(String, String)> {
+        let mut errors = Vec::new();
+        let mut error = |key: String, message: &str| errors.push((key, message.to_owned()));
         for (key, amount) in [
             ("senders.slots", self.senders.slots),
             ("senders.count", self.senders.count),
             ("senders.hold", self.senders.hold),
         ] {
             if amount == 0 {
-                fault(key.to_owned(), "expected more than 0");
+                error(key.to_owned(), "expected more than 0");
             }
         }
         if self.rules.cold.0.is_zero() {
-            fault("rules.cold".to_owned(), "expected more than 0");
+            error("rules.cold".to_owned(), "expected more than 0");
         }
         let names = [
-            ("categories", self.categories.iter().map(|one| &one.name).collect::<Vec<_>>()),
-            ("customers", self.customers.iter().map(|one| &one.name).collect()),
-            ("kinds", self.kinds.iter().map(|one| &one.name).collect()),
+            ("categories", self.categories.iter().map(|item| &item.name).collect::<Vec<_>>()),
+            ("customers", self.customers.iter().map(|item| &item.name).collect()),
+            ("kinds", self.kinds.iter().map(|item| &item.name).collect()),
         ];
         for (list, names) in names {
-            for (at, name) in names.iter().enumerate() {
-                if names[..at].contains(name) {
-                    fault(format!("{list}.{at}.name"), &format!("{name} is there twice"));
+            for (index, name) in names.iter().enumerate() {
+                if names[..index].contains(name) {
+                    error(format!("{list}.{index}.name"), &format!("{name} is there twice"));
                 }
             }
         }
-        for (at, category) in self.categories.iter().enumerate() {
-            let key = |name: &str| format!("categories.{at}.{name}");
+        for (index, category) in self.categories.iter().enumerate() {
+            let key = |name: &str| format!("categories.{index}.{name}");
             if category.soft_limit.0.is_zero() {
-                fault(key("soft_limit"), "expected more than 0");
+                error(key("soft_limit"), "expected more than 0");
             }
             if category.patience.0 < category.soft_limit.0 {
-                fault(key("patience"), "expected no less than soft_limit");
+                error(key("patience"), "expected at least soft_limit");
             }
             if (category.repeat == Repeat::Deduplicated) != category.memory.is_some() {
-                fault(key("repeat"), "expected memory with deduplicated, and only there");
+                error(key("repeat"), "expected memory if repeat is deduplicated, and only then");
             }
         }
-        let platform = self.source.kind == SourceKind::Platform;
-        if platform && !self.source.endpoints.is_empty() {
-            fault("source.endpoints".to_owned(), "expected only with kind = \"static\"");
+        let is_platform = self.source.kind == SourceKind::Platform;
+        if is_platform && !self.source.endpoints.is_empty() {
+            error("source.endpoints".to_owned(), "expected only with kind = \"static\"");
         }
-        if !platform && self.source.discovery.is_some() {
-            fault("source.discovery".to_owned(), "expected only with kind = \"platform\"");
+        if !is_platform && self.source.discovery.is_some() {
+            error("source.discovery".to_owned(), "expected only with kind = \"platform\"");
         }
-        if !platform && self.source.endpoints.is_empty() {
-            fault("source.kind".to_owned(), "expected endpoints with static");
+        if !is_platform && self.source.endpoints.is_empty() {
+            error("source.kind".to_owned(), "expected source.endpoints with kind = \"static\"");
         }
-        for (at, endpoint) in self.source.endpoints.iter().enumerate() {
+        for (index, endpoint) in self.source.endpoints.iter().enumerate() {
             if !self.kinds.iter().any(|kind| kind.name == endpoint.kind) {
-                fault(format!("source.endpoints.{at}.kind"), &format!("no kind {}", endpoint.kind));
+                error(format!("source.endpoints.{index}.kind"), &format!("no kind {}", endpoint.kind));
             }
         }
-        faults
+        errors
     }
 
-    /// The same as the platform tells it.
-    pub fn as_platform(&self) -> Value {
-        let lanes: Vec<Value> = self.categories.iter().map(Category::as_platform).collect();
-        let endpoints: Vec<Value> = self.source.endpoints.iter().map(Endpoint::as_platform).collect();
+    /// The same configuration in the structure of the platform's JSON file.
+    pub fn to_platform_json(&self) -> Value {
+        let categories: Vec<Value> = self.categories.iter().map(Category::to_platform_json).collect();
+        let endpoints: Vec<Value> = self.source.endpoints.iter().map(Endpoint::to_platform_json).collect();
         let (senders, rules) = (&self.senders, &self.rules);
         let mut file = json!({
             "name": self.name, "listen": self.listen, "state": self.state,
@@ -380,11 +406,11 @@
             },
             "known": {"generation": 0, "reset": true, "instances": endpoints},
             "settings": {
-                "balancers": senders.count, "period_ms": ms(senders.round),
+                "balancers": senders.count, "period_ms": milliseconds(senders.round),
                 "weights": if self.source.rates_listed { "nominal" } else { "none" },
                 "over_share_worth": rules.over_share,
                 "kinds": self.kinds.iter().map(|kind| &kind.name).collect::<Vec<_>>(),
-                "lanes": lanes,
+                "lanes": categories,
                 "customers": self.customers.iter()
                     .map(|customer| json!({"name": customer.name, "quota_per_s": customer.quota}))
                     .collect::<Vec<_>>(),
@@ -396,13 +422,15 @@
                 },
                 "bounds": {
                     "max_open": senders.hold, "send_cap": senders.dispatches, "cancel": senders.cancel,
-                    "connect_timeout_ms": ms(senders.connect_time_out), "idle_close_ms": ms(senders.idle_close),
+                    "connect_timeout_ms": milliseconds(senders.connect_time_out),
+                    "idle_close_ms": milliseconds(senders.idle_close),
                     "retry_after": senders.retry_after.is_some(),
-                    "max_retry_after_ms": senders.retry_after.map_or(0.0, ms),
+                    "max_retry_after_ms": senders.retry_after.map_or(0.0, milliseconds),
                 },
                 "rules": {
-                    "cold_from": rules.cold_from, "cold_ms": ms(rules.cold), "fall_multiple": rules.fall_multiple,
-                    "settle_after_doubt_ms": ms(rules.settle),
+                    "cold_from": rules.cold_from, "cold_ms": milliseconds(rules.cold),
+                    "fall_multiple": rules.fall_multiple,
+                    "settle_after_doubt_ms": milliseconds(rules.settle),
                 },
             },
         });
@@ -422,22 +450,23 @@
 }
 
 impl Category {
-    fn as_platform(&self) -> Value {
+    fn to_platform_json(&self) -> Value {
         let repeat = match self.repeat {
             Repeat::Idempotent => "retryable",
             Repeat::Deduplicated => "dedup",
             Repeat::Unrepeatable => "fragile",
         };
         json!({
-            "name": self.name, "repeat": repeat, "group": "all", "dedup_window_ms": self.memory.map_or(0.0, ms),
-            "fifo_by_key": self.in_order, "aim_ms": ms(self.soft_limit), "hard_limit_ms": ms(self.patience),
+            "name": self.name, "repeat": repeat, "group": "all",
+            "dedup_window_ms": self.memory.map_or(0.0, milliseconds), "fifo_by_key": self.in_order,
+            "aim_ms": milliseconds(self.soft_limit), "hard_limit_ms": milliseconds(self.patience),
             "gain": self.credit, "late_share": self.late_share,
         })
     }
 }
 
 impl Endpoint {
-    fn as_platform(&self) -> Value {
+    fn to_platform_json(&self) -> Value {
         json!({
             "instanceId": self.name, "hostPort": self.address, "zone": "", "machineType": self.kind,
             "cell": self.destination, "lifecycle": "Ready", "weight": self.rate, "startedAtMs": 0,
--- a/crates/sailcart-sender/src/config/known.rs
+++ b/crates/sailcart-sender/src/config/known.rs
@@ -1,5 +1,7 @@
-//! The destination list that a configuration brings: as last known from discovery, or the sender's own. It may be as large as
-//! discovery's, so it is kept as written, and read in pieces where it is put in force.
+//! The destination list inside a configuration: the last one known from discovery, or the sender's own.
+//!
+//! It may be as large as a list from discovery, so it is stored as text and parsed in pieces when it is
+//! applied.
 
 use std::fmt;
 use std::ops::Range;
@@ -12,26 +14,27 @@
 use crate::wire::discovery::Entry;
 use crate::wire::list_reader::{ListReader, Summary};
 
-/// The member of the configuration that holds the list.
+/// The member of the configuration that contains the list.
 const KNOWN: &str = "known";
-/// Bytes of it that are read at once.
-const PIECE: usize = 64 * 1024;
+/// The size of the pieces in which the list is parsed.
+const PIECE_BYTES: usize = 64 * 1024;
 
-/// A list that was read once, and can be.
+/// A list that has been validated.
 pub struct KnownList {
+    /// The text that contains the list.
     text: String,
-    /// Where it stands in the text, if the configuration has one.
-    place: Option<Range<usize>>,
+    /// The bytes of `text` that are the list; `None` if the configuration has no list.
+    range: Option<Range<usize>>,
     summary: Summary,
 }
 
 impl KnownList {
-    /// Reads the list that stands there in a configuration's text.
-    fn new(text: String, place: Option<Range<usize>>) -> Result<Self, Fault> {
+    /// Validates the list in this range of `text`.
+    fn new(text: String, range: Option<Range<usize>>) -> Result<Self, Fault> {
         let mut reader = ListReader::default();
-        let nothing = Summary { version: 0, whole: true, read: 0, passed_over: 0 };
-        let mut list = KnownList { text, place, summary: nothing };
-        if list.place.is_some() {
+        let empty = Summary { version: 0, whole: true, read: 0, passed_over: 0 };
+        let mut list = KnownList { text, range, summary: empty };
+        if list.range.is_some() {
             for piece in list.pieces() {
                 reader.push(piece)?;
             }
@@ -40,45 +43,47 @@
         Ok(list)
     }
 
-    /// What it tells beside its entries.
+    /// The properties of the list apart from its entries. Without a list, those of an empty full list of
+    /// version 0.
     pub fn summary(&self) -> Summary {
         self.summary
     }
 
-    /// Its entries, read anew, a piece at a time.
+    /// Parses the list again and returns its entries, one piece of the text at a time.
     pub fn entries(&self) -> impl Iterator<Item = Entry> {
-        let mut reader = ListReader::quiet();
-        // It could be read once, so no piece is at fault now.
+        let mut reader = ListReader::without_warnings();
+        // `new` has parsed the same text without an error.
         self.pieces().flat_map(move |piece| reader.push(piece).unwrap_or_default())
     }
 
     fn pieces(&self) -> impl Iterator<Item = &[u8]> {
-        let place = self.place.clone().unwrap_or_default();
-        self.text.as_bytes().get(place).unwrap_or_default().chunks(PIECE)
+        let range = self.range.clone().unwrap_or_default();
+        self.text.as_bytes().get(range).unwrap_or_default().chunks(PIECE_BYTES)
     }
 }
 
-/// A configuration in JSON: all but its list as a value, and its list.
+/// Parses a configuration in JSON. Returns it without its list, and the list.
 pub fn split(text: String) -> Result<(Value, KnownList), Fault> {
-    let mut reading = serde_json::Deserializer::from_str(&text);
-    let read = reading.deserialize_map(Members).and_then(|read| reading.end().map(|()| read));
-    let (members, known) = read.map_err(|fault| format!("expected JSON: {fault}"))?;
-    // The raw value is a part of the text.
-    let begin = known.map(|known| known.get().as_ptr() as usize - text.as_ptr() as usize);
-    let place = begin.zip(known).map(|(begin, known)| begin..begin + known.get().len());
-    let list = KnownList::new(text, place).map_err(|fault| format!("{KNOWN}: {}", fault.0))?;
+    let mut deserializer = serde_json::Deserializer::from_str(&text);
+    let result =
+        deserializer.deserialize_map(Members).and_then(|members| deserializer.end().map(|()| members));
+    let (members, known) = result.map_err(|error| format!("expected JSON: {error}"))?;
+    // The raw value borrows from `text`, so its offset is the difference of the addresses.
+    let start = known.map(|known| known.get().as_ptr() as usize - text.as_ptr() as usize);
+    let range = start.zip(known).map(|(start, known)| start..start + known.get().len());
+    let list = KnownList::new(text, range).map_err(|error| format!("{KNOWN}: {}", error.0))?;
     Ok((Value::Object(members), list))
 }
 
-/// A configuration that stands in memory already.
-pub fn take(mut file: Value) -> Result<(Value, KnownList), Fault> {
+/// Takes the list out of a configuration that is a JSON value already.
+pub fn split_value(mut file: Value) -> Result<(Value, KnownList), Fault> {
     let known = file.as_object_mut().and_then(|file| file.remove(KNOWN)).map(|known| known.to_string());
-    let place = known.as_ref().map(|known| 0..known.len());
-    let list = KnownList::new(known.unwrap_or_default(), place);
-    Ok((file, list.map_err(|fault| format!("{KNOWN}: {}", fault.0))?))
+    let range = known.as_ref().map(|known| 0..known.len());
+    let list = KnownList::new(known.unwrap_or_default(), range);
+    Ok((file, list.map_err(|error| format!("{KNOWN}: {}", error.0))?))
 }
 
-/// Takes the members of an object; that of the list as it stands in the text. Of two the last counts.
+/// Deserializes an object, with the list as raw text. If a member occurs twice, the last one counts.
 struct Members;
 
 impl<'de> Visitor<'de> for Members {
--- a/crates/sailcart-sender/src/config/mod.rs
+++ b/crates/sailcart-sender/src/config/mod.rs
@@ -1,9 +1,12 @@
-//! The one place where configuration is read, checked and given defaults.
+//! Reads the configuration of a sender, checks it and fills in defaults. No other module does any of this.
+//!
+//! A configuration is either `sailcart.toml` ([`document`]) or the platform's JSON. Both become the same JSON
+//! structure, which is checked here.
 
 pub mod document;
-mod faults;
 pub mod known;
 pub mod show;
+mod validation;
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -11,160 +14,171 @@
 
 use sailcart::Terms;
 use sailcart_store::Sync;
-use sailcart_terms::{Carriage, Fault, Names, member, take_number, take_text};
+use sailcart_terms::{Fault, HostSettings, Names, member, read_number, read_text};
 use serde_json::Value;
 
 use crate::config::known::KnownList;
 use crate::wire::resp::MOST_COMMAND;
 
-/// All that a sender is told at its start.
+/// The checked configuration of a sender.
 pub struct Mandate {
     pub name: String,
     pub listen: SocketAddr,
     pub source: Source,
-    /// The folder that lasts.
+    /// The folder for data that must survive a restart.
     pub state: PathBuf,
+    /// Seed of the random number generator.
     pub seed: u64,
+    /// The destination list in the configuration.
     pub known: KnownList,
     pub terms: Terms,
     pub names: Names,
-    pub carriage: Carriage,
+    pub carriage: HostSettings,
     pub bounds: Bounds,
-    /// The file as it was written, but for its list.
+    /// The file as written, without its list. A reload compares its keys with those of the new file.
     pub file: Value,
 }
 
-/// Where the list of destinations comes from, and where notices go.
+/// The source of the destination list, and the receiver of notices.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Source {
+    /// The platform's discovery at this address.
     Platform(SocketAddr),
-    /// The list in the configuration; ends are lines of the log.
+    /// The list in the configuration. Notices are written to the log.
     Static,
 }
 
-/// The limits of the machine, shared out.
+/// The shares of the process's resource limits.
 #[derive(Debug, PartialEq)]
 pub struct Bounds {
-    /// Connections from clients at most.
+    /// Maximum number of connections from clients.
     pub clients: usize,
-    /// Idle connections to endpoints at most.
+    /// Maximum number of idle connections to endpoints.
     pub idle: usize,
-    /// Bytes that the folder may hold.
+    /// Maximum size of the state folder, in bytes.
     pub journal: u64,
-    /// Packets remembered once they are over.
+    /// Number of completed packets whose ids are remembered.
     pub ended: usize,
-    /// Endpoints that discovery's list may bring. A list of more is refused.
+    /// Maximum number of endpoints in a list from discovery. A list with more is rejected.
     pub listed: usize,
-    /// When the journal must outlive the machine's power.
+    /// When the journal is synced to disk, so that it survives a power loss.
     pub sync: Sync,
 }
 
-/// Descriptors for all but clients and endpoints: standard streams, the poll, signals, the listener, the
-/// journal's ten files, discovery, perhaps twice while one connection replaces the other, four for notices, a
-/// configuration that is being read.
-const OWN_SOCKETS: usize = 32;
-const MB: f64 = 1e6;
-/// Bytes for an id that is remembered, and what stands around it.
-const LONG_ID: f64 = 128.0;
-
-/// Share of the memory for the endpoints that are listed.
-const LISTED_SHARE: f64 = 3.0 / 8.0;
-/// Bytes for an endpoint that is listed, in all of the process: 180 were the most that were measured, just after an index had
-/// grown (`docs/CAPACITY.md`), with names of up to 24 bytes and IPv4 addresses.
-const LISTED_COST: f64 = 192.0;
-
-/// Where a value may come from beside the file.
+/// File descriptors for everything except clients and endpoints: the standard streams, the poll, signals, the
+/// listener, ten files of the journal, the connection to discovery (two while one replaces the other), four
+/// connections for notices, and a configuration that is being read.
+const RESERVED_DESCRIPTORS: usize = 32;
+const BYTES_PER_MB: f64 = 1e6;
+/// Memory for the remembered id of a completed packet, with its overhead, in bytes.
+const BYTES_PER_COMPLETED_ID: f64 = 128.0;
+
+/// Share of the memory that is for listed endpoints.
+const LISTED_MEMORY_SHARE: f64 = 3.0 / 8.0;
+/// Memory for a listed endpoint in the whole process, in bytes. The most that was measured is 180, just after
+/// an index had grown (`docs/CAPACITY.md`), with names of up to 24 bytes and IPv4 addresses.
+const BYTES_PER_LISTED_ENDPOINT: f64 = 192.0;
+
+/// Looks up an environment variable.
 pub type Environment<'a> = &'a dyn Fn(&str) -> Option<String>;
 
-/// Reads the file that `ROUTER_CONFIG` or the command line names. What the environment tells goes before it.
+/// Reads the configuration from `file`, or else from the file named by `ROUTER_CONFIG`. Environment variables
+/// override its values.
 pub fn read(file: Option<PathBuf>, environment: Environment) -> Result<Mandate, Fault> {
     let path = file.or_else(|| environment("ROUTER_CONFIG").map(PathBuf::from));
     let path = path.ok_or("ROUTER_CONFIG: expected the path of a configuration file")?;
     let text =
         std::fs::read_to_string(&path).map_err(|e| format!("configuration {}: {e}", path.display()))?;
-    if path.extension().is_some_and(|ending| ending == "toml") {
-        let (file, known) = known::take(document(&path, &text)?.as_platform())?;
-        return check(file, known, environment);
+    if path.extension().is_some_and(|extension| extension == "toml") {
+        let (file, known) = known::split_value(read_document(&path, &text)?.to_platform_json())?;
+        return build_config(file, known, environment);
     }
-    let (file, known) = known::split(text).map_err(|fault| within(&path.display().to_string(), fault))?;
-    check(file, known, environment)
+    let (file, known) =
+        known::split(text).map_err(|error| with_context(&path.display().to_string(), error))?;
+    build_config(file, known, environment)
 }
 
-/// Every fault of a `sailcart.toml`, a line each.
-fn document(path: &Path, text: &str) -> Result<document::Document, Fault> {
-    faults::read(text).map_err(|faults| {
-        let lines: Vec<String> = faults.iter().map(|fault| format!("{}: {fault}", path.display())).collect();
+/// Reads a `sailcart.toml`. The error contains all errors of the file, one per line.
+fn read_document(path: &Path, text: &str) -> Result<document::Document, Fault> {
+    validation::read(text).map_err(|errors| {
+        let lines: Vec<String> = errors.iter().map(|error| format!("{}: {error}", path.display())).collect();
         Fault(lines.join("\n"))
     })
 }
 
-/// What is in force and where each value came from.
-pub fn in_force(file: Option<PathBuf>, environment: Environment) -> Result<String, Fault> {
-    let mandate = read(file.clone(), environment)?;
+/// The effective configuration as text, with the origin of each value. For the platform's JSON, a summary.
+pub fn show_effective(file: Option<PathBuf>, environment: Environment) -> Result<String, Fault> {
+    let config = read(file.clone(), environment)?;
     let path = file.or_else(|| environment("ROUTER_CONFIG").map(PathBuf::from)).unwrap_or_default();
-    if path.extension().is_none_or(|ending| ending != "toml") {
-        return Ok(summary(&mandate));
+    if path.extension().is_none_or(|extension| extension != "toml") {
+        return Ok(summary(&config));
     }
     let text = std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
-    Ok(show::in_force(&document(&path, &text)?, &text, environment))
+    Ok(show::effective(&read_document(&path, &text)?, &text, environment))
 }
 
-fn check(file: Value, known: KnownList, environment: Environment) -> Result<Mandate, Fault> {
-    let told = |variable: &str, key: &str| -> Result<String, Fault> {
+/// Checks a configuration in the structure of the platform's JSON and adds the defaults.
+fn build_config(file: Value, known: KnownList, environment: Environment) -> Result<Mandate, Fault> {
+    let value_of = |variable: &str, key: &str| -> Result<String, Fault> {
         match environment(variable) {
             Some(text) => Ok(text),
-            None => take_text(member(&file, key)?, key).map(str::to_owned),
+            None => read_text(member(&file, key)?, key).map(str::to_owned),
         }
     };
     let settings = member(&file, "settings")?;
-    let (terms, names) = sailcart_terms::read(settings).map_err(|fault| within("settings", fault))?;
-    let carriage = sailcart_terms::read_carriage(settings).map_err(|fault| within("settings", fault))?;
-    let bounds = bounds(file.get("limits"), terms.slots).map_err(|fault| within("limits", fault))?;
+    let (terms, names) = sailcart_terms::read(settings).map_err(|error| with_context("settings", error))?;
+    let host_settings =
+        sailcart_terms::read_host_settings(settings).map_err(|error| with_context("settings", error))?;
+    let bounds =
+        read_bounds(file.get("limits"), terms.slots).map_err(|error| with_context("limits", error))?;
     Ok(Mandate {
-        name: told("ROUTER_NAME", "name")?,
-        listen: address("listen", &told("ROUTER_LISTEN", "listen")?)?,
+        name: value_of("ROUTER_NAME", "name")?,
+        listen: parse_address("listen", &value_of("ROUTER_LISTEN", "listen")?)?,
         source: match file.get("static") {
             Some(Value::Bool(true)) => Source::Static,
-            _ => Source::Platform(address("discovery", &told("ROUTER_DISCOVERY", "discovery")?)?),
+            _ => Source::Platform(parse_address("discovery", &value_of("ROUTER_DISCOVERY", "discovery")?)?),
         },
-        state: folder(&told("ROUTER_STATE", "state")?)?,
-        seed: seed(file.get("seed"))?,
+        state: existing_folder(&value_of("ROUTER_STATE", "state")?)?,
+        seed: read_seed(file.get("seed"))?,
         known,
         terms,
         names,
-        carriage,
+        carriage: host_settings,
         bounds,
         file,
     })
 }
 
-/// What a running sender takes over of a newer configuration: where discovery is. What the file says of it
-/// anew goes before the environment, which is as old as the process. The rest waits for the next start.
+/// The part of a newer configuration that a running sender applies: the source of the destination list. A
+/// changed address of discovery in the file overrides the environment variable, which is as old as the
+/// process. Other changes are logged and take effect at the next start.
 pub fn moved(old: &Value, new: &Mandate) -> Result<Source, Fault> {
     let file = &new.file;
-    let live = |key: &&String| !["discovery", "seed"].contains(&key.as_str());
-    for key in file.as_object().into_iter().flat_map(|file| file.keys()).filter(live) {
+    let needs_restart = |key: &&String| !["discovery", "seed"].contains(&key.as_str());
+    for key in file.as_object().into_iter().flat_map(|file| file.keys()).filter(needs_restart) {
         if file.get(key) != old.get(key) {
-            log::warn!("reload: {key} has changed, code=next_start");
+            log::warn!("reload: {key} has changed and takes effect at the next start, code=next_start");
         }
     }
     match file.get("discovery") {
         Some(text) if old.get("discovery") != Some(text) => {
-            Ok(Source::Platform(address("discovery", take_text(text, "discovery")?)?))
+            Ok(Source::Platform(parse_address("discovery", read_text(text, "discovery")?)?))
         }
         _ => Ok(new.source),
     }
 }
 
-fn within(part: &str, fault: Fault) -> Fault {
-    format!("{part}: {}", fault.0).into()
+/// Prefixes the error with the part of the configuration that it is about.
+fn with_context(part: &str, error: Fault) -> Fault {
+    format!("{part}: {}", error.0).into()
 }
 
-fn address(key: &str, text: &str) -> Result<SocketAddr, Fault> {
+fn parse_address(key: &str, text: &str) -> Result<SocketAddr, Fault> {
     text.parse().map_err(|_| format!("{key}: expected ADDRESS:PORT, not {text}").into())
 }
 
-fn folder(text: &str) -> Result<PathBuf, Fault> {
+/// Fails if the folder doesn't exist.
+fn existing_folder(text: &str) -> Result<PathBuf, Fault> {
     let folder = Path::new(text);
     folder
         .is_dir()
@@ -172,43 +186,46 @@
         .ok_or_else(|| format!("state: expected a folder at {text}").into())
 }
 
-/// Sixteen hex digits; without one, the time of day.
-fn seed(value: Option<&Value>) -> Result<u64, Fault> {
+/// Reads up to 16 hex digits. Without a value, the seed is the current time.
+fn read_seed(value: Option<&Value>) -> Result<u64, Fault> {
     let Some(value) = value else {
         let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         return Ok(now.unwrap_or(Duration::ZERO).as_nanos() as u64);
     };
-    let text = take_text(value, "seed")?;
+    let text = read_text(value, "seed")?;
     u64::from_str_radix(text, 16)
         .map_err(|_| format!("seed: expected up to 16 hex digits, not {text}").into())
 }
 
-fn bounds(limits: Option<&Value>, slots: usize) -> Result<Bounds, Fault> {
+fn read_bounds(limits: Option<&Value>, slots: usize) -> Result<Bounds, Fault> {
     let limit = |key: &str, default: f64| -> Result<f64, Fault> {
         let value = limits.and_then(|limits| limits.get(key));
-        let value = value.map_or(Ok(default), |value| take_number(value, key))?;
+        let value = value.map_or(Ok(default), |value| read_number(value, key))?;
         if value > 0.0 { Ok(value) } else { Err(format!("expected more than 0 in {key}").into()) }
     };
-    let (memory, disk) = (limit("memory_mb", 192.0)? * MB, limit("disk_mb", 3.0)? * MB);
+    let (memory, disk) = (limit("memory_mb", 192.0)? * BYTES_PER_MB, limit("disk_mb", 3.0)? * BYTES_PER_MB);
     let sockets = limit("sockets", 1024.0)? as usize;
-    let left = sockets.checked_sub(OWN_SOCKETS + slots).filter(|left| *left >= 8);
-    let left = left.ok_or_else(|| format!("expected at least {} in sockets", OWN_SOCKETS + slots + 8))?;
-    // Each client may have a whole command under way; all of them together get half of the memory.
-    let buffers = (memory / 2.0 / MOST_COMMAND as f64) as usize;
+    let available = sockets.checked_sub(RESERVED_DESCRIPTORS + slots).filter(|available| *available >= 8);
+    let available = available
+        .ok_or_else(|| format!("expected at least {} in sockets", RESERVED_DESCRIPTORS + slots + 8))?;
+    // The buffer of each client may contain a command of the largest size. The buffers may use half of the
+    // memory.
+    let max_buffers = (memory / 2.0 / MOST_COMMAND as f64) as usize;
     Ok(Bounds {
-        clients: (left - left / 4).min(buffers).max(1),
-        idle: left / 4,
-        // Files are counted as memory.
+        clients: (available - available / 4).min(max_buffers).max(1),
+        idle: available / 4,
+        // Files count towards the memory limit.
         journal: disk.min(memory / 4.0) as u64,
-        ended: (memory / 64.0 / LONG_ID) as usize,
-        listed: (memory * LISTED_SHARE / LISTED_COST) as usize,
-        sync: sync(limits.and_then(|limits| limits.get("sync")))?,
+        ended: (memory / 64.0 / BYTES_PER_COMPLETED_ID) as usize,
+        listed: (memory * LISTED_MEMORY_SHARE / BYTES_PER_LISTED_ENDPOINT) as usize,
+        sync: read_sync(limits.and_then(|limits| limits.get("sync")))?,
     })
 }
 
-/// `none` without it, as the platform's folder needs no sync; `each` record, or once a `round`.
-fn sync(value: Option<&Value>) -> Result<Sync, Fault> {
-    match value.map(|value| take_text(value, "sync")).transpose()? {
+/// Reads when to sync: after `each` record, or once per `round`. The default is `none`, as the platform's
+/// folder needs no sync.
+fn read_sync(value: Option<&Value>) -> Result<Sync, Fault> {
+    match value.map(|value| read_text(value, "sync")).transpose()? {
         None | Some("none") => Ok(Sync::None),
         Some("each") => Ok(Sync::Each),
         Some("round") => Ok(Sync::Every(Duration::ZERO)),
@@ -216,13 +233,13 @@
     }
 }
 
-/// How a configuration was understood, for a person.
-pub fn summary(mandate: &Mandate) -> String {
-    let Mandate { name, listen, source, state, terms, bounds, known, .. } = mandate;
+/// A summary of the configuration for people, as printed by `sailcart check`.
+pub fn summary(config: &Mandate) -> String {
+    let Mandate { name, listen, source, state, terms, bounds, known, .. } = config;
     let Bounds { clients, idle, journal, listed, .. } = bounds;
     let source = match source {
         Source::Platform(discovery) => format!("discovery at {discovery}"),
-        Source::Static => "destinations as listed".to_owned(),
+        Source::Static => "destinations listed in the configuration".to_owned(),
     };
     format!(
         "{name}: listens on {listen}, {source}, state in {}\n\
--- a/crates/sailcart-sender/src/main.rs
+++ b/crates/sailcart-sender/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line of `sailcart`: parses the arguments and runs the command.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -9,117 +9,119 @@
 
 /// A dispatcher of notifications to outside receivers.
 #[derive(Parser)]
-#[command(name = "sailcart", version, after_help = "RUST_LOG sets what is logged (info).")]
-struct Words {
+#[command(name = "sailcart", version, after_help = "RUST_LOG sets the log filter (default: info).")]
+struct Cli {
     #[command(subcommand)]
     command: Command,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run a sender until SIGTERM
-    Serve(File),
-    /// Read and check the configuration, and say how it was understood
-    Check(File),
-    /// What can be configured, and what is
+    /// Run a sender until SIGTERM or SIGINT
+    Serve(ConfigFile),
+    /// Check the configuration and print a summary of it
+    Check(ConfigFile),
+    /// Show the configuration and its documentation
     #[command(subcommand)]
-    Config(Configuration),
-    /// What stands in a state folder, also of a sender that runs
+    Config(ConfigCommand),
+    /// Inspect a state folder, also while its sender is running
     #[command(subcommand)]
-    Store(Folder),
+    Store(StoreCommand),
     /// Print the version
     Version,
-    /// Print completions for a shell
+    /// Print a completion script for a shell
     Completions { shell: clap_complete::Shell },
     /// Print the manual page
     Man,
 }
 
 #[derive(clap::Args)]
-struct File {
-    /// sailcart.toml, or the platform's JSON. ROUTER_NAME, ROUTER_LISTEN, ROUTER_DISCOVERY and ROUTER_STATE go
-    /// before what it says
+struct ConfigFile {
+    /// Path of sailcart.toml, or of the platform's JSON. ROUTER_NAME, ROUTER_LISTEN, ROUTER_DISCOVERY and
+    /// ROUTER_STATE override its values
     #[arg(long = "config", env = "ROUTER_CONFIG", value_name = "FILE")]
     file: Option<PathBuf>,
 }
 
 #[derive(Subcommand)]
-enum Configuration {
-    /// What is in force, and where each value came from
-    Show(File),
-    /// A JSON Schema of sailcart.toml
+enum ConfigCommand {
+    /// Print the effective values and the origin of each
+    Show(ConfigFile),
+    /// Print a JSON Schema of sailcart.toml
     Schema,
-    /// A file to begin with
+    /// Print an example of sailcart.toml to start from
     Example,
-    /// The reference, as docs/configuration.md has it
+    /// Print the reference (the content of docs/configuration.md)
     Reference,
 }
 
 #[derive(Subcommand)]
-enum Folder {
-    /// Whether it can be read, and what is in it: a line
+enum StoreCommand {
+    /// Check whether the folder can be read, and print a one-line summary
     Check { folder: PathBuf },
-    /// Each packet that is not over, each notice owed
+    /// Print each packet that is not completed and each pending notice
     Show { folder: PathBuf },
-    /// Copy what can be read of a damaged folder into a new one, and say what is given up
+    /// Copy the readable records of a damaged folder into a new one, and report what is lost
     Salvage { folder: PathBuf, new: PathBuf },
 }
 
 fn main() -> ExitCode {
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info")).init();
-    match carry_out(Words::parse().command) {
+    match run(Cli::parse().command) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(words) => {
-            words.lines().for_each(|line| eprintln!("sailcart: {line}"));
+        Err(message) => {
+            message.lines().for_each(|line| eprintln!("sailcart: {line}"));
             ExitCode::FAILURE
         }
     }
 }
 
-fn environment(name: &str) -> Option<String> {
+fn environment_variable(name: &str) -> Option<String> {
     std::env::var(name).ok()
 }
 
-fn carry_out(command: Command) -> Result<(), String> {
-    let read = |file: File| move || config::read(file.file.clone(), &environment);
-    let said = match command {
+fn run(command: Command) -> Result<(), String> {
+    let read = |file: ConfigFile| move || config::read(file.file.clone(), &environment_variable);
+    let output = match command {
         Command::Serve(file) => {
             let read = read(file);
-            let mandate = read().map_err(|fault| fault.0)?;
-            return life::start::serve(mandate, Arc::new(read)).map_err(|fault| fault.to_string());
+            let sender_config = read().map_err(|error| error.0)?;
+            return life::start::serve(sender_config, Arc::new(read)).map_err(|error| error.to_string());
         }
-        Command::Check(file) => config::summary(&read(file)().map_err(|fault| fault.0)?),
-        Command::Config(what) => configuration(what)?,
-        Command::Store(what) => store(what)?,
+        Command::Check(file) => config::summary(&read(file)().map_err(|error| error.0)?),
+        Command::Config(subcommand) => run_config(subcommand)?,
+        Command::Store(subcommand) => run_store(subcommand)?,
         Command::Version => format!("sailcart {}", env!("CARGO_PKG_VERSION")),
         Command::Completions { shell } => {
-            clap_complete::generate(shell, &mut Words::command(), "sailcart", &mut std::io::stdout());
+            clap_complete::generate(shell, &mut Cli::command(), "sailcart", &mut std::io::stdout());
             return Ok(());
         }
         Command::Man => {
-            let page = clap_mangen::Man::new(Words::command());
-            return page.render(&mut std::io::stdout()).map_err(|fault| fault.to_string());
+            let page = clap_mangen::Man::new(Cli::command());
+            return page.render(&mut std::io::stdout()).map_err(|error| error.to_string());
         }
     };
-    println!("{}", said.trim_end());
+    println!("{}", output.trim_end());
     Ok(())
 }
 
-fn configuration(what: Configuration) -> Result<String, String> {
-    match what {
-        Configuration::Show(file) => config::in_force(file.file, &environment).map_err(|fault| fault.0),
-        Configuration::Schema => {
-            serde_json::to_string_pretty(&config::show::schema()).map_err(|e| e.to_string())
+fn run_config(command: ConfigCommand) -> Result<String, String> {
+    match command {
+        ConfigCommand::Show(file) => {
+            config::show_effective(file.file, &environment_variable).map_err(|error| error.0)
         }
-        Configuration::Example => Ok(config::show::EXAMPLE.to_owned()),
-        Configuration::Reference => Ok(config::show::reference()),
+        ConfigCommand::Schema => {
+            serde_json::to_string_pretty(&config::show::schema()).map_err(|error| error.to_string())
+        }
+        ConfigCommand::Example => Ok(config::show::EXAMPLE.to_owned()),
+        ConfigCommand::Reference => Ok(config::show::reference()),
     }
 }
 
-fn store(what: Folder) -> Result<String, String> {
-    match what {
-        Folder::Check { folder } => inspect::check(&folder),
-        Folder::Show { folder } => inspect::show(&folder),
-        Folder::Salvage { folder, new } => inspect::salvage(&folder, &new),
+fn run_store(command: StoreCommand) -> Result<String, String> {
+    match command {
+        StoreCommand::Check { folder } => inspect::check(&folder),
+        StoreCommand::Show { folder } => inspect::show(&folder),
+        StoreCommand::Salvage { folder, new } => inspect::salvage(&folder, &new),
     }
 }
--- a/crates/sailcart-sender/src/wire/call.rs
+++ b/crates/sailcart-sender/src/wire/call.rs
@@ -1,4 +1,5 @@
-//! What is spoken with endpoints: packets out, the outcome of each in.
+//! Calls to endpoints: writes the HTTP request for one or more packets, and reads the outcome of each packet
+//! from the answer.
 
 use std::time::Duration;
 
@@ -10,87 +11,98 @@
 
 use super::http::{self, Extent, Head};
 
-/// A packet's part of a call.
+/// What a call carries of one packet.
 pub struct Parcel<'a> {
     pub id: &'a str,
+    /// Sent as the idempotency key.
     pub mark: Option<&'a str>,
     pub body: &'a [u8],
 }
 
-/// How a packet's dispatch came back, and whether its answer says that nothing more is owed for the packet.
+/// The outcome of a packet's dispatch, and whether the endpoint has settled the packet, so that no further
+/// dispatch of it is needed.
 pub type Ending = (Outcome, bool);
 
-/// One packet goes by itself, several as a list.
+/// Writes the request for a call. A single packet is sent as the plain body, several as a JSON array.
+///
+/// `budget` is the time left for the call; it is sent in whole milliseconds, at least 1.
 pub fn write(host: &str, parcels: &[Parcel], budget: Duration) -> Vec<u8> {
     let budget = format!("X-Budget: {}m\r\n", budget.as_millis().max(1));
     if let [parcel] = parcels {
-        let mark = parcel.mark.map(|mark| format!("Idempotency-Key: {mark}\r\n")).unwrap_or_default();
-        let headers = format!("X-Call-Id: {}\r\n{mark}{budget}", parcel.id);
+        let idempotency_key =
+            parcel.mark.map(|key| format!("Idempotency-Key: {key}\r\n")).unwrap_or_default();
+        let headers = format!("X-Call-Id: {}\r\n{idempotency_key}{budget}", parcel.id);
         return http::post(host, "/receive", &headers, parcel.body);
     }
-    let list: Vec<Value> = parcels.iter().map(listed).collect();
+    let list: Vec<Value> = parcels.iter().map(list_entry).collect();
     http::post(host, "/receive-many", &budget, Value::Array(list).to_string().as_bytes())
 }
 
-fn listed(parcel: &Parcel) -> Value {
+fn list_entry(parcel: &Parcel) -> Value {
     let mut entry = json!({"id": parcel.id, "body": STANDARD.encode(parcel.body)});
-    if let Some(mark) = parcel.mark {
-        entry["key"] = mark.into();
+    if let Some(key) = parcel.mark {
+        entry["key"] = key.into();
     }
     entry
 }
 
-/// Whether the first line alone says that the call's one packet is delivered, whatever becomes of the rest.
+/// Whether the status line alone proves that the call's only packet was delivered. The rest of the answer may
+/// then be missing or malformed.
 pub fn settled(status: Option<u16>, packets: usize) -> bool {
     status == Some(200) && packets == 1
 }
 
-/// How each of a call's packets came back.
+/// The outcome of each of a call's packets, in the order of `ids`.
 pub fn endings(head: &Head, body: &[u8], ids: &[&str]) -> Vec<Ending> {
-    let listed = head.status == 200 && ids.len() > 1;
-    let states = if listed { states(body) } else { None };
-    let of = |id: &&str| match &states {
-        None if listed => (Outcome::Error, false),
-        None => ending(head),
+    let has_states = head.status == 200 && ids.len() > 1;
+    let states = if has_states { packet_states(body) } else { None };
+    let outcome_of = |id: &&str| match &states {
+        None if has_states => (Outcome::Error, false),
+        None => outcome_of_answer(head),
         Some(states) => {
             let state = states.iter().find(|(other, _)| other == id);
-            listed_ending(state.map(|(_, state)| state.as_str()), head.retry_after)
+            outcome_of_state(state.map(|(_, state)| state.as_str()), head.retry_after)
         }
     };
-    ids.iter().map(of).collect()
+    ids.iter().map(outcome_of).collect()
 }
 
-/// What an answer's report tells of the limit: `x0=0.4,x1=25`, with the fields that the settings name.
+/// The endpoint's limit as reported in an answer's `X-Load-Report` header, such as `x0=0.4,x1=25`. The
+/// settings name the fields.
 pub fn report(head: &Head, reports: &Reports) -> Option<Report> {
     let fields = || head.report.as_deref().unwrap_or_default().split(',').filter_map(|f| f.split_once('='));
     reports.read(|(_, name)| fields().find(|(key, _)| key.trim() == name)?.1.trim().parse().ok())
 }
 
-fn ending(head: &Head) -> Ending {
+/// The outcome that status and headers give to each packet of a call.
+fn outcome_of_answer(head: &Head) -> Ending {
     match head.status {
         200 => (Outcome::Done, true),
         429 => (Outcome::Full(head.retry_after.filter(|wait| !wait.is_zero())), false),
         503 if head.line_busy => (Outcome::NoSlot, false),
-        // One that is only busy keeps its connections, and says how long its answer is.
+        // The endpoint's connection limit is reached. An endpoint that is merely busy keeps its connections
+        // open and states the length of its answer.
         503 if head.close && head.extent != Extent::Rest => (Outcome::NoRoom, false),
         503 => (Outcome::Full(None), false),
         504 => (Outcome::Moot, false),
         410 => (Outcome::Moot, true),
-        _ => (Outcome::Error, false), // whatever is not in the protocol may have run
+        _ => (Outcome::Error, false), // not part of the protocol, so the call may have executed
     }
 }
 
-fn listed_ending(state: Option<&str>, wait: Option<Duration>) -> Ending {
+/// The outcome of one packet of a call with several, from its state in the answer's list.
+fn outcome_of_state(state: Option<&str>, wait: Option<Duration>) -> Ending {
     match state {
         Some("accepted") => (Outcome::Done, true),
         Some("deferred") => (Outcome::Full(wait.filter(|wait| !wait.is_zero())), false),
         Some("expired") => (Outcome::Moot, true),
         Some("no_more") => (Outcome::Moot, false),
-        _ => (Outcome::Error, false), // a fault, or the answer leaves the packet out
+        _ => (Outcome::Error, false), // the endpoint reports an error, or its answer leaves the packet out
     }
 }
 
-fn states(body: &[u8]) -> Option<Vec<(String, String)>> {
+/// Id and state of each packet that the answer's body lists.
+fn packet_states(body: &[u8]) -> Option<Vec<(String, String)>> {
     let list: Value = serde_json::from_slice(body).ok()?;
     let text = |entry: &Value, name: &str| entry.get(name)?.as_str().map(str::to_owned);
     list.as_array()?.iter().map(|entry| Some((text(entry, "id")?, text(entry, "state")?))).collect()
--- a/crates/sailcart-sender/src/wire/discovery.rs
+++ b/crates/sailcart-sender/src/wire/discovery.rs
@@ -1,42 +1,48 @@
-//! The destination list as discovery tells it.
+//! The destination list in discovery's format: request paths, the list as a whole, and single entries. Lists
+//! that may be large are read with [`ListReader`].
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use sailcart_terms::{Fault, member, take_number, take_text};
+use sailcart_terms::{Fault, member, read_number, read_text};
 use serde_json::Value;
 
 use super::list_reader::{ListReader, Summary};
 
-/// The rate of an entry that tells none.
-pub const NO_WEIGHT: f64 = 1.0;
+/// The rate, in calls per second, of an entry without `weight`.
+pub const DEFAULT_RATE: f64 = 1.0;
 
+/// A destination list, full or incremental.
 #[derive(Debug)]
 pub struct List {
     pub version: u64,
-    /// It replaces all that was told before.
+    /// A full snapshot, which replaces everything that was listed before. Otherwise the list is incremental.
     pub whole: bool,
     pub entries: Vec<Entry>,
 }
 
+/// One endpoint of the destination list.
 #[derive(Debug)]
 pub struct Entry {
     pub name: String,
     pub address: SocketAddr,
     pub kind: String,
     pub destination: u64,
+    /// Whether the endpoint accepts new calls.
     pub live: bool,
+    /// Calls per second that the destination takes from all senders.
     pub rate: f64,
 }
 
-/// Waits at discovery for what is newer than a version.
+/// Path of the request that waits up to `hold` for a list newer than version `from`.
 pub fn watch(from: u64, hold: Duration) -> String {
     format!("/v1/servers?from={from}&hold_ms={}", hold.as_millis())
 }
 
+/// Path of the request for the full list.
 pub const WHOLE: &str = "/v1/servers";
 
-/// Reads a list of which all bytes are at hand.
+/// Reads a list that is completely in memory. Malformed entries are skipped.
 pub fn read(body: &[u8]) -> Result<List, Fault> {
     let mut reader = ListReader::default();
     let entries = reader.push(body)?;
@@ -44,24 +50,25 @@
     Ok(List { version, whole, entries })
 }
 
-/// One entry; says what is wrong with one that cannot be read.
+/// Reads one entry of a list. The error says which member is missing or malformed.
 pub fn entry(value: &Value) -> Result<Entry, Fault> {
-    let address = take_text(member(value, "hostPort")?, "hostPort")?;
+    let address = read_text(member(value, "hostPort")?, "hostPort")?;
     Ok(Entry {
-        name: take_text(member(value, "instanceId")?, "instanceId")?.to_owned(),
-        address: address.parse().map_err(|_| format!("expected an address in hostPort, not {address}"))?,
-        kind: take_text(member(value, "machineType")?, "machineType")?.to_owned(),
-        destination: whole(value, "cell")?,
-        live: takes_calls(take_text(member(value, "lifecycle")?, "lifecycle")?),
-        rate: value.get("weight").map_or(Ok(NO_WEIGHT), |weight| take_number(weight, "weight"))?,
+        name: read_text(member(value, "instanceId")?, "instanceId")?.to_owned(),
+        address: address.parse().map_err(|_| format!("expected ADDRESS:PORT in hostPort, not {address}"))?,
+        kind: read_text(member(value, "machineType")?, "machineType")?.to_owned(),
+        destination: unsigned_member(value, "cell")?,
+        live: accepts_calls(read_text(member(value, "lifecycle")?, "lifecycle")?),
+        rate: value.get("weight").map_or(Ok(DEFAULT_RATE), |weight| read_number(weight, "weight"))?,
     })
 }
 
-/// Terminating, Gone, and whatever else is not ready for more takes none.
-pub fn takes_calls(lifecycle: &str) -> bool {
+/// Whether an endpoint in this state accepts new calls. Those that are `Terminating`, `Gone` or in any
+/// unknown state do not.
+pub fn accepts_calls(lifecycle: &str) -> bool {
     lifecycle == "Ready"
 }
 
-fn whole(value: &Value, key: &str) -> Result<u64, Fault> {
+fn unsigned_member(value: &Value, key: &str) -> Result<u64, Fault> {
     member(value, key)?.as_u64().ok_or_else(|| format!("expected a whole number in {key}").into())
 }
--- a/crates/sailcart-sender/src/wire/http.rs
+++ b/crates/sailcart-sender/src/wire/http.rs
@@ -1,4 +1,5 @@
-//! HTTP/1.1 as a caller speaks it: calls out, answers in.
+//! The client side of HTTP/1.1: writes requests, parses status lines and heads of answers. Bodies are left to
+//! the caller; [`chunked`](super::chunked) parses the framing of chunks.
 
 use std::time::Duration;
 
@@ -12,69 +13,83 @@
 
 use super::{Reading, reading};
 
-/// A head's bytes at most.
-pub const MOST_HEAD: usize = 16 * 1024;
+/// The largest head of an answer, in bytes.
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-/// How the end of a body is known.
+/// How the length of an answer's body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Extent {
+    /// By `Content-Length`, in bytes.
     Length(usize),
+    /// By the chunked transfer coding.
     Chunks,
-    /// Until the connection ends.
+    /// The body ends when the connection is closed.
     Rest,
-    /// Told in a way that cannot be read.
+    /// `Content-Length` is malformed, or occurs with different values.
     Unreadable,
 }
 
+/// The head of an answer, reduced to what the sender uses.
 #[derive(Debug, PartialEq)]
 pub struct Head {
     pub status: u16,
     pub extent: Extent,
-    /// The connection ends after this answer.
+    /// The endpoint closes the connection after this answer.
     pub close: bool,
+    /// Retry-After wait. Fractions of a second are accepted; a negative or malformed value counts as none.
     pub retry_after: Option<Duration>,
+    /// `X-Line-Busy: 1`: the endpoint had no free slot, so the call was not executed.
     pub line_busy: bool,
-    /// What it tells of the endpoint's load, as written.
+    /// The value of `X-Load-Report`.
     pub report: Option<String>,
 }
 
+/// A GET request without a body.
 pub fn get(host: &str, path: &str) -> Vec<u8> {
     format!("GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n").into_bytes()
 }
 
-/// `headers` are whole lines, each with its end.
+/// A POST request. `headers` are complete header lines, each ended by CRLF.
 pub fn post(host: &str, path: &str, headers: &str, body: &[u8]) -> Vec<u8> {
     let length = body.len();
     let head = format!("POST {path} HTTP/1.1\r\nHost: {host}\r\n{headers}Content-Length: {length}\r\n\r\n");
     [head.as_bytes(), body].concat()
 }
 
-/// The status of an answer, by its first line alone: what follows may be spoilt.
+/// Parses the status line alone, as what follows it may be malformed. Returns the status.
 pub fn status(input: &[u8]) -> Reading<u16> {
     let end = (opt(preceded(char(' '), take_till(|b| b == b'\n'))), opt(char('\r')), char('\n'));
-    let read = (start, end).map(|((_, status), _)| status).parse(input);
-    match reading(input, read, "expected an HTTP answer") {
-        Ok(None) if input.len() > MOST_HEAD => Err("too large"),
-        read => read,
+    let result = (version_and_status, end).map(|((_, status), _)| status).parse(input);
+    match reading(input, result, "expected an HTTP answer") {
+        Ok(None) if input.len() > MAX_HEAD_BYTES => Err("too large"),
+        result => result,
     }
 }
 
+/// Parses the head of an answer, up to and including the empty line.
 pub fn head(input: &[u8]) -> Reading<Head> {
-    let read = reading(input, lines(input), "expected the head of an HTTP answer");
-    match read {
-        Ok(None) if input.len() > MOST_HEAD => Err("too large"),
-        read => read,
+    let result = reading(input, head_lines(input), "expected the head of an HTTP answer");
+    match result {
+        Ok(None) if input.len() > MAX_HEAD_BYTES => Err("too large"),
+        result => result,
     }
 }
 
-fn lines(input: &[u8]) -> IResult<&[u8], Head> {
-    let (mut rest, ((minor, status), _)) = (start, terminated(text, crlf)).parse(input)?;
-    let bare = status == 204 || status == 304 || status < 200;
-    let extent = if bare { Extent::Length(0) } else { Extent::Rest };
-    let mut head =
-        Head { status, extent, close: minor == '0', retry_after: None, line_busy: false, report: None };
+fn head_lines(input: &[u8]) -> IResult<&[u8], Head> {
+    let (mut rest, ((minor_version, status), _)) =
+        (version_and_status, terminated(rest_of_line, crlf)).parse(input)?;
+    let has_no_body = status == 204 || status == 304 || status < 200;
+    let extent = if has_no_body { Extent::Length(0) } else { Extent::Rest };
+    let mut head = Head {
+        status,
+        extent,
+        close: minor_version == '0',
+        retry_after: None,
+        line_busy: false,
+        report: None,
+    };
     loop {
-        // Half an end of line may be the end of the head yet.
+        // A CR at the end of the input may be the start of the empty line, so it asks for more input.
         match crlf::<_, Error<_>>(rest) {
             Ok((rest, _)) => {
                 head.close |= head.extent == Extent::Rest;
@@ -84,44 +99,46 @@
             Err(_) => {}
         }
         let name = take_while1(|b: u8| b.is_ascii_graphic() && b != b':');
-        let (after, (name, value)) = (terminated(name, char(':')), terminated(text, crlf)).parse(rest)?;
+        let (after, (name, value)) =
+            (terminated(name, char(':')), terminated(rest_of_line, crlf)).parse(rest)?;
         let value = std::str::from_utf8(value).unwrap_or_default().trim();
-        note(&mut head, name, value, bare);
+        apply_header(&mut head, name, value, has_no_body);
         rest = after;
     }
 }
 
-/// Minor version and status.
-fn start(input: &[u8]) -> IResult<&[u8], (char, u16)> {
-    let minor = alt((char('0'), char('1')));
-    let code = take_while_m_n(3, 3, |b: u8| b.is_ascii_digit());
-    let (rest, (minor, code)) = (preceded(tag("HTTP/1."), minor), preceded(char(' '), code)).parse(input)?;
-    let status = code.iter().fold(0, |sum, digit| sum * 10 + u16::from(digit - b'0'));
-    // A longer number is no status, and neither is one below those for a moment.
+/// The digit of the minor version, and the status.
+fn version_and_status(input: &[u8]) -> IResult<&[u8], (char, u16)> {
+    let minor_version = alt((char('0'), char('1')));
+    let digits = take_while_m_n(3, 3, |b: u8| b.is_ascii_digit());
+    let (rest, (minor_version, digits)) =
+        (preceded(tag("HTTP/1."), minor_version), preceded(char(' '), digits)).parse(input)?;
+    let status = digits.iter().fold(0, |sum, digit| sum * 10 + u16::from(digit - b'0'));
+    // Rejects numbers of more than three digits, and numbers below the informational statuses (1xx).
     let (_, ()) = peek(not(satisfy(|c| c.is_ascii_graphic()))).parse(rest)?;
     if status < 100 {
         Err(nom::Err::Error(Error::new(input, ErrorKind::Verify)))
     } else {
-        Ok((rest, (minor, status)))
+        Ok((rest, (minor_version, status)))
     }
 }
 
-fn text(input: &[u8]) -> IResult<&[u8], &[u8]> {
+fn rest_of_line(input: &[u8]) -> IResult<&[u8], &[u8]> {
     take_till(|b| b == b'\r' || b == b'\n')(input)
 }
 
-fn note(head: &mut Head, name: &[u8], value: &str, bare: bool) {
+fn apply_header(head: &mut Head, name: &[u8], value: &str, has_no_body: bool) {
     let is = |other: &str| name.eq_ignore_ascii_case(other.as_bytes());
-    if is("Content-Length") && !bare && head.extent != Extent::Chunks {
+    if is("Content-Length") && !has_no_body && head.extent != Extent::Chunks {
         let length = Some(value).filter(|value| value.bytes().all(|b| b.is_ascii_digit()));
         let length = length.and_then(|value| value.parse().ok());
-        // Two that differ are as good as none.
-        let same = |length: &usize| [Extent::Rest, Extent::Length(*length)].contains(&head.extent);
-        head.extent = length.filter(same).map_or(Extent::Unreadable, Extent::Length);
-    } else if is("Transfer-Encoding") && !bare && value.to_ascii_lowercase().ends_with("chunked") {
+        // Two lengths that differ count as no length (RFC 9112, section 6.3).
+        let consistent = |length: &usize| [Extent::Rest, Extent::Length(*length)].contains(&head.extent);
+        head.extent = length.filter(consistent).map_or(Extent::Unreadable, Extent::Length);
+    } else if is("Transfer-Encoding") && !has_no_body && value.to_ascii_lowercase().ends_with("chunked") {
         head.extent = Extent::Chunks;
     } else if is("Connection") {
-        head.close |= value.split(',').any(|word| word.trim().eq_ignore_ascii_case("close"));
+        head.close |= value.split(',').any(|option| option.trim().eq_ignore_ascii_case("close"));
     } else if is("Retry-After") {
         let seconds = value.parse().ok();
         head.retry_after = seconds.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
--- a/crates/sailcart-sender/src/wire/list_reader.rs
+++ b/crates/sailcart-sender/src/wire/list_reader.rs
@@ -1,5 +1,5 @@
-//! The destination list read as a stream: bytes in any pieces go in, entries come out as soon as they are whole. Its memory
-//! is bounded by [`MOST_ENTRY`], whatever comes.
+//! A streaming reader of the destination list: bytes go in, in pieces of any size, and each entry comes out
+//! as soon as it is complete. Its memory use is bounded by [`MOST_ENTRY`], whatever the input.
 
 use std::borrow::Cow;
 
@@ -8,28 +8,29 @@
 use serde_json::Value;
 
 use super::discovery::{self, Entry};
-use super::json::{Event, NotJson, Scanner, Utf8};
+use super::json::{Event, JsonError, Scanner, Utf8Checker};
 
-/// An entry's bytes at most, as written. One that has more is passed over.
+/// The largest entry, in bytes as written. A larger one is skipped.
 pub const MOST_ENTRY: usize = 4096;
-/// Bytes of the names and single values of the list's own object that are looked at. What has more is none of ours.
-const MOST_WORD: usize = 64;
-/// Lines of the log for what was passed over in one list; the rest is counted.
-const MOST_LINES: usize = 3;
+/// The largest member name or scalar value of the list's top-level object that is read, in bytes. Anything
+/// longer is not part of the format.
+const MAX_SCALAR_BYTES: usize = 64;
+/// The most skipped entries of one list that are logged individually; the rest is only counted.
+const MAX_WARNINGS: usize = 3;
 
-/// What a list tells beside its entries.
+/// The properties of a list apart from its entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Summary {
     pub version: u64,
-    /// It replaces all that was told before.
+    /// A full snapshot, which replaces everything that was listed before. Otherwise the list is incremental.
     pub whole: bool,
-    /// Entries that were read.
+    /// Number of entries that were read.
     pub read: usize,
-    /// Entries that could not be read, or were too large.
+    /// Number of entries that were skipped as malformed or too large.
     pub passed_over: usize,
 }
 
-/// The members of the list's own object.
+/// The members of the list's top-level object.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Member {
     Generation,
@@ -38,194 +39,204 @@
     Unknown,
 }
 
-/// What the bytes at hand are kept for.
+/// The part of the document whose bytes are being captured.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Part {
-    Nothing,
+enum Capture {
+    None,
     /// The name of a member.
     Name,
     /// The value of `generation` or `reset`.
-    Word,
+    Scalar,
     Entry,
 }
 
-/// A list as far as it has come. After a fault it is of no more use.
+/// Reads one list. It must not be used again after an error.
 pub struct ListReader {
     scanner: Scanner,
-    text: Utf8,
-    part: Part,
-    /// The part's bytes so far, of which there may be [`MOST_ENTRY`].
-    kept: Vec<u8>,
-    /// The part has more bytes than are kept.
+    utf8: Utf8Checker,
+    capture: Capture,
+    /// The bytes captured so far, at most [`MOST_ENTRY`].
+    captured: Vec<u8>,
+    /// The captured part exceeds its limit, so `captured` is incomplete.
     too_large: bool,
     member: Member,
     version: Option<u64>,
-    whole: Option<bool>,
-    /// The member `instances` came.
-    listed: bool,
+    full: Option<bool>,
+    /// The member `instances` has occurred.
+    instances_seen: bool,
     read: usize,
-    passed_over: usize,
-    /// Lines of the log for what is passed over, at most.
-    most_lines: usize,
+    skipped: usize,
+    /// The most skipped entries that are logged individually.
+    max_warnings: usize,
 }
 
 impl Default for ListReader {
     fn default() -> Self {
         ListReader {
             scanner: Scanner::default(),
-            text: Utf8::default(),
-            part: Part::Nothing,
-            kept: Vec::new(),
+            utf8: Utf8Checker::default(),
+            capture: Capture::None,
+            captured: Vec::new(),
             too_large: false,
             member: Member::Unknown,
             version: None,
-            whole: None,
-            listed: false,
+            full: None,
+            instances_seen: false,
             read: 0,
-            passed_over: 0,
-            most_lines: MOST_LINES,
+            skipped: 0,
+            max_warnings: MAX_WARNINGS,
         }
     }
 }
 
 impl ListReader {
-    /// One that logs nothing of what it passes over, as for a list that is read once more.
-    pub fn quiet() -> Self {
-        ListReader { most_lines: 0, ..ListReader::default() }
+    /// A reader that logs no skipped entries, for a list that has been read before.
+    pub fn without_warnings() -> Self {
+        ListReader { max_warnings: 0, ..ListReader::default() }
     }
 
-    /// Takes the next bytes; tells the entries that came whole with them.
+    /// Reads the next bytes and returns the entries that are complete with them. Fails if the list is
+    /// malformed; malformed entries are skipped.
     pub fn push(&mut self, mut piece: &[u8]) -> Result<Vec<Entry>, Fault> {
-        self.text.check(piece)?;
+        self.utf8.check(piece)?;
         let mut entries = Vec::new();
         while !piece.is_empty() {
             let step = self.scanner.scan(piece)?;
-            let (taken, rest) = piece.split_at(step.used);
-            self.keep(taken);
+            let (consumed, rest) = piece.split_at(step.consumed);
+            self.capture_bytes(consumed);
             piece = rest;
             match step.event {
-                Some(Event::ValueEnds { depth: 2 }) if self.part == Part::Entry => {
-                    entries.extend(self.entry_ends());
+                Some(Event::ValueEnds { depth: 2 }) if self.capture == Capture::Entry => {
+                    entries.extend(self.end_entry());
                 }
-                Some(event) => self.meet(event)?,
+                Some(event) => self.handle_event(event)?,
                 None => {}
             }
         }
         Ok(entries)
     }
 
-    /// The body has ended: a list that is not whole by now is none.
+    /// Ends the list and returns its properties. Fails if the document is incomplete or lacks a member.
     pub fn finish(self) -> Result<Summary, Fault> {
-        if !self.scanner.is_over() {
+        if !self.scanner.is_complete() {
             return Err("expected JSON: it ends too early".into());
         }
-        if self.most_lines > 0 && self.passed_over > self.most_lines {
-            log::warn!("discovery: code=entry {} entries passed over", self.passed_over);
+        if self.max_warnings > 0 && self.skipped > self.max_warnings {
+            log::warn!("discovery: code=entry {} entries passed over", self.skipped);
         }
-        if !self.listed {
+        if !self.instances_seen {
             return Err("expected instances".into());
         }
         Ok(Summary {
             version: self.version.ok_or("expected generation")?,
-            whole: self.whole.ok_or("expected reset")?,
+            whole: self.full.ok_or("expected reset")?,
             read: self.read,
-            passed_over: self.passed_over,
+            passed_over: self.skipped,
         })
     }
 
-    fn meet(&mut self, event: Event) -> Result<(), Fault> {
+    fn handle_event(&mut self, event: Event) -> Result<(), Fault> {
         match (event, self.member) {
             (Event::ValueBegins { depth: 0, first }, _) if first != b'{' => {
                 return Err("expected an object".into());
             }
-            (Event::NameBegins { depth: 1 }, _) => self.begin(Part::Name, b'"'),
-            (Event::NameEnds { depth: 1 }, _) => self.name_ends()?,
+            (Event::NameBegins { depth: 1 }, _) => self.begin_capture(Capture::Name, b'"'),
+            (Event::NameEnds { depth: 1 }, _) => self.end_name()?,
             (Event::ValueBegins { depth: 1, first }, Member::Instances) if first != b'[' => {
                 return Err("expected an array in instances".into());
             }
             (Event::ValueBegins { depth: 1, first }, Member::Generation | Member::Reset) => {
-                self.begin(Part::Word, first);
+                self.begin_capture(Capture::Scalar, first);
+            }
+            (Event::ValueEnds { depth: 1 }, _) if self.capture == Capture::Scalar => self.end_scalar()?,
+            (Event::ValueBegins { depth: 2, first }, Member::Instances) => {
+                self.begin_capture(Capture::Entry, first)
             }
-            (Event::ValueEnds { depth: 1 }, _) if self.part == Part::Word => self.word_ends()?,
-            (Event::ValueBegins { depth: 2, first }, Member::Instances) => self.begin(Part::Entry, first),
             _ => {}
         }
         Ok(())
     }
 
-    fn begin(&mut self, part: Part, first: u8) {
-        self.part = part;
+    fn begin_capture(&mut self, capture: Capture, first: u8) {
+        self.capture = capture;
         self.too_large = false;
-        self.kept.clear();
-        self.kept.push(first);
+        self.captured.clear();
+        self.captured.push(first);
     }
 
-    fn keep(&mut self, bytes: &[u8]) {
-        let most = match self.part {
-            Part::Nothing => return,
-            Part::Name | Part::Word => MOST_WORD,
-            Part::Entry => MOST_ENTRY,
+    fn capture_bytes(&mut self, bytes: &[u8]) {
+        let max_bytes = match self.capture {
+            Capture::None => return,
+            Capture::Name | Capture::Scalar => MAX_SCALAR_BYTES,
+            Capture::Entry => MOST_ENTRY,
         };
-        self.too_large |= self.kept.len() + bytes.len() > most;
+        self.too_large |= self.captured.len() + bytes.len() > max_bytes;
         if !self.too_large {
-            self.kept.extend_from_slice(bytes);
+            self.captured.extend_from_slice(bytes);
         }
     }
 
-    /// The bytes of the part that has just ended.
-    fn end(&mut self) -> Option<&[u8]> {
-        self.part = Part::Nothing;
-        (!self.too_large).then_some(&self.kept)
+    /// Ends the capture and returns its bytes, unless they exceed the limit.
+    fn end_capture(&mut self) -> Option<&[u8]> {
+        self.capture = Capture::None;
+        (!self.too_large).then_some(&self.captured)
     }
 
-    fn name_ends(&mut self) -> Result<(), Fault> {
-        let name = self.end().and_then(|name| serde_json::from_slice::<Cow<str>>(name).ok());
-        let (member, came) = match name.as_deref() {
+    fn end_name(&mut self) -> Result<(), Fault> {
+        let name = self.end_capture().and_then(|name| serde_json::from_slice::<Cow<str>>(name).ok());
+        let (member, seen_before) = match name.as_deref() {
             Some("generation") => (Member::Generation, self.version.is_some()),
-            Some("reset") => (Member::Reset, self.whole.is_some()),
-            Some("instances") => (Member::Instances, std::mem::replace(&mut self.listed, true)),
+            Some("reset") => (Member::Reset, self.full.is_some()),
+            Some("instances") => (Member::Instances, std::mem::replace(&mut self.instances_seen, true)),
             _ => (Member::Unknown, false),
         };
         self.member = member;
-        // Entries were handed on by then: the last of two cannot take the place of the first.
-        if came { Err("expected generation, reset and instances once each".into()) } else { Ok(()) }
+        // The entries of the first `instances` have been returned by now, so a second one cannot replace
+        // them.
+        if seen_before { Err("expected generation, reset and instances once each".into()) } else { Ok(()) }
     }
 
-    fn word_ends(&mut self) -> Result<(), Fault> {
+    fn end_scalar(&mut self) -> Result<(), Fault> {
         let member = self.member;
-        let word = self.end().and_then(|word| serde_json::from_slice::<Value>(word).ok()).unwrap_or_default();
+        let value = self
+            .end_capture()
+            .and_then(|bytes| serde_json::from_slice::<Value>(bytes).ok())
+            .unwrap_or_default();
         if member == Member::Generation {
-            self.version = Some(word.as_u64().ok_or("expected a whole number in generation")?);
+            self.version = Some(value.as_u64().ok_or("expected a whole number in generation")?);
         } else {
-            self.whole = Some(word.as_bool().ok_or("expected true or false in reset")?);
+            self.full = Some(value.as_bool().ok_or("expected true or false in reset")?);
         }
         Ok(())
     }
 
-    /// An entry that cannot be read must not hide what the others tell.
-    fn entry_ends(&mut self) -> Option<Entry> {
-        let first_lines = self.passed_over < self.most_lines;
-        let entry = match self.end() {
-            Some(bytes) => read_entry(bytes, first_lines),
+    /// Returns the entry, or skips it if it is malformed or too large, so that it does not invalidate the
+    /// others.
+    fn end_entry(&mut self) -> Option<Entry> {
+        let log_if_skipped = self.skipped < self.max_warnings;
+        let entry = match self.end_capture() {
+            Some(bytes) => read_entry(bytes, log_if_skipped),
             None => {
-                if first_lines {
-                    log::warn!("discovery: code=entry_too_large an entry has over {MOST_ENTRY} bytes");
+                if log_if_skipped {
+                    log::warn!(
+                        "discovery: code=entry_too_large skipped an entry of more than {MOST_ENTRY} bytes"
+                    );
                 }
                 None
             }
         };
         match entry {
             Some(_) => self.read += 1,
-            None => self.passed_over += 1,
+            None => self.skipped += 1,
         }
         entry
     }
 }
 
-/// An entry as nearly all are written.
+/// An entry in the form that nearly all entries have.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Line<'a> {
+struct TypicalEntry<'a> {
     #[serde(borrow)]
     instance_id: Cow<'a, str>,
     #[serde(borrow)]
@@ -235,45 +246,46 @@
     cell: u64,
     #[serde(borrow)]
     lifecycle: Cow<'a, str>,
-    #[serde(default = "no_weight")]
+    #[serde(default = "default_rate")]
     weight: f64,
 }
 
-fn no_weight() -> f64 {
-    discovery::NO_WEIGHT
+fn default_rate() -> f64 {
+    discovery::DEFAULT_RATE
 }
 
-/// The ordinary entry is read without a value for each of its members. What is left is read again with care: it may be unusual
-/// and good, and else the log tells what is wrong with it.
-fn read_entry(bytes: &[u8], logged: bool) -> Option<Entry> {
-    if let Some(entry) = serde_json::from_slice(bytes).ok().and_then(ordinary) {
+/// Reads a typical entry directly, without building a JSON value for each member. Any other entry is read a
+/// second time through a JSON value: it may be unusual but valid, and otherwise the log says what is wrong
+/// with it.
+fn read_entry(bytes: &[u8], log_errors: bool) -> Option<Entry> {
+    if let Some(entry) = serde_json::from_slice(bytes).ok().and_then(from_typical) {
         return Some(entry);
     }
-    // Some escapes and numbers are JSON by its grammar, and yet no value.
+    // Some escapes and numbers satisfy the grammar of JSON, but serde_json cannot represent them.
     let value = serde_json::from_slice(bytes).unwrap_or(Value::Null);
-    let told = |fault: &Fault| log::warn!("discovery: code=entry {}: {value}", fault.0);
+    let warn = |error: &Fault| log::warn!("discovery: code=entry {}: {value}", error.0);
     discovery::entry(&value)
-        .inspect_err(|fault| {
-            if logged {
-                told(fault)
+        .inspect_err(|error| {
+            if log_errors {
+                warn(error)
             }
         })
         .ok()
 }
 
-fn ordinary(line: Line) -> Option<Entry> {
+fn from_typical(entry: TypicalEntry) -> Option<Entry> {
     Some(Entry {
-        address: line.host_port.parse().ok()?,
-        name: line.instance_id.into_owned(),
-        kind: line.machine_type.into_owned(),
-        destination: line.cell,
-        live: discovery::takes_calls(&line.lifecycle),
-        rate: line.weight,
+        address: entry.host_port.parse().ok()?,
+        name: entry.instance_id.into_owned(),
+        kind: entry.machine_type.into_owned(),
+        destination: entry.cell,
+        live: discovery::accepts_calls(&entry.lifecycle),
+        rate: entry.weight,
     })
 }
 
-impl From<NotJson> for Fault {
-    fn from(fault: NotJson) -> Self {
-        format!("expected JSON: {}", fault.0).into()
+impl From<JsonError> for Fault {
+    fn from(error: JsonError) -> Self {
+        format!("expected JSON: {}", error.0).into()
     }
 }
--- a/crates/sailcart-sender/src/wire/mod.rs
+++ b/crates/sailcart-sender/src/wire/mod.rs
@@ -1,4 +1,8 @@
-//! What is spoken on the wire: bytes read into values, values written as bytes. No sockets, no state.
+//! Readers and writers of the formats that the sender speaks: RESP2 with clients, HTTP/1.1 with endpoints and
+//! the platform, and the JSON bodies of those calls.
+//!
+//! This module turns bytes into values and values into bytes. It opens no sockets and knows nothing of
+//! packets in progress.
 
 pub mod call;
 pub mod chunked;
@@ -11,42 +15,50 @@
 
 use std::time::Duration;
 
-/// The largest body that any party may send.
+/// The largest body, in bytes, that is sent or accepted. Destination lists have a limit of their own.
 pub const MOST_BODY: usize = 64 * 1024;
 
-/// What a client hands in, whatever it speaks, as slices of the buffer it was read into.
+/// A packet as submitted by a client, independent of the client protocol. All slices borrow from the read
+/// buffer.
 #[derive(Debug, PartialEq)]
 pub struct Put<'a> {
     pub id: &'a str,
     pub category: &'a str,
     pub customer: Option<&'a str>,
+    /// How long the client waits for the packet's completion.
     pub patience: Duration,
+    /// Idempotency key, passed on to the endpoint.
     pub mark: Option<&'a str>,
     pub destination: u64,
+    /// Ordering key: in a category with ordered delivery, packets with the same key are delivered in order.
     pub about: Option<&'a str>,
     pub body: &'a [u8],
 }
 
-/// How a reader found its input: `Ok(None)` wants more bytes, `Ok(Some)` tells what was read and how many bytes
-/// it took, `Err` says in plain words what is wrong.
+/// Result of parsing the start of a buffer.
+///
+/// `Ok(None)`: the input is incomplete. `Ok(Some((value, length)))`: a value was read from the first `length`
+/// bytes. `Err`: the input is malformed; the text says why.
 pub type Reading<T> = Result<Option<(T, usize)>, &'static str>;
 
-fn reading<T>(input: &[u8], result: nom::IResult<&[u8], T>, fault: &'static str) -> Reading<T> {
+fn reading<T>(input: &[u8], result: nom::IResult<&[u8], T>, error: &'static str) -> Reading<T> {
     match result {
         Ok((rest, value)) => Ok(Some((value, input.len() - rest.len()))),
         Err(nom::Err::Incomplete(_)) => Ok(None),
         Err(nom::Err::Failure(_)) => Err("too large"),
-        Err(nom::Err::Error(_)) => Err(fault),
+        Err(nom::Err::Error(_)) => Err(error),
     }
 }
 
+/// Fails a parser with the error that [`reading`] reports as "too large".
 fn too_large<T>(input: &[u8]) -> nom::IResult<&[u8], T> {
     Err(nom::Err::Failure(nom::error::Error::new(input, nom::error::ErrorKind::TooLarge)))
 }
 
-/// Fit to stand in a header or a JSON string as it is.
-fn plain(word: &[u8]) -> Option<&str> {
-    let fit = |b: &u8| b.is_ascii_graphic() && !matches!(b, b'"' | b'\\');
-    let short = !word.is_empty() && word.len() <= 128;
-    std::str::from_utf8(word).ok().filter(|word| short && word.as_bytes().iter().all(fit))
+/// The text, if it can be put into a header or a JSON string without escaping: 1 to 128 printable ASCII
+/// characters, no quotes, backslashes or spaces.
+fn unescaped_text(text: &[u8]) -> Option<&str> {
+    let is_allowed = |b: &u8| b.is_ascii_graphic() && !matches!(b, b'"' | b'\\');
+    let length_ok = !text.is_empty() && text.len() <= 128;
+    std::str::from_utf8(text).ok().filter(|text| length_ok && text.as_bytes().iter().all(is_allowed))
 }
--- a/crates/sailcart-sender/src/wire/resp.rs
+++ b/crates/sailcart-sender/src/wire/resp.rs
@@ -1,4 +1,4 @@
-//! RESP2 as clients speak it: commands in, answers out.
+//! The server side of RESP2: parses the commands of clients and writes replies.
 
 use std::time::Duration;
 
@@ -7,80 +7,93 @@
 use nom::sequence::{delimited, terminated};
 use nom::{IResult, Parser};
 
-use super::{MOST_BODY, Put, Reading, plain, reading, too_large};
+use super::{MOST_BODY, Put, Reading, reading, too_large, unescaped_text};
 
-const MOST_WORDS: usize = 8;
-/// No packet is owed for longer than a day.
-const LONGEST: Duration = Duration::from_secs(24 * 3600);
-/// A command's bytes at most, with room for the words before its body.
+/// The most arguments that a command may have, its name included.
+const MAX_ARGUMENTS: usize = 8;
+/// The longest patience that a client may ask for; a longer one is rejected.
+const MAX_PATIENCE: Duration = Duration::from_secs(24 * 3600);
+/// The largest command, in bytes: a body of [`MOST_BODY`] and the arguments before it.
 pub const MOST_COMMAND: usize = MOST_BODY + 4096;
 
+/// A complete command of a client.
 #[derive(Debug, PartialEq)]
 pub enum Command<'a> {
+    /// PING, with the argument to echo if there is one.
     Ping(Option<&'a [u8]>),
+    /// MSG.PUT: the submission of a packet.
     Put(Put<'a>),
-    /// Read whole, but malformed.
+    /// A complete command with malformed arguments; the text says what is wrong.
     Faulty(&'static str),
-    /// Well formed, and not known here; client libraries say some to any server.
+    /// A well-formed command that this server does not implement. Client libraries send some of these to
+    /// every server.
     Unknown,
 }
 
+/// Parses one command: a RESP array of bulk strings.
 pub fn command(input: &[u8]) -> Reading<Command<'_>> {
-    reading(input, words(input), "expected an array of bulk strings")
-        .map(|read| read.map(|(words, used)| (understand(&words), used)))
+    reading(input, arguments(input), "expected an array of bulk strings")
+        .map(|read| read.map(|(arguments, used)| (parse_command(&arguments), used)))
 }
 
-fn words(input: &[u8]) -> IResult<&[u8], Vec<&[u8]>> {
-    let (mut rest, count) = length(input, '*')?;
-    if count > MOST_WORDS {
+fn arguments(input: &[u8]) -> IResult<&[u8], Vec<&[u8]>> {
+    let (mut rest, count) = length_line(input, '*')?;
+    if count > MAX_ARGUMENTS {
         return too_large(input);
     }
-    let mut words = Vec::with_capacity(count);
+    let mut arguments = Vec::with_capacity(count);
     for _ in 0..count {
-        let (after, size) = length(rest, '$')?;
+        let (after, size) = length_line(rest, '$')?;
         if size > MOST_BODY {
             return too_large(rest);
         }
-        let (after, word) = terminated(take(size), crlf).parse(after)?;
-        words.push(word);
+        let (after, argument) = terminated(take(size), crlf).parse(after)?;
+        arguments.push(argument);
         rest = after;
     }
-    Ok((rest, words))
+    Ok((rest, arguments))
 }
 
-fn length(input: &[u8], mark: char) -> IResult<&[u8], usize> {
+/// Parses a line of a type character and a decimal length.
+fn length_line(input: &[u8], type_char: char) -> IResult<&[u8], usize> {
     let digits = take_while_m_n(1, 9, |b: u8| b.is_ascii_digit());
-    let (rest, digits): (_, &[u8]) = delimited(char(mark), digits, crlf).parse(input)?;
+    let (rest, digits): (_, &[u8]) = delimited(char(type_char), digits, crlf).parse(input)?;
     Ok((rest, digits.iter().fold(0, |sum, digit| sum * 10 + usize::from(digit - b'0'))))
 }
 
-fn understand<'a>(words: &[&'a [u8]]) -> Command<'a> {
-    match words {
+fn parse_command<'a>(arguments: &[&'a [u8]]) -> Command<'a> {
+    match arguments {
         [name] if name.eq_ignore_ascii_case(b"PING") => Command::Ping(None),
         [name, echo] if name.eq_ignore_ascii_case(b"PING") => Command::Ping(Some(echo)),
-        [name, about, id, fields, body] if name.eq_ignore_ascii_case(b"MSG.PUT") => {
-            put(about, id, fields, body).map_or_else(Command::Faulty, Command::Put)
+        [name, key, id, fields, body] if name.eq_ignore_ascii_case(b"MSG.PUT") => {
+            parse_put(key, id, fields, body).map_or_else(Command::Faulty, Command::Put)
         }
         [name, ..] if name.eq_ignore_ascii_case(b"MSG.PUT") => Command::Faulty("wrong number of arguments"),
         _ => Command::Unknown,
     }
 }
 
-fn put<'a>(about: &'a [u8], id: &'a [u8], fields: &'a [u8], body: &'a [u8]) -> Result<Put<'a>, &'static str> {
-    let about = plain(about).ok_or("bad key")?;
-    let id = plain(id).ok_or("bad id")?;
+/// The arguments of MSG.PUT. `fields` is a list of `name=value`, separated by commas.
+fn parse_put<'a>(
+    key: &'a [u8],
+    id: &'a [u8],
+    fields: &'a [u8],
+    body: &'a [u8],
+) -> Result<Put<'a>, &'static str> {
+    let key = unescaped_text(key).ok_or("bad key")?;
+    let id = unescaped_text(id).ok_or("bad id")?;
     let (mut category, mut customer, mut patience) = (None, None, None);
-    let (mut mark, mut destination) = (None, None);
+    let (mut idempotency_key, mut destination) = (None, None);
     for field in fields.split(|b| *b == b',') {
-        let field = plain(field).ok_or("bad list of names and values")?;
+        let field = unescaped_text(field).ok_or("bad list of names and values")?;
         let (name, value) = field.split_once('=').ok_or("bad list of names and values")?;
         match name {
             "c" => category = Some(value),
             "t" => customer = Some(value),
-            "d" => patience = value.parse().ok().and_then(span),
-            "k" => mark = Some(value),
+            "d" => patience = value.parse().ok().and_then(patience_from_ms),
+            "k" => idempotency_key = Some(value),
             "dest" => destination = value.parse().ok(),
-            _ => {} // r, again, and what a later protocol may add
+            _ => {} // `r`, which marks a resubmission, and fields of later protocol versions
         }
     }
     Ok(Put {
@@ -88,25 +101,28 @@
         category: category.ok_or("expected c")?,
         customer,
         patience: patience.ok_or("expected d, in milliseconds")?,
-        mark,
+        mark: idempotency_key,
         destination: destination.ok_or("expected dest, a number")?,
-        // What packets in order are about; zeros where there is none.
-        about: Some(about).filter(|about| about.bytes().any(|digit| digit != b'0')),
+        // A key of zeros means that the packet has no ordering key.
+        about: Some(key).filter(|key| key.bytes().any(|digit| digit != b'0')),
         body,
     })
 }
 
-fn span(ms: f64) -> Option<Duration> {
-    Duration::try_from_secs_f64(ms / 1000.0).ok().filter(|span| *span <= LONGEST)
+fn patience_from_ms(ms: f64) -> Option<Duration> {
+    Duration::try_from_secs_f64(ms / 1000.0).ok().filter(|patience| *patience <= MAX_PATIENCE)
 }
 
+/// The reply to an accepted packet.
 pub const TAKEN: &[u8] = b"+OK\r\n";
 
+/// The reply to PING.
 pub fn pong(echo: Option<&[u8]>) -> Vec<u8> {
     let Some(echo) = echo else { return b"+PONG\r\n".to_vec() };
     [format!("${}\r\n", echo.len()).as_bytes(), echo, b"\r\n"].concat()
 }
 
+/// The reply to a dismissed packet, with the requested wait before it is submitted again, in milliseconds.
 pub fn busy(retry_after: Option<Duration>) -> Vec<u8> {
     match retry_after.map(|wait| wait.as_millis()) {
         Some(ms @ 1..) => format!("-BUSY {ms}\r\n").into_bytes(),
@@ -114,6 +130,7 @@
     }
 }
 
-pub fn error(words: &str) -> Vec<u8> {
-    format!("-ERR {words}\r\n").into_bytes()
+/// An error reply. `message` must not contain a line end.
+pub fn error(message: &str) -> Vec<u8> {
+    format!("-ERR {message}\r\n").into_bytes()
 }
--- a/crates/sailcart-terms/src/lib.rs
+++ b/crates/sailcart-terms/src/lib.rs
@@ -1,4 +1,7 @@
-//! The settings of a sender, read into [`Terms`], the wire's names and what only the carrier needs.
+//! Reads the settings of a deployment, which the platform provides as JSON.
+//!
+//! [`read`] returns the [`Terms`] that decisions depend on, and the [`Names`] that translate between the wire
+//! and the positions used in `Terms`. [`read_host_settings`] returns what only the host needs.
 
 mod value;
 
@@ -8,189 +11,201 @@
 use sailcart::{Category, Customer, Kind, Late, Repeat, Report, Return, Terms};
 use serde_json::Value;
 
-pub use value::{Fault, member, span, take_number, take_text};
+pub use value::{Fault, member, read_milliseconds, read_number, read_text};
 
-/// The wire's names for what the sender knows by position.
+/// Maps the names used on the wire to positions in [`Terms`].
 pub struct Names {
     pub categories: HashMap<String, usize>,
     pub customers: HashMap<String, usize>,
     pub kinds: HashMap<String, usize>,
-    /// Where answers tell of limits.
+    /// The fields of load reports that contain an upstream's limit; `None` if answers report no limits.
     pub reports: Option<Reports>,
 }
 
-/// Where in a report, and under which name, a lane's limit stands.
+/// The position and name of the fields of a load report that contain an upstream's limit.
 pub struct Reports {
+    /// The share of the limit that is left.
     pub left: (usize, String),
+    /// The limit in calls per second.
     pub limit: (usize, String),
 }
 
 impl Reports {
-    /// From the values of a report. One that cannot be read is none, and neither is one of no limit.
+    /// Builds a report from its fields, which `value` looks up by position and name. Returns `None` if a
+    /// field is missing, the share is outside of 0 to 1, or the limit is not a positive finite number.
     pub fn read(&self, value: impl Fn(&(usize, String)) -> Option<f64>) -> Option<Report> {
         let report = Report { left: value(&self.left)?, limit: value(&self.limit)? };
-        let sane = (0.0..=1.0).contains(&report.left) && report.limit.is_finite() && report.limit > 0.0;
-        sane.then_some(report)
+        let valid = (0.0..=1.0).contains(&report.left) && report.limit.is_finite() && report.limit > 0.0;
+        valid.then_some(report)
     }
 }
 
-/// What the carrier keeps to, and no decision needs.
-pub struct Carriage {
-    /// The least time from one round to the next.
+/// Settings that concern only the host and influence no decision.
+pub struct HostSettings {
+    /// The minimum time from one round to the next.
     pub round: Duration,
-    /// Endpoints close a connection at the latest once it has stood idle for this long.
+    /// Endpoints close a connection that has been idle for this long, or earlier.
     pub idle_close: Duration,
 }
 
-/// The carrier's part of the settings; a simulator plays it itself.
-pub fn read_carriage(env: &Value) -> Result<Carriage, Fault> {
-    Ok(Carriage { round: ms(env, "period_ms")?, idle_close: ms(member(env, "bounds")?, "idle_close_ms")? })
+/// Reads the settings of the host. A simulator is its own host and doesn't need them.
+pub fn read_host_settings(settings: &Value) -> Result<HostSettings, Fault> {
+    Ok(HostSettings {
+        round: milliseconds_in(settings, "period_ms")?,
+        idle_close: milliseconds_in(member(settings, "bounds")?, "idle_close_ms")?,
+    })
 }
 
-pub fn read(env: &Value) -> Result<(Terms, Names), Fault> {
-    let bounds = member(env, "bounds")?;
-    let domain = member(env, "domain")?;
-    let rules = member(env, "rules")?;
-    let lanes = list(env, "lanes")?;
-    let customers = match env.get("customers") {
+/// Reads the settings that decisions depend on. Unknown keys are ignored. The error names the key that is
+/// missing or malformed.
+pub fn read(settings: &Value) -> Result<(Terms, Names), Fault> {
+    let bounds = member(settings, "bounds")?;
+    let domain = member(settings, "domain")?;
+    let rules = member(settings, "rules")?;
+    let categories = list_in(settings, "lanes")?;
+    let customers = match settings.get("customers") {
         None | Some(Value::Null) => &[],
-        Some(_) => list(env, "customers")?,
+        Some(_) => list_in(settings, "customers")?,
     };
-    let kinds = texts(list(env, "kinds")?, "kinds")?;
+    let kinds = read_texts(list_in(settings, "kinds")?, "kinds")?;
     let names = Names {
-        categories: positions(named(lanes)?),
-        customers: positions(named(customers)?),
-        kinds: positions(kinds.clone()),
-        reports: reports(env)?,
+        categories: index_by_name(entry_names(categories)?),
+        customers: index_by_name(entry_names(customers)?),
+        kinds: index_by_name(kinds.clone()),
+        reports: report_fields(settings)?,
     };
-    let retry_after = match truth(bounds, "retry_after")? {
-        true => Some(ms(bounds, "max_retry_after_ms")?),
+    let retry_after = match bool_in(bounds, "retry_after")? {
+        true => Some(milliseconds_in(bounds, "max_retry_after_ms")?),
         false => None,
     };
     let terms = Terms {
-        senders: some(whole(env, "balancers")?, "balancers")?,
-        slots: some(whole(domain, "call_slots")?, "call_slots")?,
-        hold: whole(bounds, "max_open")?,
-        dispatches: u32::try_from(whole(bounds, "send_cap")?).unwrap_or(u32::MAX),
-        cancel: truth(bounds, "cancel")?,
-        connect_time_out: ms(bounds, "connect_timeout_ms")?,
+        senders: positive(count_in(settings, "balancers")?, "balancers")?,
+        slots: positive(count_in(domain, "call_slots")?, "call_slots")?,
+        hold: count_in(bounds, "max_open")?,
+        dispatches: u32::try_from(count_in(bounds, "send_cap")?).unwrap_or(u32::MAX),
+        cancel: bool_in(bounds, "cancel")?,
+        connect_time_out: milliseconds_in(bounds, "connect_timeout_ms")?,
         retry_after,
         settle: match rules.get("settle_after_doubt_ms") {
             None | Some(Value::Null) => Duration::ZERO,
-            Some(_) => ms(rules, "settle_after_doubt_ms")?,
+            Some(_) => milliseconds_in(rules, "settle_after_doubt_ms")?,
         },
-        categories: lanes.iter().map(category).collect::<Result<_, _>>()?,
+        categories: categories.iter().map(read_category).collect::<Result<_, _>>()?,
         customers: customers
             .iter()
-            .map(|c| Ok(Customer { quota: number(c, "quota_per_s")? }))
+            .map(|c| Ok(Customer { quota: number_in(c, "quota_per_s")? }))
             .collect::<Result<_, Fault>>()?,
-        over_share: match env.get("over_share_worth") {
+        over_share: match settings.get("over_share_worth") {
             None | Some(Value::Null) => 1.0,
-            Some(_) => number(env, "over_share_worth")?,
+            Some(_) => number_in(settings, "over_share_worth")?,
         },
-        kinds: (0..kinds.len()).map(|i| kind(domain, i)).collect::<Result<_, _>>()?,
+        kinds: (0..kinds.len()).map(|i| read_kind(domain, i)).collect::<Result<_, _>>()?,
         limits_told: names.reports.is_some(),
-        list_asked: match env.get("registry_mode").and_then(Value::as_str) {
-            Some("subscribe") => Some(ms(rules, "ask_within_ms")?),
+        list_asked: match settings.get("registry_mode").and_then(Value::as_str) {
+            Some("subscribe") => Some(milliseconds_in(rules, "ask_within_ms")?),
             _ => None,
         },
-        rates_listed: matches!(text(env, "weights")?, "nominal" | "rough"),
-        late: match text(domain, "late")? {
+        rates_listed: matches!(text_in(settings, "weights")?, "nominal" | "rough"),
+        late: match text_in(domain, "late")? {
             "line" => Late::Line,
             "halves" => Late::Halves,
-            other => return Err(format!("expected a known way in late, not {other}").into()),
+            other => return Err(format!("expected line or halves in late, not {other}").into()),
         },
         back: Return {
-            cold_from: number(rules, "cold_from")?,
-            cold: some(ms(rules, "cold_ms")?, "cold_ms")?,
-            fall_multiple: number(rules, "fall_multiple")?,
+            cold_from: number_in(rules, "cold_from")?,
+            cold: positive(milliseconds_in(rules, "cold_ms")?, "cold_ms")?,
+            fall_multiple: number_in(rules, "fall_multiple")?,
         },
     };
     Ok((terms, names))
 }
 
-/// Of the fields that an answer's report may have, those of a destination's limit.
-fn reports(env: &Value) -> Result<Option<Reports>, Fault> {
-    let Some(report) = env.get("report").filter(|report| !report.is_null()) else { return Ok(None) };
-    if text(report, "how")? != "answers" {
+/// Of the columns of the answers' load reports, those that contain an upstream's limit.
+fn report_fields(settings: &Value) -> Result<Option<Reports>, Fault> {
+    let Some(report) = settings.get("report").filter(|report| !report.is_null()) else { return Ok(None) };
+    if text_in(report, "how")? != "answers" {
         return Ok(None);
     }
-    let columns = texts(list(report, "columns")?, "columns")?;
-    let place = |name: &str| columns.iter().position(|c| *c == name).map(|at| (at, name.to_owned()));
-    Ok(place("x0").zip(place("x1")).map(|(left, limit)| Reports { left, limit }))
+    let columns = read_texts(list_in(report, "columns")?, "columns")?;
+    let column = |name: &str| columns.iter().position(|c| *c == name).map(|index| (index, name.to_owned()));
+    Ok(column("x0").zip(column("x1")).map(|(left, limit)| Reports { left, limit }))
 }
 
-fn category(lane: &Value) -> Result<Category, Fault> {
-    let repeat = match text(lane, "repeat")? {
+fn read_category(category: &Value) -> Result<Category, Fault> {
+    let repeat = match text_in(category, "repeat")? {
         "retryable" => Repeat::Idempotent,
-        "dedup" if text(lane, "group")? == "all" => {
-            Repeat::Deduplicated { memory: ms(lane, "dedup_window_ms")? }
+        "dedup" if text_in(category, "group")? == "all" => {
+            Repeat::Deduplicated { memory: milliseconds_in(category, "dedup_window_ms")? }
         }
-        // The interface knows no memory of only some endpoints.
+        // `Repeat` cannot express deduplication by only some of the endpoints, so this counts as
+        // unrepeatable.
         "dedup" => Repeat::Unrepeatable,
         "fragile" => Repeat::Unrepeatable,
-        other => return Err(format!("expected a known repeat, not {other}").into()),
+        other => return Err(format!("expected retryable, dedup or fragile in repeat, not {other}").into()),
     };
     Ok(Category {
         repeat,
-        in_order: lane.get("fifo_by_key").and_then(Value::as_bool).unwrap_or(false),
-        soft_limit: some(ms(lane, "aim_ms")?, "aim_ms")?,
-        patience: some(ms(lane, "hard_limit_ms")?, "hard_limit_ms")?,
-        credit: number(lane, "gain")?,
-        late_share: number(lane, "late_share")?,
+        in_order: category.get("fifo_by_key").and_then(Value::as_bool).unwrap_or(false),
+        soft_limit: positive(milliseconds_in(category, "aim_ms")?, "aim_ms")?,
+        patience: positive(milliseconds_in(category, "hard_limit_ms")?, "hard_limit_ms")?,
+        credit: number_in(category, "gain")?,
+        late_share: number_in(category, "late_share")?,
     })
 }
 
-/// The last of a list serves for the rest.
-fn kind(domain: &Value, at: usize) -> Result<Kind, Fault> {
-    let own = list(domain, "own_limits")?;
-    let batch = list(domain, "kind_batch")?;
-    let own =
-        own.get(at).or(own.last()).and_then(Value::as_bool).ok_or("expected truth values in own_limits")?;
-    let batch = batch.get(at).or(batch.last()).and_then(Value::as_u64);
-    let batch = batch.ok_or("expected whole numbers in kind_batch")?;
-    Ok(Kind { own_limits: own, batch: usize::try_from(batch).unwrap_or(1) })
+/// Reads the kind at this position. The last element of each array applies to all later positions too.
+fn read_kind(domain: &Value, index: usize) -> Result<Kind, Fault> {
+    let own_limits = list_in(domain, "own_limits")?;
+    let batches = list_in(domain, "kind_batch")?;
+    let has_own_limits = own_limits
+        .get(index)
+        .or(own_limits.last())
+        .and_then(Value::as_bool)
+        .ok_or("expected an array of true or false in own_limits")?;
+    let batch = batches.get(index).or(batches.last()).and_then(Value::as_u64);
+    let batch = batch.ok_or("expected an array of whole numbers in kind_batch")?;
+    Ok(Kind { own_limits: has_own_limits, batch: usize::try_from(batch).unwrap_or(1) })
 }
 
-fn positions(names: Vec<&str>) -> HashMap<String, usize> {
-    names.into_iter().enumerate().map(|(at, name)| (name.to_owned(), at)).collect()
+fn index_by_name(names: Vec<&str>) -> HashMap<String, usize> {
+    names.into_iter().enumerate().map(|(index, name)| (name.to_owned(), index)).collect()
 }
 
-fn named(list: &[Value]) -> Result<Vec<&str>, Fault> {
-    list.iter().map(|entry| text(entry, "name")).collect()
+fn entry_names(list: &[Value]) -> Result<Vec<&str>, Fault> {
+    list.iter().map(|entry| text_in(entry, "name")).collect()
 }
 
-fn texts<'a>(list: &'a [Value], what: &str) -> Result<Vec<&'a str>, Fault> {
-    list.iter().map(|entry| take_text(entry, what)).collect()
+fn read_texts<'a>(list: &'a [Value], what: &str) -> Result<Vec<&'a str>, Fault> {
+    list.iter().map(|entry| read_text(entry, what)).collect()
 }
 
-fn list<'a>(value: &'a Value, key: &str) -> Result<&'a [Value], Fault> {
+fn list_in<'a>(value: &'a Value, key: &str) -> Result<&'a [Value], Fault> {
     let list = member(value, key)?.as_array();
     list.map(Vec::as_slice).ok_or_else(|| format!("expected an array in {key}").into())
 }
 
-fn text<'a>(value: &'a Value, key: &str) -> Result<&'a str, Fault> {
-    take_text(member(value, key)?, key)
+fn text_in<'a>(value: &'a Value, key: &str) -> Result<&'a str, Fault> {
+    read_text(member(value, key)?, key)
 }
 
-fn number(value: &Value, key: &str) -> Result<f64, Fault> {
-    take_number(member(value, key)?, key)
+fn number_in(value: &Value, key: &str) -> Result<f64, Fault> {
+    read_number(member(value, key)?, key)
 }
 
-fn ms(value: &Value, key: &str) -> Result<Duration, Fault> {
-    span(member(value, key)?, key)
+fn milliseconds_in(value: &Value, key: &str) -> Result<Duration, Fault> {
+    read_milliseconds(member(value, key)?, key)
 }
 
-fn whole(value: &Value, key: &str) -> Result<usize, Fault> {
-    let whole = member(value, key)?.as_u64().and_then(|n| usize::try_from(n).ok());
-    whole.ok_or_else(|| format!("expected a whole number in {key}").into())
+fn count_in(value: &Value, key: &str) -> Result<usize, Fault> {
+    let count = member(value, key)?.as_u64().and_then(|n| usize::try_from(n).ok());
+    count.ok_or_else(|| format!("expected a whole number in {key}").into())
 }
 
-/// What may not be nothing.
-fn some<T: Default + PartialOrd>(amount: T, key: &str) -> Result<T, Fault> {
+/// Fails if the amount is zero or negative.
+fn positive<T: Default + PartialOrd>(amount: T, key: &str) -> Result<T, Fault> {
     if amount > T::default() { Ok(amount) } else { Err(format!("expected more than 0 in {key}").into()) }
 }
 
-fn truth(value: &Value, key: &str) -> Result<bool, Fault> {
+fn bool_in(value: &Value, key: &str) -> Result<bool, Fault> {
     member(value, key)?.as_bool().ok_or_else(|| format!("expected true or false in {key}").into())
 }
--- a/crates/sailcart-terms/src/value.rs
+++ b/crates/sailcart-terms/src/value.rs
@@ -1,40 +1,44 @@
-//! Reading JSON values, with plain words for what is not as expected.
+//! Typed access to JSON values, with errors that say what was expected.
 
 use std::time::Duration;
 
 use serde_json::Value;
 
-/// What was expected and not found.
+/// A missing or malformed value. The text says what was expected and where.
 #[derive(Debug)]
 pub struct Fault(pub String);
 
 impl From<String> for Fault {
-    fn from(words: String) -> Self {
-        Fault(words)
+    fn from(message: String) -> Self {
+        Fault(message)
     }
 }
 
 impl From<&str> for Fault {
-    fn from(words: &str) -> Self {
-        Fault(words.to_owned())
+    fn from(message: &str) -> Self {
+        Fault(message.to_owned())
     }
 }
 
-pub fn take_text<'a>(value: &'a Value, what: &str) -> Result<&'a str, Fault> {
+/// The value as text. `what` names the value in the error.
+pub fn read_text<'a>(value: &'a Value, what: &str) -> Result<&'a str, Fault> {
     value.as_str().ok_or_else(|| format!("expected text in {what}").into())
 }
 
-pub fn take_number(value: &Value, what: &str) -> Result<f64, Fault> {
+/// The value as a number. `what` names the value in the error.
+pub fn read_number(value: &Value, what: &str) -> Result<f64, Fault> {
     value.as_f64().ok_or_else(|| format!("expected a number in {what}").into())
 }
 
-/// Milliseconds, which may not be negative.
-pub fn span(value: &Value, what: &str) -> Result<Duration, Fault> {
-    let ms = take_number(value, what)?;
+/// The value as a duration in milliseconds, rounded to microseconds. Fails if it is negative. `what` names
+/// the value in the error.
+pub fn read_milliseconds(value: &Value, what: &str) -> Result<Duration, Fault> {
+    let ms = read_number(value, what)?;
     Duration::try_from_secs_f64((ms * 1000.0).round() / 1e6)
         .map_err(|_| format!("expected milliseconds from 0 in {what}").into())
 }
 
+/// The member of an object. Fails if it is missing or null.
 pub fn member<'a>(value: &'a Value, key: &str) -> Result<&'a Value, Fault> {
     value.get(key).filter(|v| !v.is_null()).ok_or_else(|| format!("expected {key}").into())
 }
