--- a/crates/sailcart-sender/src/config/validation.rs
+++ b/crates/sailcart-sender/src/config/validation.rs
@@ -119,40 +119,40 @@
         let offset = value.span().start;
         self.offsets.insert(path.to_owned(), offset);
         let schema = self.resolve(schema).clone();
-        let is = |name: &str| match &schema["type"] {
+        let is_type = |name: &str| match &schema["type"] {
             Value::Array(types) => types.iter().any(|type_name| type_name == name),
             type_name => type_name == name,
         };
         match value.get_ref() {
-            DeValue::Table(table) if is("object") => self.check_table(&schema, table, path, offset),
-            DeValue::Array(list) if is("array") => {
+            DeValue::Table(table) if is_type("object") => self.check_table(&schema, table, path, offset),
+            DeValue::Array(list) if is_type("array") => {
                 for (index, item) in list.iter().enumerate() {
                     self.check_value(&schema["items"], item, &format!("{path}.{index}"));
                 }
             }
-            DeValue::String(text) if is("string") || schema.get("oneOf").is_some() => {
+            DeValue::String(text) if is_type("string") || schema.get("oneOf").is_some() => {
                 if let Some(message) = string_error(&schema, text) {
                     self.error(offset, format!("{path}: {message}"));
                 }
             }
-            DeValue::Integer(number) if is("integer") => {
+            DeValue::Integer(number) if is_type("integer") => {
                 let whole = number.as_str().replace('_', "").parse::<i128>();
                 if !whole.is_ok_and(|whole| whole >= 0) {
                     self.error(offset, format!("{path}: expected a whole number from 0"));
                 }
             }
-            DeValue::Integer(_) | DeValue::Float(_) if is("number") => {}
-            DeValue::Boolean(_) if is("boolean") => {}
+            DeValue::Integer(_) | DeValue::Float(_) if is_type("number") => {}
+            DeValue::Boolean(_) if is_type("boolean") => {}
             _ => {
-                let expected = if is("object") {
+                let expected = if is_type("object") {
                     "a table"
-                } else if is("array") {
+                } else if is_type("array") {
                     "a list"
-                } else if is("integer") {
+                } else if is_type("integer") {
                     "a whole number"
-                } else if is("number") {
+                } else if is_type("number") {
                     "a number"
-                } else if is("boolean") {
+                } else if is_type("boolean") {
                     "true or false"
                 } else {
                     "text"
--- a/crates/sailcart-sender/src/wire/http.rs
+++ b/crates/sailcart-sender/src/wire/http.rs
@@ -128,23 +128,26 @@
 }
 
 fn apply_header(head: &mut Head, name: &[u8], value: &str, has_no_body: bool) {
-    let is = |other: &str| name.eq_ignore_ascii_case(other.as_bytes());
-    if is("Content-Length") && !has_no_body && head.extent != Extent::Chunks {
+    let is_header = |other: &str| name.eq_ignore_ascii_case(other.as_bytes());
+    if is_header("Content-Length") && !has_no_body && head.extent != Extent::Chunks {
         let length = Some(value).filter(|value| value.bytes().all(|b| b.is_ascii_digit()));
         let length = length.and_then(|value| value.parse().ok());
         // Two lengths that differ count as no length (RFC 9112, section 6.3).
         let consistent = |length: &usize| [Extent::Rest, Extent::Length(*length)].contains(&head.extent);
         head.extent = length.filter(consistent).map_or(Extent::Unreadable, Extent::Length);
-    } else if is("Transfer-Encoding") && !has_no_body && value.to_ascii_lowercase().ends_with("chunked") {
+    } else if is_header("Transfer-Encoding")
+        && !has_no_body
+        && value.to_ascii_lowercase().ends_with("chunked")
+    {
         head.extent = Extent::Chunks;
-    } else if is("Connection") {
+    } else if is_header("Connection") {
         head.close |= value.split(',').any(|option| option.trim().eq_ignore_ascii_case("close"));
-    } else if is("Retry-After") {
+    } else if is_header("Retry-After") {
         let seconds = value.parse().ok();
         head.retry_after = seconds.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
-    } else if is("X-Line-Busy") {
+    } else if is_header("X-Line-Busy") {
         head.line_busy = value == "1";
-    } else if is("X-Load-Report") {
+    } else if is_header("X-Load-Report") {
         head.report = Some(value.to_owned());
     }
 }
--- a/crates/sailcart-terms/src/lib.rs
+++ b/crates/sailcart-terms/src/lib.rs
@@ -93,13 +93,13 @@
         categories: categories.iter().map(read_category).collect::<Result<_, _>>()?,
         customers: customers
             .iter()
-            .map(|c| Ok(Customer { quota: number_in(c, "quota_per_s")? }))
+            .map(|customer| Ok(Customer { quota: number_in(customer, "quota_per_s")? }))
             .collect::<Result<_, Fault>>()?,
         over_share: match settings.get("over_share_worth") {
             None | Some(Value::Null) => 1.0,
             Some(_) => number_in(settings, "over_share_worth")?,
         },
-        kinds: (0..kinds.len()).map(|i| read_kind(domain, i)).collect::<Result<_, _>>()?,
+        kinds: (0..kinds.len()).map(|index| read_kind(domain, index)).collect::<Result<_, _>>()?,
         limits_told: names.reports.is_some(),
         list_asked: match settings.get("registry_mode").and_then(Value::as_str) {
             Some("subscribe") => Some(milliseconds_in(rules, "ask_within_ms")?),
@@ -201,7 +201,7 @@
     count.ok_or_else(|| format!("expected a whole number in {key}").into())
 }
 
-/// Fails if the amount is zero or negative.
+/// Fails if the amount is zero.
 fn positive<T: Default + PartialOrd>(amount: T, key: &str) -> Result<T, Fault> {
     if amount > T::default() { Ok(amount) } else { Err(format!("expected more than 0 in {key}").into()) }
 }
