--- a/crates/sailcart-sender/src/lib.rs
+++ b/crates/sailcart-sender/src/lib.rs
@@ -1,5 +1,7 @@
-//! The sender: sailcart's decisions carried out on sockets. [`clients`] and [`endpoints`] meet only in
-//! [`exchange`], whose calls are [`outgoing`]; [`wire`] is what is spoken, [`memory`] what is kept, [`life`] start and stop.
+//! The sender: carries out the decisions of `sailcart` on sockets. [`clients`] serves the clients,
+//! [`endpoints`] sends calls, and [`exchange`] connects them; [`outgoing`] defines its calls. [`wire`] reads
+//! and writes the protocols, [`memory`] holds the state and the journal, and [`life`] starts and stops the
+//! process.
 
 pub mod caller;
 pub mod clients;
--- a/crates/sailcart-sender/src/machine.rs
+++ b/crates/sailcart-sender/src/machine.rs
@@ -1,12 +1,13 @@
-//! Faults of the machine that a sender runs on, told apart from those of its peers. Running out of descriptors, ports or memory on the
-//! way to an endpoint says nothing of that endpoint.
+//! Distinguishes local errors, those of this machine, from errors of its peers. If file descriptors, ports or
+//! memory run out while connecting to an endpoint, that says nothing about the endpoint.
 
 use std::io;
 
 use nix::errno::Errno;
 
-/// Errors of `socket(2)`, `connect(2)` and `accept(2)` that speak of this machine, or of a moment, and never of the peer.
-const OWN: [Errno; 10] = [
+/// Errors of `socket(2)`, `connect(2)` and `accept(2)` that have a local or transient cause, and never the
+/// peer.
+const LOCAL_ERRORS: [Errno; 10] = [
     Errno::EMFILE,
     Errno::ENFILE,
     Errno::ENOBUFS,
@@ -19,7 +20,7 @@
     Errno::EAGAIN,
 ];
 
-/// Whether a connection that did not come up failed for a reason of this machine.
-pub fn is_own_fault(fault: &io::Error) -> bool {
-    fault.raw_os_error().is_some_and(|number| OWN.contains(&Errno::from_raw(number)))
+/// Whether a connection could not be established because of a local error.
+pub fn is_own_fault(error: &io::Error) -> bool {
+    error.raw_os_error().is_some_and(|number| LOCAL_ERRORS.contains(&Errno::from_raw(number)))
 }
--- a/crates/sailcart-sender/src/socket.rs
+++ b/crates/sailcart-sender/src/socket.rs
@@ -1,6 +1,9 @@
-//! A TCP connection that believes no short read or write. The kernel reports a socket once when it becomes ready; tokio takes a read or
-//! write that is shorter than its buffer for the end of that (`epoll(7)` allows it), and waits for a report that never comes where the
-//! call was cut short for another reason. Here only `EAGAIN` ends readiness, at the price of one more call for each wait.
+//! A TCP connection that does not rely on short reads and writes to detect the end of readiness.
+//!
+//! The kernel reports a socket once, when it becomes ready. Tokio takes a read or write shorter than its
+//! buffer for the end of readiness, as `epoll(7)` allows, and waits for the next report; that report never
+//! comes if the call was cut short for another reason. Here only `EAGAIN` ends readiness. Trade-off: one more
+//! system call for each wait.
 
 use std::io::{self, ErrorKind};
 use std::pin::Pin;
@@ -9,45 +12,47 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Bytes that one read asks for, at most: so many are cleared for it.
-const MOST_READ: usize = 16 * 1024;
+/// Bounds the bytes that one read requests, as so much of the buffer is zeroed for each read.
+const MAX_READ_BYTES: usize = 16 * 1024;
 
-/// A connection.
+/// A TCP connection.
 #[derive(Debug)]
 pub struct Socket(pub TcpStream);
 
 impl Socket {
-    /// All that was due on this connection has come, and what comes next is asked for first: so the next wait is for a new report, and
-    /// costs no call that finds nothing. Not where the peer may go on by itself.
+    /// Clears read readiness after a complete response, so that the next read waits for a new report instead
+    /// of making a system call that finds nothing. Must be used only if the peer sends nothing more until the
+    /// next request.
     pub fn nothing_is_due(&self) {
-        // Ends readiness as a read that found nothing would; the end of the peer's side stays known.
+        // Ends readiness as a read that returns `EAGAIN` would. That the peer has closed its side stays
+        // known.
         let ended = self.0.try_io(Interest::READABLE, || io::Result::<()>::Err(ErrorKind::WouldBlock.into()));
         debug_assert!(ended.is_err());
     }
 
-    /// Both directions, to be used side by side.
-    pub fn split(&mut self) -> (Reader<'_>, Writer<'_>) {
-        (Reader(&self.0), Writer(&self.0))
+    /// Splits the connection into halves that can be used concurrently.
+    pub fn split(&mut self) -> (ReadHalf<'_>, WriteHalf<'_>) {
+        (ReadHalf(&self.0), WriteHalf(&self.0))
     }
 }
 
-/// The side from which bytes come.
-pub struct Reader<'a>(&'a TcpStream);
+/// The read half of a [`Socket`].
+pub struct ReadHalf<'a>(&'a TcpStream);
 
-/// The side to which bytes go.
-pub struct Writer<'a>(&'a TcpStream);
+/// The write half of a [`Socket`].
+pub struct WriteHalf<'a>(&'a TcpStream);
 
-fn poll_read(stream: &TcpStream, context: &mut Context, into: &mut ReadBuf) -> Poll<io::Result<()>> {
-    let length = into.remaining().min(MOST_READ);
+fn poll_read(stream: &TcpStream, context: &mut Context, buffer: &mut ReadBuf) -> Poll<io::Result<()>> {
+    let length = buffer.remaining().min(MAX_READ_BYTES);
     loop {
         ready!(stream.poll_read_ready(context))?;
-        match stream.try_read(into.initialize_unfilled_to(length)) {
+        match stream.try_read(buffer.initialize_unfilled_to(length)) {
             Ok(read) => {
-                into.advance(read);
+                buffer.advance(read);
                 return Poll::Ready(Ok(()));
             }
-            Err(fault) if is_no_end(&fault) => {}
-            Err(fault) => return Poll::Ready(Err(fault)),
+            Err(error) if is_transient(&error) => {}
+            Err(error) => return Poll::Ready(Err(error)),
         }
     }
 }
@@ -56,26 +61,26 @@
     loop {
         ready!(stream.poll_write_ready(context))?;
         match stream.try_write(bytes) {
-            Err(fault) if is_no_end(&fault) => {}
-            written => return Poll::Ready(written),
+            Err(error) if is_transient(&error) => {}
+            result => return Poll::Ready(result),
         }
     }
 }
 
-/// The call is to be made again, at once or when the socket is reported ready.
-fn is_no_end(fault: &io::Error) -> bool {
-    matches!(fault.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted)
+/// Whether the system call is to be repeated, at once or when the socket is reported ready.
+fn is_transient(error: &io::Error) -> bool {
+    matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted)
 }
 
 impl AsyncRead for Socket {
-    fn poll_read(self: Pin<&mut Self>, context: &mut Context, into: &mut ReadBuf) -> Poll<io::Result<()>> {
-        poll_read(&self.0, context, into)
+    fn poll_read(self: Pin<&mut Self>, context: &mut Context, buffer: &mut ReadBuf) -> Poll<io::Result<()>> {
+        poll_read(&self.0, context, buffer)
     }
 }
 
-impl AsyncRead for Reader<'_> {
-    fn poll_read(self: Pin<&mut Self>, context: &mut Context, into: &mut ReadBuf) -> Poll<io::Result<()>> {
-        poll_read(self.0, context, into)
+impl AsyncRead for ReadHalf<'_> {
+    fn poll_read(self: Pin<&mut Self>, context: &mut Context, buffer: &mut ReadBuf) -> Poll<io::Result<()>> {
+        poll_read(self.0, context, buffer)
     }
 }
 
@@ -93,7 +98,7 @@
     }
 }
 
-impl AsyncWrite for Writer<'_> {
+impl AsyncWrite for WriteHalf<'_> {
     fn poll_write(self: Pin<&mut Self>, context: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
         poll_write(self.0, context, bytes)
     }
@@ -102,7 +107,7 @@
         Poll::Ready(Ok(()))
     }
 
-    /// This side ends with its connection.
+    /// Does nothing: the write direction is shut down together with the whole connection.
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
     }
