--- a/crates/sailcart-sender/src/caller.rs
+++ b/crates/sailcart-sender/src/caller.rs
@@ -1,4 +1,5 @@
-//! One HTTP answer read from a socket. A body is handed on in pieces as it comes; a small one can be gathered.
+//! Reads one HTTP response from a socket. A large body is passed on in pieces while it is received; a small
+//! one may be collected.
 
 use std::io;
 use std::time::Duration;
@@ -11,54 +12,56 @@
 use crate::wire::http::{self, Extent, Head};
 use crate::wire::{Reading, chunked};
 
-/// A body's bytes that are handed on at once, at most. After so many, others on this thread have their turn.
+/// Largest number of body bytes passed on at once. The task yields after so many, to let other tasks on its
+/// thread run.
 pub const PIECE: usize = 64 * 1024;
-/// Room for what is read at once, at least.
-const LEAST_ROOM: usize = 1024;
-/// Answers below 200 in front of the answer proper, at most: a peer may write them without end.
-const MOST_INTERIM: usize = 16;
-/// Lines after the last chunk, at most.
-const MOST_TRAILERS: usize = 100;
+/// Smallest capacity of the buffer for one read.
+const MIN_READ_BYTES: usize = 1024;
+/// Largest number of interim responses (status below 200) before the final one, as a peer may send them
+/// without end.
+const MAX_INTERIM_RESPONSES: usize = 16;
+/// Largest number of trailers after the last chunk.
+const MAX_TRAILERS: usize = 100;
 
-/// An answer, as far as it has come.
+/// A response, as far as it was received.
 #[derive(Default)]
 pub struct Reply {
-    /// As its first line tells.
+    /// The status, known as soon as the first line is complete.
     pub status: Option<u16>,
     pub head: Option<Head>,
-    /// Of an answer that is gathered, once it came whole.
+    /// The body of a collected response, set once it is complete.
     pub body: Vec<u8>,
-    /// It came whole.
-    pub whole: bool,
+    /// The response was received completely, and nothing after it.
+    pub complete: bool,
 }
 
 impl Reply {
-    /// Whether another call can go on the same connection.
+    /// Whether the connection can be used for another call.
     pub fn keeps(&self) -> bool {
-        self.whole && self.head.as_ref().is_some_and(|head| !head.close)
+        self.complete && self.head.as_ref().is_some_and(|head| !head.close)
     }
 }
 
-/// The body has more bytes than are taken.
+/// The body is longer than allowed.
 #[derive(Debug)]
 pub struct TooLarge;
 
 impl From<TooLarge> for io::Error {
     fn from(_: TooLarge) -> Self {
-        malformed("too large")
+        invalid_data("too large")
     }
 }
 
-/// Takes a body as it comes.
+/// Receives a body while it is read.
 pub trait Sink {
-    /// Why a body was not taken to its end.
+    /// Why the body was not received to its end.
     type Fault: From<io::Error> + From<TooLarge>;
 
-    /// Takes the next bytes, [`PIECE`] at most, of the body behind this head.
+    /// Receives the next bytes of the body, at most [`PIECE`]. `head` is the head of the response.
     fn take(&mut self, head: &Head, piece: &[u8]) -> Result<(), Self::Fault>;
 }
 
-/// Keeps a body.
+/// Collects a body.
 impl Sink for Vec<u8> {
     type Fault = io::Error;
 
@@ -68,160 +71,184 @@
     }
 }
 
-/// How long an answer may take: a span from the call on, and more for a large body in step with the bytes that came. Only
-/// who has to wait for bytes gives up: those that are there already are read, also where this thread was late.
+/// The time limit of a response: a fixed time from the start of the call, and more for a large body in
+/// proportion to the bytes received. It applies only while waiting for bytes: those that have already arrived
+/// are read, even if this thread was delayed.
 #[derive(Clone, Copy, Debug)]
 pub struct Term {
     /// When the call began.
     pub start: Instant,
-    /// For the call, the head, and the first [`PIECE`] of a body.
+    /// Time for the call, the head, and the first [`PIECE`] of the body.
     pub within: Duration,
-    /// Bytes a second: a body that comes more slowly, once the span is used up, is given up. None adds no time.
+    /// Smallest rate, in bytes per second, of a body that exceeds the fixed time. `None` grants no additional
+    /// time.
     pub least_rate: Option<u32>,
 }
 
 impl Term {
-    /// When an answer of which so many bytes of body came is given up.
-    pub fn end(&self, came: usize) -> Instant {
-        let more = match self.least_rate {
-            Some(rate) => Duration::from_secs_f64(came.saturating_sub(PIECE) as f64 / f64::from(rate)),
+    /// The deadline of a response of which `received` body bytes have arrived.
+    pub fn end(&self, received: usize) -> Instant {
+        let extra = match self.least_rate {
+            Some(rate) => Duration::from_secs_f64(received.saturating_sub(PIECE) as f64 / f64::from(rate)),
             None => Duration::ZERO,
         };
-        self.start + self.within + more
+        self.start + self.within + extra
     }
 }
 
-/// Reads one answer, with a body of a certain size at most, which has `rest` to come whole from its first byte on.
-/// What has come so far stands in `reply`, also when this fails or is given up.
+/// Reads one response and collects its body of at most `max_body` bytes. Waits without limit for its first
+/// byte; from then on it must be complete within `read_timeout`. `reply` holds what was received so far, also
+/// after a failure and if the future is dropped.
+///
+/// # Errors
+/// Those of the stream, and [`InvalidData`](io::ErrorKind::InvalidData) for a response that is malformed, too
+/// large or too slow.
 pub async fn read(
     stream: &mut (impl AsyncRead + Unpin),
-    most: usize,
-    rest: Duration,
+    max_body: usize,
+    read_timeout: Duration,
     reply: &mut Reply,
 ) -> io::Result<()> {
-    let mut incoming = Incoming::new(stream, most, None);
-    for _ in 0..=MOST_INTERIM {
-        if incoming.buffer.is_empty() {
-            incoming.more().await?;
+    let mut reader = ResponseReader::new(stream, max_body, None);
+    for _ in 0..=MAX_INTERIM_RESPONSES {
+        if reader.buffer.is_empty() {
+            reader.read_more().await?;
         }
         let mut body = Vec::new();
-        let whole = timeout(rest, incoming.answer(reply, &mut body)).await;
-        // Those below 200 stand in front, the answer proper is yet to come.
-        if whole.unwrap_or_else(|_| Err(malformed("slow")))? >= 200 {
+        let status = timeout(read_timeout, reader.read_response(reply, &mut body)).await;
+        // After an interim response, the final one is still to come.
+        if status.unwrap_or_else(|_| Err(invalid_data("response incomplete at its time limit")))? >= 200 {
             reply.body = body;
-            // Bytes that nobody asked for would be taken for the next answer.
-            reply.whole = incoming.buffer.is_empty();
+            // Bytes after the response were not requested, and would be read as the next response.
+            reply.complete = reader.buffer.is_empty();
             return Ok(());
         }
     }
-    Err(malformed("too many answers below 200"))
+    Err(invalid_data("too many interim responses"))
 }
 
-/// Reads one answer within its term and hands its body, of a certain size at most, on to a sink.
+/// Reads one response within the time limit `term` and passes its body, of at most `max_body` bytes, on to a
+/// sink.
+///
+/// # Errors
+/// Those of [`read`], [`TimedOut`](io::ErrorKind::TimedOut) at the end of the time limit, and those of the
+/// sink.
 pub async fn hand_on<S: Sink>(
     stream: &mut (impl AsyncRead + Unpin),
-    most: usize,
+    max_body: usize,
     term: Term,
     sink: &mut S,
 ) -> Result<Reply, S::Fault> {
-    let mut incoming = Incoming::new(stream, most, Some(term));
+    let mut reader = ResponseReader::new(stream, max_body, Some(term));
     let mut reply = Reply::default();
-    for _ in 0..=MOST_INTERIM {
-        if incoming.answer(&mut reply, sink).await? >= 200 {
-            reply.whole = incoming.buffer.is_empty();
+    for _ in 0..=MAX_INTERIM_RESPONSES {
+        if reader.read_response(&mut reply, sink).await? >= 200 {
+            reply.complete = reader.buffer.is_empty();
             return Ok(reply);
         }
     }
-    Err(malformed("too many answers below 200").into())
+    Err(invalid_data("too many interim responses").into())
 }
 
-/// What comes on a connection.
-struct Incoming<'a, Stream> {
+/// Reads responses from a stream.
+struct ResponseReader<'a, Stream> {
     stream: &'a mut Stream,
     buffer: BytesMut,
-    /// Bytes of a body at most.
-    most: usize,
+    /// Largest body in bytes.
+    max_body: usize,
     term: Option<Term>,
-    /// Bytes of the body that were handed on.
-    came: usize,
-    /// Of these, those since others on this thread had their turn.
-    in_a_row: usize,
+    /// Number of bytes of the current body that were passed on.
+    body_bytes: usize,
+    /// Number of bytes passed on since the task last yielded.
+    bytes_since_yield: usize,
 }
 
-impl<'a, Stream: AsyncRead + Unpin> Incoming<'a, Stream> {
-    fn new(stream: &'a mut Stream, most: usize, term: Option<Term>) -> Self {
-        Incoming { stream, buffer: BytesMut::new(), most, term, came: 0, in_a_row: 0 }
+impl<'a, Stream: AsyncRead + Unpin> ResponseReader<'a, Stream> {
+    fn new(stream: &'a mut Stream, max_body: usize, term: Option<Term>) -> Self {
+        ResponseReader {
+            stream,
+            buffer: BytesMut::new(),
+            max_body,
+            term,
+            body_bytes: 0,
+            bytes_since_yield: 0,
+        }
     }
 
-    /// An answer's status, once it has come whole.
-    async fn answer<S: Sink>(&mut self, reply: &mut Reply, sink: &mut S) -> Result<u16, S::Fault> {
-        let head = self.head(reply).await?;
-        self.came = 0;
+    /// Reads a complete response and returns its status.
+    async fn read_response<S: Sink>(&mut self, reply: &mut Reply, sink: &mut S) -> Result<u16, S::Fault> {
+        let head = self.read_head(reply).await?;
+        self.body_bytes = 0;
         match head.extent {
-            Extent::Unreadable => return Err(malformed("expected a length").into()),
-            Extent::Length(length) if length > self.most => return Err(TooLarge.into()),
-            Extent::Length(length) => self.part(head, length, sink).await?,
-            Extent::Chunks => self.chunks(head, sink).await?,
-            Extent::Rest => self.rest(head, sink).await?,
+            Extent::Unreadable => return Err(invalid_data("invalid Content-Length").into()),
+            Extent::Length(length) if length > self.max_body => return Err(TooLarge.into()),
+            Extent::Length(length) => self.read_exactly(head, length, sink).await?,
+            Extent::Chunks => self.read_chunks(head, sink).await?,
+            Extent::Rest => self.read_to_end(head, sink).await?,
         }
         Ok(head.status)
     }
 
-    async fn head<'r>(&mut self, reply: &'r mut Reply) -> io::Result<&'r Head> {
+    async fn read_head<'r>(&mut self, reply: &'r mut Reply) -> io::Result<&'r Head> {
         loop {
-            if let Some((status, _)) = http::status(&self.buffer).map_err(malformed)? {
+            if let Some((status, _)) = http::status(&self.buffer).map_err(invalid_data)? {
                 reply.status = Some(status);
             }
-            if let Some(head) = self.take(http::head)? {
+            if let Some(head) = self.parse(http::head)? {
                 return Ok(reply.head.insert(head));
             }
-            self.more().await?;
+            self.read_more().await?;
         }
     }
 
-    /// So many bytes of a body.
-    async fn part<S: Sink>(&mut self, head: &Head, length: usize, sink: &mut S) -> Result<(), S::Fault> {
+    /// Passes on the next `length` bytes of a body.
+    async fn read_exactly<S: Sink>(
+        &mut self,
+        head: &Head,
+        length: usize,
+        sink: &mut S,
+    ) -> Result<(), S::Fault> {
         let mut left = length;
         while left > 0 {
             if self.buffer.is_empty() {
-                self.more().await?;
+                self.read_more().await?;
             }
-            left -= self.piece(head, left, sink).await?;
+            left -= self.pass_on(head, left, sink).await?;
         }
         Ok(())
     }
 
-    async fn chunks<S: Sink>(&mut self, head: &Head, sink: &mut S) -> Result<(), S::Fault> {
+    async fn read_chunks<S: Sink>(&mut self, head: &Head, sink: &mut S) -> Result<(), S::Fault> {
         loop {
-            let size = self.wait_for(chunked::size).await?;
-            if size > self.most - self.came {
+            let size = self.read_value(chunked::size).await?;
+            if size > self.max_body - self.body_bytes {
                 return Err(TooLarge.into());
             }
             if size == 0 {
-                return Ok(self.trailers().await?);
+                return Ok(self.read_trailers().await?);
             }
-            self.part(head, size, sink).await?;
-            self.wait_for(chunked::end).await?;
+            self.read_exactly(head, size, sink).await?;
+            self.read_value(chunked::end).await?;
         }
     }
 
-    async fn trailers(&mut self) -> io::Result<()> {
-        for _ in 0..MOST_TRAILERS {
-            if self.wait_for(chunked::trailer).await? {
+    async fn read_trailers(&mut self) -> io::Result<()> {
+        for _ in 0..MAX_TRAILERS {
+            if self.read_value(chunked::trailer).await? {
                 return Ok(());
             }
         }
-        Err(malformed("too large"))
+        Err(invalid_data("too many trailers"))
     }
 
-    /// A body that ends with its connection.
-    async fn rest<S: Sink>(&mut self, head: &Head, sink: &mut S) -> Result<(), S::Fault> {
+    /// Passes on a body that ends when the connection is closed.
+    async fn read_to_end<S: Sink>(&mut self, head: &Head, sink: &mut S) -> Result<(), S::Fault> {
         loop {
             while !self.buffer.is_empty() {
-                if self.buffer.len() > self.most - self.came {
+                if self.buffer.len() > self.max_body - self.body_bytes {
                     return Err(TooLarge.into());
                 }
-                self.piece(head, self.buffer.len(), sink).await?;
+                self.pass_on(head, self.buffer.len(), sink).await?;
             }
             if self.fill().await? == 0 {
                 return Ok(());
@@ -229,57 +256,58 @@
         }
     }
 
-    /// Hands on what there is, `most` bytes of it; tells how many.
-    async fn piece<S: Sink>(&mut self, head: &Head, most: usize, sink: &mut S) -> Result<usize, S::Fault> {
-        let length = self.buffer.len().min(most).min(PIECE);
+    /// Passes on up to `max` bytes from the buffer; returns how many.
+    async fn pass_on<S: Sink>(&mut self, head: &Head, max: usize, sink: &mut S) -> Result<usize, S::Fault> {
+        let length = self.buffer.len().min(max).min(PIECE);
         sink.take(head, &self.buffer[..length])?;
         self.buffer.advance(length);
-        self.came += length;
-        self.in_a_row += length;
-        if self.in_a_row >= PIECE {
-            self.in_a_row = 0;
+        self.body_bytes += length;
+        self.bytes_since_yield += length;
+        if self.bytes_since_yield >= PIECE {
+            self.bytes_since_yield = 0;
             yield_now().await;
         }
         Ok(length)
     }
 
-    async fn wait_for<T>(&mut self, read: impl Fn(&[u8]) -> Reading<T>) -> io::Result<T> {
+    async fn read_value<T>(&mut self, parser: impl Fn(&[u8]) -> Reading<T>) -> io::Result<T> {
         loop {
-            if let Some(value) = self.take(&read)? {
+            if let Some(value) = self.parse(&parser)? {
                 return Ok(value);
             }
-            self.more().await?;
+            self.read_more().await?;
         }
     }
 
-    /// What the bytes at hand begin with, if they are enough.
-    fn take<T>(&mut self, read: impl Fn(&[u8]) -> Reading<T>) -> io::Result<Option<T>> {
-        let Some((value, used)) = read(&self.buffer).map_err(malformed)? else { return Ok(None) };
+    /// Parses a value at the start of the buffer and removes it; `None` if it needs more bytes.
+    fn parse<T>(&mut self, parser: impl Fn(&[u8]) -> Reading<T>) -> io::Result<Option<T>> {
+        let Some((value, used)) = parser(&self.buffer).map_err(invalid_data)? else { return Ok(None) };
         self.buffer.advance(used);
         Ok(Some(value))
     }
 
-    /// More bytes, or the connection has broken.
-    async fn more(&mut self) -> io::Result<()> {
+    /// Reads more bytes into the buffer; fails if the peer has closed the connection.
+    async fn read_more(&mut self) -> io::Result<()> {
         match self.fill().await? {
             0 => Err(io::ErrorKind::UnexpectedEof.into()),
             _ => Ok(()),
         }
     }
 
-    /// Reads what there is, with room that grows with the body; none where the connection has ended.
+    /// Reads the available bytes and returns their number, 0 if the peer has closed the connection. The
+    /// capacity of the buffer grows with the body.
     async fn fill(&mut self) -> io::Result<usize> {
         if self.buffer.is_empty() {
-            self.buffer.reserve(self.came.clamp(LEAST_ROOM, PIECE));
+            self.buffer.reserve(self.body_bytes.clamp(MIN_READ_BYTES, PIECE));
         }
         let reading = self.stream.read_buf(&mut self.buffer);
         match self.term {
-            Some(term) => timeout_at(term.end(self.came), reading).await?,
+            Some(term) => timeout_at(term.end(self.body_bytes), reading).await?,
             None => reading.await,
         }
     }
 }
 
-fn malformed(words: &'static str) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, words)
+fn invalid_data(message: &'static str) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, message)
 }
