--- a/crates/sailcart-sender/src/clients.rs
+++ b/crates/sailcart-sender/src/clients.rs
@@ -1,4 +1,4 @@
-//! The clients' side: connections accepted within bounds, commands read, answers written.
+//! Serves the clients: accepts a bounded number of connections, reads commands, and writes the replies.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -18,209 +18,265 @@
 use crate::socket::Socket;
 use crate::wire::resp::{self, Command};
 
-/// A command that has begun comes to its end within this time, and an answer is read within it; a client has
-/// long given up by then.
-const SLOW: Duration = Duration::from_secs(2);
-/// The size of a connection's buffer, and from which size on an idle one is given back.
-const USUAL: usize = 4 * 1024;
-const ROOMY: usize = 4 * USUAL;
-/// How long a client has to end its side once this one has: what it still sends is read until then, and goes nowhere.
-const LINGER: Duration = Duration::from_millis(200);
-/// How long a new connection is waited for at a stop: a client that has just come is about to say something.
-const FIRST_WORD: Duration = Duration::from_millis(200);
-/// So many that linger are not counted among the clients': others are let in meanwhile, on descriptors kept for that.
-const MOST_LEAVING: usize = 8;
+/// Bounds the time from a command's first byte to its last, and the time to write a reply. Clients give up
+/// long before.
+const IO_TIMEOUT: Duration = Duration::from_secs(2);
+/// Initial capacity of a connection's read buffer.
+const INITIAL_BUFFER_BYTES: usize = 4 * 1024;
+/// A buffer that has grown beyond this is replaced when its connection becomes idle.
+const MAX_IDLE_BUFFER_BYTES: usize = 4 * INITIAL_BUFFER_BYTES;
+/// Bounds a graceful close: how long the client's input is still read, and discarded, after this side has
+/// closed.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
+/// At a stop, how long a new connection may stay open without a command: a client that has just connected is
+/// about to send one.
+const FIRST_COMMAND_GRACE: Duration = Duration::from_millis(200);
+/// Number of closing connections that do not count towards the limit of client connections. Others are
+/// accepted in their place, on file descriptors reserved for that.
+const MAX_UNCOUNTED_CLOSING: usize = 8;
 
-/// Commands of one connection that wait for their answers at most; the rest waits to be read.
-const MOST_PENDING: usize = 64;
-/// The pause after an accept that failed.
-const NOT_ACCEPTED: Duration = Duration::from_millis(10);
-/// How long one idle connection is waited for to make room before another is tried.
-const LOOK: Duration = Duration::from_millis(20);
+/// Largest number of commands of one connection that wait for their replies. Further commands are not read
+/// until then.
+const MAX_PENDING_COMMANDS: usize = 64;
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// How long to wait for an idle connection to close before another is chosen for eviction.
+const EVICTION_WAIT: Duration = Duration::from_millis(20);
 
-/// Why a connection ends; it does not end well or badly.
+/// The code of the reason why a connection has ended. There is no `Ok`, as every connection ends for some
+/// reason.
 type Ended = Result<std::convert::Infallible, &'static str>;
 
-/// An open connection, as the others see it.
-struct Line {
-    /// Something has come on it.
-    spoke: Cell<bool>,
+/// State of an open connection that the tasks of other connections use.
+struct Connection {
+    /// Something was received on it.
+    has_received: Cell<bool>,
+    /// When it became idle; `None` while a command is being received or waits for its reply, and once it is
+    /// closing.
     idle_since: Cell<Option<Instant>>,
-    /// Commands that name what is not known.
-    turned_away: Cell<u64>,
-    /// When the command that is coming in began to come.
-    begun: Cell<Option<Instant>>,
-    since: Instant,
-    hang_up: Notify,
+    /// Number of commands rejected because they name something unknown.
+    rejected_commands: Cell<u64>,
+    /// When the first byte of the command that is being received arrived.
+    command_started_at: Cell<Option<Instant>>,
+    opened_at: Instant,
+    /// Signalled to close the connection as soon as it is idle.
+    close_requested: Notify,
 }
 
+/// The client connections of a sender.
 pub struct Clients {
     exchange: Rc<Exchange>,
-    most: usize,
-    lines: RefCell<BTreeMap<u64, Rc<Line>>>,
-    next: Cell<u64>,
-    /// Those of the lines that are being ended, and read what still comes.
-    leaving: Cell<usize>,
-    left: Notify,
+    max_connections: usize,
+    /// Open connections by number, including those that are closing.
+    connections: RefCell<BTreeMap<u64, Rc<Connection>>>,
+    next_number: Cell<u64>,
+    /// Number of connections that are closing and discard what they still receive.
+    closing_count: Cell<usize>,
+    /// Signalled when a connection begins to close and when it is closed.
+    connection_released: Notify,
     stopping: Cell<bool>,
-    /// Told once no more connections are accepted.
-    closing: Notify,
-    /// How often the system refused to accept.
-    not_accepted: Cell<u64>,
+    /// Signalled when no more connections are to be accepted.
+    accept_stopped: Notify,
+    /// Number of times that the system refused to accept a connection.
+    accept_errors: Cell<u64>,
 }
 
 impl Clients {
-    pub fn new(exchange: Rc<Exchange>, most: usize) -> Rc<Self> {
-        let (lines, next, leaving) = (RefCell::default(), Cell::new(0), Cell::new(0));
-        let (left, stopping, closing) = (Notify::new(), Cell::new(false), Notify::new());
-        let not_accepted = Cell::new(0);
-        Rc::new(Clients { exchange, most, lines, next, leaving, left, stopping, closing, not_accepted })
+    /// Creates the state for at most `max_connections` client connections.
+    pub fn new(exchange: Rc<Exchange>, max_connections: usize) -> Rc<Self> {
+        let (connections, next_number, closing_count) = (RefCell::default(), Cell::new(0), Cell::new(0));
+        let (connection_released, stopping, accept_stopped) =
+            (Notify::new(), Cell::new(false), Notify::new());
+        let accept_errors = Cell::new(0);
+        Rc::new(Clients {
+            exchange,
+            max_connections,
+            connections,
+            next_number,
+            closing_count,
+            connection_released,
+            stopping,
+            accept_stopped,
+            accept_errors,
+        })
     }
 
-    /// Accepts clients until that is called off, and hands the listener back: who waits in its queue is still owed a word.
+    /// Accepts connections until [`stop_accepting`](Self::stop_accepting) is called, and then returns the
+    /// listener: clients that wait in its queue must still be served.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) -> TcpListener {
         loop {
             let next = async {
-                self.make_room().await;
+                self.wait_for_capacity().await;
                 listener.accept().await
             };
             let accepted = tokio::select! {
                 accepted = next => accepted,
-                () = self.closing.notified() => return listener,
+                () = self.accept_stopped.notified() => return listener,
             };
             match accepted {
-                Ok((stream, peer)) => self.begin_line(stream, peer),
-                Err(fault) => {
-                    self.note_not_accepted(&fault);
-                    sleep(NOT_ACCEPTED).await; // out of descriptors, perhaps: not in a busy loop
+                Ok((stream, peer)) => self.start_connection(stream, peer),
+                Err(error) => {
+                    self.log_accept_error(&error);
+                    sleep(ACCEPT_RETRY_DELAY).await; // file descriptors may be exhausted: avoids a busy loop
                 }
             }
         }
     }
 
-    /// The system may refuse to accept for a moment or for long. The log has a line for the first time and for each that doubles it.
-    fn note_not_accepted(&self, fault: &io::Error) {
-        let count = self.not_accepted.get() + 1;
-        self.not_accepted.set(count);
+    /// Counts a failed accept, and logs the first and each that doubles the count: the system may refuse to
+    /// accept for a moment or for a long time.
+    fn log_accept_error(&self, error: &io::Error) {
+        let count = self.accept_errors.get() + 1;
+        self.accept_errors.set(count);
         if count.is_power_of_two() {
-            log::warn!("clients: code=not_accepted count={count} {fault}");
+            log::warn!("clients: code=not_accepted count={count} {error}");
         }
     }
 
-    /// Counted before the next one is accepted, which may be before this one's task runs.
-    fn begin_line(self: &Rc<Self>, stream: TcpStream, peer: SocketAddr) {
-        let (number, line) = self.enter();
-        tokio::task::spawn_local(self.clone().serve(stream, peer, number, line));
+    /// Registers a connection before its task starts, as the next connection may be accepted before that task
+    /// first runs.
+    fn start_connection(self: &Rc<Self>, stream: TcpStream, peer: SocketAddr) {
+        let (number, connection) = self.register();
+        tokio::task::spawn_local(self.clone().serve(stream, peer, number, connection));
     }
 
-    /// No more are accepted but those that wait in the queue by now: closing it would reset them unseen. True once there were none.
+    /// Accepts the connections that wait in the listener's queue, as closing the listener would reset them
+    /// unread. Returns true if there were none.
     ///
-    /// An accept that fails says nothing of those that wait: it is made again with the next call of this.
+    /// A failed accept does not tell whether connections wait; call this again to retry.
     pub fn empty_queue(self: &Rc<Self>, listener: &std::net::TcpListener) -> bool {
-        let mut came = 0;
-        while self.open() < self.most + MOST_LEAVING {
-            let begun = listener.accept().and_then(|(stream, peer)| {
+        let mut accepted_count = 0;
+        while self.open() < self.max_connections + MAX_UNCOUNTED_CLOSING {
+            let accepted = listener.accept().and_then(|(stream, peer)| {
                 stream.set_nonblocking(true)?;
                 Ok((TcpStream::from_std(stream)?, peer))
             });
-            match begun {
-                Ok((stream, peer)) => self.begin_line(stream, peer),
-                Err(fault) if fault.kind() == io::ErrorKind::WouldBlock => return came == 0,
-                Err(fault) => {
-                    self.note_not_accepted(&fault);
+            match accepted {
+                Ok((stream, peer)) => self.start_connection(stream, peer),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return accepted_count == 0,
+                Err(error) => {
+                    self.log_accept_error(&error);
                     return false;
                 }
             }
-            came += 1;
+            accepted_count += 1;
         }
         false
     }
 
+    /// Makes [`accept`](Self::accept) return.
     pub fn stop_accepting(&self) {
-        self.closing.notify_one();
+        self.accept_stopped.notify_one();
     }
 
+    /// Number of open connections, including those that are closing.
     pub fn open(&self) -> usize {
-        self.lines.borrow().len()
+        self.connections.borrow().len()
     }
 
-    /// Guards against more connections than descriptors: the one that has been idle the longest gives way. Those on
-    /// which nothing came yet go last, and for no other reason: some clients connect seconds before their first
-    /// packet, and a close would fail it. Where none is idle, new ones wait to be accepted.
-    async fn make_room(&self) {
-        while self.open() >= self.most + self.leaving.get().min(MOST_LEAVING) {
-            let lines = self.lines.borrow().values().cloned().collect::<Vec<_>>();
-            // Where many linger, their places are waited for: each further one that is ended would only join them.
-            let more = self.leaving.get() < MOST_LEAVING;
-            let idle = lines.iter().filter(|line| more && line.idle_since.get().is_some());
-            if let Some(line) = idle.min_by_key(|line| (!line.spoke.get(), line.idle_since.get())) {
-                line.hang_up.notify_one();
+    /// Waits until another connection may be open, so that connections never exceed the file descriptors.
+    /// Closes the connection that has been idle the longest. Those that have received nothing yet are closed
+    /// last, and only for this reason: some clients connect seconds before their first packet, and the close
+    /// would fail that packet. If none is idle, new connections wait to be accepted.
+    async fn wait_for_capacity(&self) {
+        while self.open() >= self.max_connections + self.closing_count.get().min(MAX_UNCOUNTED_CLOSING) {
+            let connections = self.connections.borrow().values().cloned().collect::<Vec<_>>();
+            // While many are closing, this waits for them: another one would only join them.
+            let may_evict = self.closing_count.get() < MAX_UNCOUNTED_CLOSING;
+            let idle =
+                connections.iter().filter(|candidate| may_evict && candidate.idle_since.get().is_some());
+            if let Some(oldest) =
+                idle.min_by_key(|candidate| (!candidate.has_received.get(), candidate.idle_since.get()))
+            {
+                oldest.close_requested.notify_one();
             }
-            let _ = timeout(LOOK, self.left.notified()).await; // a command may have come on it meanwhile
+            // Bounded, as the chosen connection may have received a command meanwhile.
+            let _ = timeout(EVICTION_WAIT, self.connection_released.notified()).await;
         }
     }
 
-    /// Ends connections as they fall idle. What a client still hands in on the others is answered.
+    /// Closes each connection as soon as it is idle. Packets that clients still submit on the others get
+    /// their replies.
     pub fn hang_up(&self) {
         self.stopping.set(true);
-        self.lines.borrow().values().for_each(|line| line.hang_up.notify_one());
+        self.connections.borrow().values().for_each(|connection| connection.close_requested.notify_one());
     }
 
-    fn enter(&self) -> (u64, Rc<Line>) {
-        let (spoke, idle_since) = (Cell::new(false), Cell::new(Some(Instant::now())));
-        let (begun, hang_up) = (Cell::new(None), Notify::new());
-        let (turned_away, since) = (Cell::new(0), Instant::now());
-        let line = Rc::new(Line { spoke, idle_since, turned_away, begun, since, hang_up });
-        let number = self.next.replace(self.next.get() + 1);
-        self.lines.borrow_mut().insert(number, line.clone());
-        (number, line)
+    fn register(&self) -> (u64, Rc<Connection>) {
+        let (has_received, idle_since) = (Cell::new(false), Cell::new(Some(Instant::now())));
+        let (command_started_at, close_requested) = (Cell::new(None), Notify::new());
+        let (rejected_commands, opened_at) = (Cell::new(0), Instant::now());
+        let connection = Rc::new(Connection {
+            has_received,
+            idle_since,
+            rejected_commands,
+            command_started_at,
+            opened_at,
+            close_requested,
+        });
+        let number = self.next_number.replace(self.next_number.get() + 1);
+        self.connections.borrow_mut().insert(number, connection.clone());
+        (number, connection)
     }
 
-    async fn serve(self: Rc<Self>, stream: TcpStream, peer: SocketAddr, number: u64, line: Rc<Line>) {
+    async fn serve(
+        self: Rc<Self>,
+        stream: TcpStream,
+        peer: SocketAddr,
+        number: u64,
+        connection: Rc<Connection>,
+    ) {
         let _ = stream.set_nodelay(true);
         let mut stream = Socket(stream);
-        let mut answered = 0u64;
-        let Err(code) = self.talk(&mut stream, &line, &mut answered).await;
-        line.idle_since.set(None);
-        self.leaving.set(self.leaving.get() + 1);
-        self.left.notify_one();
-        end(stream, code).await;
-        self.leaving.set(self.leaving.get() - 1);
-        self.lines.borrow_mut().remove(&number);
-        self.left.notify_one();
-        let turned_away = line.turned_away.get();
+        let mut replies_sent = 0u64;
+        let Err(code) = self.process_commands(&mut stream, &connection, &mut replies_sent).await;
+        connection.idle_since.set(None);
+        self.closing_count.set(self.closing_count.get() + 1);
+        self.connection_released.notify_one();
+        close_gracefully(stream, code).await;
+        self.closing_count.set(self.closing_count.get() - 1);
+        self.connections.borrow_mut().remove(&number);
+        self.connection_released.notify_one();
+        let rejected = connection.rejected_commands.get();
         log::info!(
-            "client {peer}: connection ended, code={code} answers={answered} turned_away={turned_away}"
+            "client {peer}: connection ended, code={code} answers={replies_sent} turned_away={rejected}"
         );
     }
 
-    /// Speaks with one client until its connection ends; tells why it did. Commands are read on while others wait
-    /// for their answers, which go out in the same order.
-    async fn talk(&self, stream: &mut Socket, line: &Line, answered: &mut u64) -> Ended {
-        let mut buffer = BytesMut::with_capacity(USUAL);
+    /// Processes the commands of a connection until it ends, and returns the code of the reason. Reads
+    /// further commands while earlier ones wait for their replies, which are written in the order of the
+    /// commands.
+    async fn process_commands(
+        &self,
+        stream: &mut Socket,
+        connection: &Connection,
+        replies_sent: &mut u64,
+    ) -> Ended {
+        let mut buffer = BytesMut::with_capacity(INITIAL_BUFFER_BYTES);
         let mut pending = VecDeque::new();
         loop {
-            let unreadable = self.understand(line, &mut buffer, &mut pending);
-            if let (Some((words, code)), true) = (unreadable, pending.is_empty()) {
-                return refuse(stream, words, code).await;
+            let malformed = self.start_commands(connection, &mut buffer, &mut pending);
+            if let (Some((message, code)), true) = (malformed, pending.is_empty()) {
+                return send_error(stream, message, code).await;
             }
-            let reads = unreadable.is_none() && pending.len() < MOST_PENDING;
-            let open = !pending.is_empty();
-            let read = tokio::select! {
-                answer = first(&mut pending, line), if open => Ok(Some(answer)),
-                read = self.more(stream, line, &mut buffer, open), if reads => read.map(|()| None),
+            let may_read = malformed.is_none() && pending.len() < MAX_PENDING_COMMANDS;
+            let has_pending = !pending.is_empty();
+            let progress = tokio::select! {
+                reply = next_reply(&mut pending, connection), if has_pending => Ok(Some(reply)),
+                read = self.read_more(stream, connection, &mut buffer, has_pending), if may_read =>
+                    read.map(|()| None),
             };
-            match read {
+            match progress {
                 Ok(None) => {}
-                Ok(Some(answer)) => write(stream, answer, &mut pending, answered).await?,
+                Ok(Some(reply)) => write_replies(stream, reply, &mut pending, replies_sent).await?,
                 Err(code) => {
-                    // A client may end its side as soon as it has said all: it is answered all the same.
+                    // A client may close its side after its last command and still receives all replies.
                     while !pending.is_empty() {
-                        let answer = first(&mut pending, line).await;
-                        write(stream, answer, &mut pending, answered).await?;
+                        let reply = next_reply(&mut pending, connection).await;
+                        write_replies(stream, reply, &mut pending, replies_sent).await?;
                     }
                     return match code {
-                        "slow" | "cut" => refuse(stream, code, code).await,
+                        "slow" | "cut" => send_error(stream, code, code).await,
                         code => Err(code),
                     };
                 }
@@ -228,163 +284,172 @@
         }
     }
 
-    /// Begins all commands that have come whole. Tells what is wrong with the input and the code for it, if it
-    /// cannot be read on.
-    fn understand(
+    /// Starts all commands that were received completely. Returns the error message and the code if the input
+    /// is malformed and nothing more can be read.
+    fn start_commands(
         &self,
-        line: &Line,
+        connection: &Connection,
         buffer: &mut BytesMut,
-        pending: &mut VecDeque<Begun>,
+        pending: &mut VecDeque<PendingCommand>,
     ) -> Option<(&'static str, &'static str)> {
-        while pending.len() < MOST_PENDING {
+        while pending.len() < MAX_PENDING_COMMANDS {
             match resp::command(buffer) {
-                Ok(Some((Command::Faulty(words), _))) => return Some((words, "malformed")),
+                Ok(Some((Command::Faulty(message), _))) => return Some((message, "malformed")),
                 Ok(Some((command, used))) => {
-                    line.idle_since.set(None);
-                    line.begun.set(None);
-                    pending.push_back(self.begin(&command, line));
+                    connection.idle_since.set(None);
+                    connection.command_started_at.set(None);
+                    pending.push_back(self.start_command(&command, connection));
                     buffer.advance(used);
                 }
                 Ok(None) if buffer.len() <= resp::MOST_COMMAND => return None,
                 Ok(None) | Err("too large") => return Some(("too large", "oversized")),
-                Err(words) => return Some((words, "malformed")),
+                Err(message) => return Some((message, "malformed")),
             }
         }
         None
     }
 
-    /// Reads on. Only where no command has begun or waits for its answer does a connection count as idle and may
-    /// be ended from this side.
-    async fn more(
+    /// Reads more input. A connection counts as idle, and may be closed by this side, only while no command
+    /// is being received and none waits for its reply.
+    async fn read_more(
         &self,
         stream: &mut Socket,
-        line: &Line,
+        connection: &Connection,
         buffer: &mut BytesMut,
-        open: bool,
+        has_pending: bool,
     ) -> Result<(), &'static str> {
-        let begun = !buffer.is_empty();
-        // From its first byte on, so that a client that dribbles holds its place no longer than others.
-        let since = line.begun.get().unwrap_or_else(Instant::now);
-        line.begun.set(begun.then_some(since));
-        let idle = !begun && !open;
-        line.idle_since.set(idle.then(Instant::now));
-        if idle && buffer.capacity() > ROOMY {
-            *buffer = BytesMut::with_capacity(USUAL); // hundreds of idle clients keep no large buffers
+        let in_command = !buffer.is_empty();
+        // The timeout runs from the first byte, so that a client that sends a byte now and then cannot extend
+        // it.
+        let started_at = connection.command_started_at.get().unwrap_or_else(Instant::now);
+        connection.command_started_at.set(in_command.then_some(started_at));
+        let idle = !in_command && !has_pending;
+        connection.idle_since.set(idle.then(Instant::now));
+        if idle && buffer.capacity() > MAX_IDLE_BUFFER_BYTES {
+            // There may be hundreds of idle connections, which must not retain large buffers.
+            *buffer = BytesMut::with_capacity(INITIAL_BUFFER_BYTES);
         }
-        let hang_up = async {
+        let closed_by_us = async {
             if !self.stopping.get() {
-                line.hang_up.notified().await;
+                connection.close_requested.notified().await;
             }
-            if self.stopping.get() && !line.spoke.get() {
-                sleep_until((line.since + FIRST_WORD).into()).await;
+            if self.stopping.get() && !connection.has_received.get() {
+                sleep_until((connection.opened_at + FIRST_COMMAND_GRACE).into()).await;
             }
-            // What has come by now is read first.
+            // Input that has arrived by now is read first.
             yield_now().await;
         };
         let read = tokio::select! {
             biased;
             read = stream.read_buf(buffer) => read,
-            () = hang_up, if idle => {
+            () = closed_by_us, if idle => {
                 return Err(if self.stopping.get() { "stopping" } else { "evicted" });
             }
-            () = sleep_until((since + SLOW).into()), if begun => return Err("slow"),
+            () = sleep_until((started_at + IO_TIMEOUT).into()), if in_command => return Err("slow"),
         };
-        line.spoke.set(true);
+        connection.has_received.set(true);
         match read {
-            Ok(0) if begun => Err("cut"),
+            Ok(0) if in_command => Err("cut"),
             Ok(0) => Err("closed"),
             Ok(_) => Ok(()),
-            Err(fault) if fault.kind() == io::ErrorKind::ConnectionReset => Err("reset"),
+            Err(error) if error.kind() == io::ErrorKind::ConnectionReset => Err("reset"),
             Err(_) => Err("broken"),
         }
     }
 
-    fn begin(&self, command: &Command, line: &Line) -> Begun {
+    fn start_command(&self, command: &Command, connection: &Connection) -> PendingCommand {
         match command {
-            Command::Ping(echo) => Begun::Done(resp::pong(*echo)),
-            Command::Put(put) => Begun::Taking(self.exchange.take(put)),
-            Command::Unknown | Command::Faulty(_) => Begun::Done(unknown("command", line)),
+            Command::Ping(echo) => PendingCommand::Ready(resp::pong(*echo)),
+            Command::Put(put) => PendingCommand::Submitted(self.exchange.take(put)),
+            Command::Unknown | Command::Faulty(_) => PendingCommand::Ready(reject("command", connection)),
         }
     }
 }
 
-/// A command whose bytes are no longer needed.
-enum Begun {
-    Done(Vec<u8>),
-    Taking(tokio::sync::oneshot::Receiver<Answer>),
+/// A command whose bytes are no longer needed, and whose reply is not written yet.
+enum PendingCommand {
+    /// The reply is known.
+    Ready(Vec<u8>),
+    /// The packet was submitted to the exchange.
+    Submitted(tokio::sync::oneshot::Receiver<Answer>),
 }
 
-impl Begun {
-    /// May be given up and called again until it has told the answer.
-    async fn finish(&mut self, line: &Line) -> Vec<u8> {
+impl PendingCommand {
+    /// Waits for the reply. Cancel safe: the future may be dropped and created anew until it has returned the
+    /// reply.
+    async fn reply(&mut self, connection: &Connection) -> Vec<u8> {
         let answer = match self {
-            Begun::Done(answer) => return std::mem::take(answer),
-            Begun::Taking(answer) => answer.await,
+            PendingCommand::Ready(reply) => return std::mem::take(reply),
+            PendingCommand::Submitted(answer) => answer.await,
         };
         match answer {
-            Ok(Answer::Taken) => resp::TAKEN.to_vec(),
+            Ok(Answer::Accepted) => resp::TAKEN.to_vec(),
             Ok(Answer::Dismissed(wait)) => resp::busy(wait),
             Ok(Answer::Scrapped) => resp::error("given up"),
-            Ok(Answer::Unknown(what)) => unknown(what, line),
+            Ok(Answer::Unknown(what)) => reject(what, connection),
             Err(_) => resp::busy(None),
         }
     }
 }
 
-/// The answer that is due next. This may be given up and called again until it has told it.
-async fn first(pending: &mut VecDeque<Begun>, line: &Line) -> Vec<u8> {
-    let Some(begun) = pending.front_mut() else { return Vec::new() };
-    let answer = begun.finish(line).await;
+/// Waits for the reply to the first pending command and removes the command. Cancel safe, as is
+/// [`PendingCommand::reply`].
+async fn next_reply(pending: &mut VecDeque<PendingCommand>, connection: &Connection) -> Vec<u8> {
+    let Some(command) = pending.front_mut() else { return Vec::new() };
+    let reply = command.reply(connection).await;
     pending.pop_front();
-    answer
+    reply
 }
 
-/// Writes an answer, and with it those behind it that are known by now.
-async fn write(
+/// Writes a reply together with the replies behind it that are already known.
+async fn write_replies(
     stream: &mut Socket,
-    mut answer: Vec<u8>,
-    pending: &mut VecDeque<Begun>,
-    answered: &mut u64,
+    mut replies: Vec<u8>,
+    pending: &mut VecDeque<PendingCommand>,
+    replies_sent: &mut u64,
 ) -> Result<(), &'static str> {
-    *answered += 1;
-    while let Some(Begun::Done(next)) = pending.front() {
-        answer.extend_from_slice(next);
+    *replies_sent += 1;
+    while let Some(PendingCommand::Ready(next)) = pending.front() {
+        replies.extend_from_slice(next);
         pending.pop_front();
-        *answered += 1;
+        *replies_sent += 1;
     }
-    match timeout(SLOW, stream.write_all(&answer)).await {
+    match timeout(IO_TIMEOUT, stream.write_all(&replies)).await {
         Ok(Ok(())) => Ok(()),
         Ok(Err(_)) => Err("reset"),
         Err(_) => Err("slow"),
     }
 }
 
-/// Guards against a log that a client fills which comes again as soon as it is turned away: one line for its first,
-/// and their number as its connection ends.
-fn unknown(what: &str, line: &Line) -> Vec<u8> {
-    if line.turned_away.replace(line.turned_away.get() + 1) == 0 {
+/// Counts a command that names something unknown, and returns the error reply. Logs only the first of a
+/// connection; their number is logged when the connection ends. Otherwise a client that retries at once after
+/// each rejection would fill the log.
+fn reject(what: &str, connection: &Connection) -> Vec<u8> {
+    if connection.rejected_commands.replace(connection.rejected_commands.get() + 1) == 0 {
         log::warn!("clients: code=unknown_{what}");
     }
     resp::error(&format!("unknown {what}"))
 }
 
-/// Tells a client why its connection ends.
-async fn refuse(stream: &mut Socket, words: &str, code: &'static str) -> Ended {
-    let _ = timeout(LINGER, stream.write_all(&resp::error(words))).await;
+/// Writes an error reply with the reason why the connection ends.
+async fn send_error(stream: &mut Socket, message: &str, code: &'static str) -> Ended {
+    let _ = timeout(LINGER_TIMEOUT, stream.write_all(&resp::error(message))).await;
     Err(code)
 }
 
-/// The one way in which a client's connection ends. All that was read is answered by now. A close over bytes that were not read
-/// would reset it, and answers that are still on their way with it: so this side ends first, and what still comes is read,
-/// until the client has ended too, and neither taken on nor sent on. Its client sends it once more elsewhere.
-async fn end(mut stream: Socket, code: &'static str) {
+/// Closes a client's connection. Every connection ends here, after all commands that were read have got their
+/// replies. Closing a socket with unread input would reset the connection, and replies still on their way
+/// would be lost. So this side shuts down its direction first, then reads and discards input until the client
+/// has closed too. Discarded packets are neither accepted nor dispatched; the client submits them again
+/// elsewhere.
+async fn close_gracefully(mut stream: Socket, code: &'static str) {
     if matches!(code, "reset" | "broken") {
         return;
     }
-    let ended = async {
+    let closed = async {
         stream.shutdown().await?;
         while stream.read(&mut [0; 4096]).await? > 0 {}
         io::Result::Ok(())
     };
-    let _ = timeout(LINGER, ended).await;
+    let _ = timeout(LINGER_TIMEOUT, closed).await;
 }
--- a/crates/sailcart-sender/src/endpoints.rs
+++ b/crates/sailcart-sender/src/endpoints.rs
@@ -1,4 +1,5 @@
-//! The endpoints' side: calls go out, each written once, and what comes of them is told to their owner.
+//! Sends calls to endpoints. Each call is written once and never retried here; its outcome is passed to its
+//! owner.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -12,7 +13,7 @@
 use tokio::time::{sleep, timeout_at};
 
 use crate::caller::{self, Reply};
-use crate::exchange::guard::{Permit, Refusal};
+use crate::exchange::invariants::{Permit, Refusal};
 use crate::machine;
 use crate::memory::pool::{Pool, ended};
 use crate::outgoing::{Call, CallOwner};
@@ -21,31 +22,34 @@
 use crate::wire::call::{self, Ending, Parcel};
 use crate::wire::http::Head;
 
-/// How long the rest of an answer may take once it has begun to come.
-const REST: Duration = Duration::from_millis(250);
+/// Bounds the time from the first byte of a response to its last.
+const RESPONSE_READ_TIMEOUT: Duration = Duration::from_millis(250);
 
+/// Sends calls, and holds the idle connections to endpoints.
 pub struct Endpoints {
     pool: RefCell<Pool>,
-    connect_time_out: Duration,
-    /// Connections that did not come up for a reason of this machine.
-    own_faults: Cell<u64>,
+    connect_timeout: Duration,
+    /// Number of connections that could not be established because of local errors.
+    local_errors: Cell<u64>,
 }
 
 impl Endpoints {
-    pub fn new(pool: Pool, connect_time_out: Duration) -> Self {
-        Endpoints { pool: RefCell::new(pool), connect_time_out, own_faults: Cell::new(0) }
+    /// `connect_timeout` bounds connecting, in addition to the timeout of each call.
+    pub fn new(pool: Pool, connect_timeout: Duration) -> Self {
+        Endpoints { pool: RefCell::new(pool), connect_timeout, local_errors: Cell::new(0) }
     }
 
-    /// Closes an endpoint's idle connections.
+    /// Closes an endpoint's idle connections. `code` is the reason in the log.
     pub fn close(&self, endpoint: EndpointId, code: &str) {
         self.pool.borrow_mut().close(endpoint, code);
     }
 
+    /// Closes all idle connections. `code` is the reason in the log.
     pub fn close_all(&self, code: &str) {
         self.pool.borrow_mut().close_all(code);
     }
 
-    /// Closes idle connections before their peers do.
+    /// Closes idle connections before their peers do. Runs until it is dropped.
     pub async fn sweep(self: Rc<Self>) {
         loop {
             sleep(Duration::from_millis(250)).await;
@@ -53,124 +57,133 @@
         }
     }
 
-    /// Carries a call out. Its connection has ended, or is idle again, before its outcome is told.
-    pub async fn carry(self: Rc<Self>, call: Call, owner: Rc<impl CallOwner>) {
-        owner.turn_comes(&call).await;
-        let (endings, head, keeps) = match self.connect(&call).await {
-            Err(outcome) => (alike(&call, outcome), None, None),
+    /// Executes a call. When its owner receives the outcome, its connection is closed or idle again.
+    pub async fn execute(self: Rc<Self>, call: Call, owner: Rc<impl CallOwner>) {
+        owner.wait_for_key_order(&call).await;
+        let (endings, head, reusable) = match self.connect(&call).await {
+            Err(outcome) => (same_for_all(&call, outcome), None, None),
             Ok(stream) => match owner.permit(&call) {
-                Ok(permit) => speak(&call, stream, permit).await,
-                Err(Refusal::NotNow) => (alike(&call, Outcome::NoSlot), None, Some(stream)),
-                Err(Refusal::Unrecorded) => (alike(&call, Outcome::Unsent), None, Some(stream)),
+                Ok(permit) => send(&call, stream, permit).await,
+                Err(Refusal::NotNow) => (same_for_all(&call, Outcome::NoSlot), None, Some(stream)),
+                Err(Refusal::Unrecorded) => (same_for_all(&call, Outcome::Unsent), None, Some(stream)),
             },
         };
-        match keeps {
+        match reusable {
             Some(stream) if owner.lists(call.endpoint) => {
                 self.pool.borrow_mut().put(call.endpoint, call.address, stream);
             }
             Some(_) => ended(call.address, "unlisted"),
             None => {}
         }
-        owner.came_back(&call, &endings, head.as_ref());
+        owner.call_completed(&call, &endings, head.as_ref());
     }
 
-    /// A connection for a call, or how it fared without one.
+    /// Returns an idle or new connection for a call, or the outcome if there is none.
     async fn connect(&self, call: &Call) -> Result<Socket, Outcome> {
         let idle = self.pool.borrow_mut().take(call.endpoint);
         if let Some(idle) = idle {
             return Ok(idle);
         }
-        let end = call.start + call.time_out.min(self.connect_time_out);
+        let deadline = call.started_at + call.timeout.min(self.connect_timeout);
         let connected = tokio::select! {
-            connected = timeout_at(end.into(), TcpStream::connect(call.address)) => connected,
-            () = call.called_off.notified() => return Err(Outcome::NoConnection),
+            connected = timeout_at(deadline.into(), TcpStream::connect(call.address)) => connected,
+            () = call.cancelled.notified() => return Err(Outcome::NoConnection),
         };
         let connected = connected.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
         let usable = connected.and_then(|stream| stream.set_nodelay(true).map(|()| Socket(stream)));
-        usable.map_err(|fault| self.no_connection(call, &fault))
+        usable.map_err(|error| self.connect_failed(call, &error))
     }
 
-    /// What a connection that did not come up says, with its line in the log. Faults of this machine come in rows, on the way to all
-    /// endpoints: the first of a row and each that doubles it have a line.
-    fn no_connection(&self, call: &Call, fault: &io::Error) -> Outcome {
+    /// Logs a failed connect and returns its outcome. Local errors affect calls to all endpoints in quick
+    /// succession, so only the first and each that doubles their count are logged.
+    fn connect_failed(&self, call: &Call, error: &io::Error) -> Outcome {
         let address = call.address;
-        if machine::is_own_fault(fault) {
-            let count = self.own_faults.get() + 1;
-            self.own_faults.set(count);
+        if machine::is_own_fault(error) {
+            let count = self.local_errors.get() + 1;
+            self.local_errors.set(count);
             if count.is_power_of_two() {
-                log::warn!("endpoint {address}: no connection, code=own_fault count={count} {fault}");
+                log::warn!("endpoint {address}: no connection, code=own_fault count={count} {error}");
             }
             return Outcome::Unsent;
         }
-        let code = if fault.kind() == io::ErrorKind::TimedOut { "time_out" } else { "refused" };
-        log::info!("endpoint {address}: no connection, code={code} {fault}");
+        let code = if error.kind() == io::ErrorKind::TimedOut { "time_out" } else { "refused" };
+        log::info!("endpoint {address}: no connection, code={code} {error}");
         Outcome::NoConnection
     }
 }
 
-/// One call and what came of it, the head of its answer, and its connection if another call can go there.
-async fn speak(
+/// Sends a call and reads its response. Returns the outcome of each packet, the head of the response, and the
+/// connection if it can be used for another call.
+async fn send(
     call: &Call,
     mut stream: Socket,
     _permit: Permit,
 ) -> (Vec<Ending>, Option<Head>, Option<Socket>) {
-    let end = call.start + call.time_out;
-    let budget = end.saturating_duration_since(Instant::now());
-    let parcels: Vec<Parcel> = call.packets.iter().map(|packet| parcel(packet)).collect();
-    let bytes = call::write(&call.address.to_string(), &parcels, budget);
+    let deadline = call.started_at + call.timeout;
+    let budget = deadline.saturating_duration_since(Instant::now());
+    let parcels: Vec<Parcel> = call.packets.iter().map(|packet| to_parcel(packet)).collect();
+    let request = call::write(&call.address.to_string(), &parcels, budget);
     let (mut written, mut reply) = (false, Reply::default());
-    let spoken = tokio::select! {
-        spoken = timeout_at(end.into(), turn(&mut stream, &bytes, &mut written, &mut reply)) => {
-            spoken.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
+    let result = tokio::select! {
+        result = timeout_at(deadline.into(), round_trip(&mut stream, &request, &mut written, &mut reply)) => {
+            result.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
         }
-        () = call.called_off.notified() => Err(io::ErrorKind::Interrupted.into()),
+        () = call.cancelled.notified() => Err(io::ErrorKind::Interrupted.into()),
     };
     let ids: Vec<&str> = call.packets.iter().map(|packet| &*packet.id).collect();
-    let endings = match (&reply.head, &spoken) {
-        // Guards against a packet that is sent on although its answer came: the rest of it may be spoilt.
+    let endings = match (&reply.head, &result) {
+        // The status alone completes the packet, so that it is not sent again if the rest of the response is
+        // malformed.
         _ if call::settled(reply.status, ids.len()) => vec![(Outcome::Done, true)],
         (Some(head), Ok(())) => call::endings(head, &reply.body, &ids),
-        (_, Err(fault)) => alike(call, broken(written || reply.status.is_some(), fault)),
-        (None, Ok(())) => alike(call, Outcome::Reset),
+        (_, Err(error)) => same_for_all(call, failure(written || reply.status.is_some(), error)),
+        (None, Ok(())) => same_for_all(call, Outcome::Reset),
     };
-    match spoken {
-        // Not where the rest of its call is still owed on it.
+    match result {
+        // A connection on which part of the request was not written cannot be reused.
         Ok(()) if written && reply.keeps() => {
             stream.nothing_is_due();
             return (endings, reply.head, Some(stream));
         }
         Ok(()) => ended(call.address, "answer_closes"),
-        Err(fault) => ended(call.address, code(&fault)),
+        Err(error) => ended(call.address, log_code(&error)),
     }
     (endings, reply.head, None)
 }
 
-/// One call and its answer. Nothing sends it again. An answer may come before the call is written whole; nothing more of it is
-/// written then. An endpoint may also have answered before it closes over what it has not read, so a write that fails is no end.
-async fn turn(stream: &mut Socket, bytes: &[u8], written: &mut bool, reply: &mut Reply) -> io::Result<()> {
-    let (mut reading, mut writing) = stream.split();
-    let mut answer = pin!(caller::read(&mut reading, MOST_BODY, REST, reply));
+/// Writes a request and reads its response; nothing is sent again. A response may arrive before the request
+/// is written completely; the rest of the request is then not written. An endpoint may also have responded
+/// before it closes with unread input, so a failed write does not end the call.
+async fn round_trip(
+    stream: &mut Socket,
+    request: &[u8],
+    written: &mut bool,
+    reply: &mut Reply,
+) -> io::Result<()> {
+    let (mut reader, mut writer) = stream.split();
+    let mut response = pin!(caller::read(&mut reader, MOST_BODY, RESPONSE_READ_TIMEOUT, reply));
     *written = tokio::select! {
         biased;
-        sent = writing.write_all(bytes) => sent.is_ok(),
-        early = &mut answer => return early,
+        sent = writer.write_all(request) => sent.is_ok(),
+        early = &mut response => return early,
     };
-    answer.await
+    response.await
 }
 
-/// How a call ended that got no whole answer: before its last byte was written, or an answer to it began, it never began.
-fn broken(began: bool, fault: &io::Error) -> Outcome {
-    match fault.kind() {
+/// Returns the outcome of a call without a complete response. The call was not executed unless it `began`:
+/// its last byte was written, or a response to it began.
+fn failure(began: bool, error: &io::Error) -> Outcome {
+    match error.kind() {
         _ if !began => Outcome::NoConnection,
         io::ErrorKind::TimedOut => Outcome::TimedOut,
         io::ErrorKind::Interrupted => Outcome::Cancelled,
-        io::ErrorKind::InvalidData => Outcome::Error, // spoilt: it was answered, so it may have run
+        io::ErrorKind::InvalidData => Outcome::Error, // a malformed response: the call may have been executed
         _ => Outcome::Reset,
     }
 }
 
-fn code(fault: &io::Error) -> &'static str {
-    match fault.kind() {
+fn log_code(error: &io::Error) -> &'static str {
+    match error.kind() {
         io::ErrorKind::TimedOut => "timed_out",
         io::ErrorKind::Interrupted => "called_off",
         io::ErrorKind::InvalidData => "malformed",
@@ -179,10 +192,10 @@
     }
 }
 
-fn alike(call: &Call, outcome: Outcome) -> Vec<Ending> {
+fn same_for_all(call: &Call, outcome: Outcome) -> Vec<Ending> {
     vec![(outcome, false); call.packets.len()]
 }
 
-fn parcel(packet: &crate::memory::Packet) -> Parcel<'_> {
+fn to_parcel(packet: &crate::memory::Packet) -> Parcel<'_> {
     Parcel { id: &packet.id, mark: packet.mark.as_deref(), body: &packet.body }
 }
--- a/crates/sailcart-sender/src/exchange/calls.rs
+++ b/crates/sailcart-sender/src/exchange/calls.rs
@@ -1,4 +1,5 @@
-//! Calls to endpoints: a round's dispatches as calls, and what is asked and told of each on its way.
+//! Groups the dispatches of a round into calls, and answers for the exchange as the [`CallOwner`] of each
+//! call.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -8,48 +9,50 @@
 use tokio::sync::Notify;
 use tokio::time::sleep_until;
 
-use super::desk::Desk;
 use super::directory::Place;
-use super::guard::{Invariant, Permit, Questions, Refusal};
-use super::packets::key;
-use super::{Exchange, Within};
+use super::host_state::HostState;
+use super::invariants::{Invariant, Permit, Refusal, SendPreconditions};
+use super::packets::key_id;
+use super::{Exchange, Inner};
 use crate::memory::{Notice, Packet};
 use crate::outgoing::{Call, CallOwner};
 use crate::wire::call::{self, Ending};
 use crate::wire::http::Head;
 
 impl CallOwner for Exchange {
-    /// Waits until all that went before a call's packets in the order of their keys is over, also for the platform: an
-    /// end that is decided and not yet told is none. In time for it, or at its end.
-    async fn turn_comes(&self, call: &Call) {
-        let end = call.start + call.time_out;
+    /// Waits until all packets that precede the call's packets in the order of their keys are completed for
+    /// the platform too: a completion whose notice is not acknowledged does not count. Returns early if the
+    /// call times out or is cancelled.
+    async fn wait_for_key_order(&self, call: &Call) {
+        let deadline = call.started_at + call.timeout;
         loop {
-            let heard = self.heard.notified();
-            if !self.within.borrow().desk.waits_for_notice(call) {
+            let acknowledged = self.notices_acknowledged.notified();
+            if !self.inner.borrow().host.waits_for_notice(call) {
                 return;
             }
             tokio::select! {
-                () = heard => {}
-                () = call.called_off.notified() => return call.called_off.notify_one(),
-                () = sleep_until(end.into()) => return,
+                () = acknowledged => {}
+                () = call.cancelled.notified() => return call.cancelled.notify_one(),
+                () = sleep_until(deadline.into()) => return,
             }
         }
     }
 
     fn permit(&self, call: &Call) -> Result<Permit, Refusal> {
-        let Within { sender, desk, .. } = &mut *self.within.borrow_mut();
-        let now = desk.clock.now();
+        let Inner { sender, host, .. } = &mut *self.inner.borrow_mut();
+        let now = host.clock.now();
         let ids: Vec<PacketId> = call.packets.iter().map(|packet| packet.number).collect();
-        let over = ids.iter().find(|id| desk.ledger.packet(**id).is_none());
-        if let Some(over) = over {
-            desk.violations.count(Invariant::CallAfterEnd, &over.0);
+        let completed = ids.iter().find(|id| host.ledger.packet(**id).is_none());
+        if let Some(completed) = completed {
+            host.violations.count(Invariant::CallAfterCompletion, &completed.0);
         }
-        let may_go = ids.iter().all(|id| sender.may_still_go(now, *id)) && !desk.waits_for_notice(call);
-        let questions = Questions { kept: over.is_none(), may_go };
-        // In one record: else one that goes wrong half-way leaves doubt of packets that never went.
-        let permitted = questions.permit(|| desk.ledger.sends(&ids, desk.clock.moment(now)));
+        let allowed = ids.iter().all(|id| sender.may_still_go(now, *id)) && !host.waits_for_notice(call);
+        let preconditions = SendPreconditions { all_tracked: completed.is_none(), allowed };
+        // One record for the whole call: if separate records failed half-way, packets that were never sent
+        // would count as possibly executed.
+        let permitted = preconditions.permit(|| host.ledger.sends(&ids, host.clock.to_moment(now)));
         match &permitted {
-            Ok(_) => call.sent.set(Some(Instant::now())),
+            Ok(_) => call.sent_at.set(Some(Instant::now())),
             Err(refusal) => {
                 let names: Vec<&str> = call.packets.iter().map(|packet| &*packet.id).collect();
                 log::debug!("packet {}: not sent to {}, {refusal:?}", names.join(" "), call.address);
@@ -62,82 +65,85 @@
     }
 
     fn lists(&self, endpoint: EndpointId) -> bool {
-        self.within.borrow().desk.directory.contains(endpoint)
+        self.inner.borrow().host.directory.contains(endpoint)
     }
 
-    fn came_back(&self, call: &Call, endings: &[Ending], head: Option<&Head>) {
-        let Within { sender, desk, .. } = &mut *self.within.borrow_mut();
-        let (now, elapsed) = (desk.clock.now(), call.sent.get().unwrap_or(call.start).elapsed());
-        let told =
-            desk.names.reports.as_ref().zip(head).and_then(|(reports, head)| call::report(head, reports));
-        if let Some((report, first)) = told.zip(call.packets.first()) {
+    fn call_completed(&self, call: &Call, endings: &[Ending], head: Option<&Head>) {
+        let Inner { sender, host, .. } = &mut *self.inner.borrow_mut();
+        let (now, elapsed) = (host.clock.now(), call.sent_at.get().unwrap_or(call.started_at).elapsed());
+        let report =
+            host.names.reports.as_ref().zip(head).and_then(|(reports, head)| call::report(head, reports));
+        if let Some((report, first)) = report.zip(call.packets.first()) {
             sender.report(first.number, report);
         }
-        for (packet, (outcome, over)) in call.packets.iter().zip(endings) {
+        for (packet, (outcome, completed)) in call.packets.iter().zip(endings) {
             let id = packet.number;
-            if desk.out.remove(&id).is_none() {
-                desk.violations.count(Invariant::OutcomeOfNothing, &id.0);
+            if host.in_flight.remove(&id).is_none() {
+                host.violations.count(Invariant::OutcomeWithoutCall, &id.0);
             }
             log::debug!("packet {} from {}: {outcome:?} after {elapsed:?}", packet.id, call.address);
-            sender.outcome(now, id, elapsed, *outcome, *over);
-            if *outcome == Outcome::Done && desk.clock.is_over(packet.ends) {
-                // Whether it came in time nobody can tell here: the platform hears of an end, which does no harm to one
-                // that is over.
-                desk.owe(id, Notice::Scrapped);
-            } else if *over || *outcome == Outcome::Done {
-                desk.ledger.over(id);
+            sender.outcome(now, id, elapsed, *outcome, *completed);
+            if *outcome == Outcome::Done && host.clock.is_past(packet.ends) {
+                // Whether the packet arrived before its deadline is unknown here, so the platform is notified
+                // of its failure. Such a notice is harmless for a packet that the platform knows as
+                // completed.
+                host.queue_notice(id, Notice::Scrapped);
+            } else if *completed || *outcome == Outcome::Done {
+                host.ledger.over(id);
             } else {
-                desk.ledger.came_back(id, may_have_run(*outcome));
+                host.ledger.came_back(id, may_have_executed(*outcome));
             }
         }
-        self.bell.notify_one();
+        self.round_requested.notify_one();
     }
 }
 
 impl Exchange {
-    /// Packets that are out.
+    /// Number of packets in flight.
     pub fn calls_out(&self) -> usize {
-        self.within.borrow().desk.out.len()
+        self.inner.borrow().host.in_flight.len()
     }
 }
 
-fn may_have_run(outcome: Outcome) -> bool {
+fn may_have_executed(outcome: Outcome) -> bool {
     matches!(outcome, Outcome::Error | Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled)
 }
 
-impl Desk {
-    /// This round's dispatches as calls: those to one endpoint travel together, up to its kind's batch.
-    pub(super) fn calls(&mut self) -> Vec<Call> {
+impl HostState {
+    /// Removes the dispatches of this round and groups them into calls: those to one endpoint share a call,
+    /// up to the batch of its kind.
+    pub(super) fn take_calls(&mut self) -> Vec<Call> {
         let mut calls = Vec::new();
-        for (endpoint, sending) in std::mem::take(&mut self.sending) {
+        for (endpoint, dispatches) in std::mem::take(&mut self.dispatches) {
             let Some(Place { address, kind, .. }) = self.directory.place(endpoint) else { continue };
-            let batch = self.batches[usize::from(kind)];
-            for chunk in sending.chunks(batch) {
-                let called_off = Rc::new(Notify::new());
+            let batch = self.batch_by_kind[usize::from(kind)];
+            for chunk in dispatches.chunks(batch) {
+                let cancelled = Rc::new(Notify::new());
                 let ids = chunk.iter().map(|(id, _)| *id);
                 for id in ids.clone() {
-                    if self.out.insert(id, called_off.clone()).is_some() {
-                        self.violations.count(Invariant::SecondCallOut, &id.0);
+                    if self.in_flight.insert(id, cancelled.clone()).is_some() {
+                        self.violations.count(Invariant::SecondCallInFlight, &id.0);
                     }
                 }
-                // One answer comes for all, so the first to run out of time ends the call.
-                let time_out = chunk.iter().map(|(_, time_out)| *time_out).min().unwrap_or_default();
+                // All packets share one response, so the shortest timeout bounds the call.
+                let timeout = chunk.iter().map(|(_, timeout)| *timeout).min().unwrap_or_default();
                 let packets = ids.filter_map(|id| self.ledger.packet(id).cloned()).collect();
-                let (start, sent) = (Instant::now(), Cell::new(None));
-                calls.push(Call { endpoint, address, packets, time_out, start, sent, called_off });
+                let (started_at, sent_at) = (Instant::now(), Cell::new(None));
+                calls.push(Call { endpoint, address, packets, timeout, started_at, sent_at, cancelled });
             }
         }
         calls
     }
 
-    /// The key by which a packet goes in order, if it does.
-    pub(super) fn order(&self, packet: &Packet) -> Option<KeyId> {
+    /// The key in whose order a packet is sent, or `None` if its category is not ordered or it has no key.
+    pub(super) fn order_key(&self, packet: &Packet) -> Option<KeyId> {
         let category = *self.names.categories.get(&*packet.category)?;
-        packet.about.as_deref().filter(|_| self.in_order[category]).map(key)
+        packet.about.as_deref().filter(|_| self.in_order_by_category[category]).map(key_id)
     }
 
     fn waits_for_notice(&self, call: &Call) -> bool {
-        let mut turns = call.packets.iter().filter_map(|packet| Some((packet.number, self.order(packet)?)));
-        !self.untold.is_empty() && turns.any(|(id, key)| self.untold.before(id, key))
+        let mut keys =
+            call.packets.iter().filter_map(|packet| Some((packet.number, self.order_key(packet)?)));
+        !self.unacknowledged.is_empty() && keys.any(|(id, key)| self.unacknowledged.before(id, key))
     }
 }
--- a/crates/sailcart-sender/src/exchange/clock.rs
+++ b/crates/sailcart-sender/src/exchange/clock.rs
@@ -1,70 +1,77 @@
-//! The sender's clock: real time since this process began, and where the moments that its journal tells lie on it.
+//! The sender's clock: real time on an axis that also holds the points in time that the journal restored.
 
 use std::time::{Duration, Instant};
 
 use crate::memory::moment::{BootId, Distance, Moment, Span, Uptime, boot_id};
 
-/// Longer than any destination remembers a key.
-const LONG_AGO: Duration = Duration::from_secs(24 * 3600);
+/// Assumed age of a dispatch whose real age is unknown: longer than any destination remembers an idempotency
+/// key.
+const UNKNOWN_AGE: Duration = Duration::from_secs(24 * 3600);
 
-/// The sender's time, which starts early enough for all that the journal tells.
+/// Gives the time as the span since an origin that lies before the oldest dispatch in the journal.
 pub(super) struct Clock {
-    start: Instant,
-    lead: Duration,
-    boot: Option<BootId>,
+    started_at: Instant,
+    /// Age of the oldest restored dispatch when this process started.
+    offset: Duration,
+    boot_id: Option<BootId>,
 }
 
 impl Clock {
-    /// From the moments at which dispatches of earlier lives were sent.
-    pub(super) fn new(sent: impl Iterator<Item = Moment>) -> Self {
-        let boot = boot_id();
-        let now = Moment::now(boot);
+    /// Starts the clock. `dispatched_at` are the times at which previous processes sent their dispatches.
+    pub(super) fn new(dispatched_at: impl Iterator<Item = Moment>) -> Self {
+        let boot_id = boot_id();
+        let now = Moment::now(boot_id);
         match now.uptime {
             Some(Uptime { boot, since }) => {
                 log::info!("clock: boot={boot} uptime={since:?} unix={:?}", now.unix)
             }
-            None => log::warn!("clock: code=no_boot_id unix={:?}; spans over processes are unsure", now.unix),
+            None => log::warn!(
+                "clock: code=no_boot_id unix={:?}; durations across restarts rely on the wall clock",
+                now.unix
+            ),
         }
-        let lead = sent.map(|at| age(now, at)).max().unwrap_or_default();
-        Clock { start: Instant::now(), lead, boot }
+        let offset = dispatched_at.map(|at| dispatch_age(now, at)).max().unwrap_or_default();
+        Clock { started_at: Instant::now(), offset, boot_id }
     }
 
     pub(super) fn now(&self) -> Duration {
-        self.lead + self.start.elapsed()
+        self.offset + self.started_at.elapsed()
     }
 
-    /// A time of this clock as the journal keeps it.
-    pub(super) fn moment(&self, at: Duration) -> Moment {
-        let (now, moment) = (self.now(), Moment::now(self.boot));
+    /// Converts a time of this clock to the form that the journal stores.
+    pub(super) fn to_moment(&self, at: Duration) -> Moment {
+        let (now, moment) = (self.now(), Moment::now(self.boot_id));
         if at >= now { moment.later(at - now) } else { moment.earlier(now - at) }
     }
 
-    /// When a dispatch of an earlier life was sent.
-    pub(super) fn doubt(&self, sent: Moment) -> Duration {
-        self.now().saturating_sub(age(Moment::now(self.boot), sent))
+    /// Converts the time at which a previous process sent a dispatch to this clock.
+    pub(super) fn dispatch_time(&self, sent: Moment) -> Duration {
+        self.now().saturating_sub(dispatch_age(Moment::now(self.boot_id), sent))
     }
 
-    /// When a packet's time is over. Where only the wall clock tells, it is believed: whoever takes the packet back bounds it.
-    pub(super) fn end(&self, ends: Moment) -> Duration {
-        let (Distance::Sure(span) | Distance::Unsure(span)) = Moment::now(self.boot).distance(ends);
+    /// Converts a packet's deadline to this clock. A deadline known only by the wall clock is trusted here;
+    /// the code that restores the packet bounds it.
+    pub(super) fn deadline(&self, deadline: Moment) -> Duration {
+        let (Distance::Sure(span) | Distance::Unsure(span)) = Moment::now(self.boot_id).distance(deadline);
         match span {
             Span::Ahead(span) => self.now().saturating_add(span),
             Span::Ago(span) => self.now().saturating_sub(span),
         }
     }
 
-    /// Whether a packet's time is over.
-    pub(super) fn is_over(&self, ends: Moment) -> bool {
-        self.end(ends) <= self.now()
+    /// Whether a deadline has passed.
+    pub(super) fn is_past(&self, deadline: Moment) -> bool {
+        self.deadline(deadline) <= self.now()
     }
 }
 
-/// How long ago a dispatch was sent, or so long that its key is surely forgotten, where that cannot be told: the machine has been
-/// started anew since, or its clock went back. A record of an earlier format has the wall clock alone.
-fn age(now: Moment, sent: Moment) -> Duration {
+/// Time since a dispatch was sent, or [`UNKNOWN_AGE`], after which its idempotency key is certainly
+/// forgotten, if that is unknown because the machine has rebooted or its wall clock was set back. Records of
+/// earlier formats hold only wall clock time, which is used as it is.
+fn dispatch_age(now: Moment, sent: Moment) -> Duration {
     match now.distance(sent) {
         Distance::Sure(Span::Ago(span)) => span,
         Distance::Unsure(Span::Ago(span)) if sent.uptime.is_none() => span,
-        _ => LONG_AGO,
+        _ => UNKNOWN_AGE,
     }
 }
--- a/crates/sailcart-sender/src/exchange/directory/departed.rs
+++ b/crates/sailcart-sender/src/exchange/directory/departed.rs
@@ -1,4 +1,4 @@
-//! Destinations that left the list, with the time at which each was last listed.
+//! Destinations that have left the list, with the time at which each was last listed.
 
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -10,36 +10,38 @@
 
 use super::index::Index;
 
-/// So many entries that no longer count stay in the queue, beside as many as count.
-const SLACK: usize = 64;
+/// Number of stale entries that the queue may hold beyond as many as it has current ones.
+const STALE_SLACK: usize = 64;
 
 struct Departure {
     destination: DestinationId,
     last_listed: Duration,
 }
 
-/// In order of time. An entry whose destination is listed again stays in the queue, and counts no longer: the index does not
-/// name it.
+/// Departed destinations, the earliest first. The entry of a destination that is listed again stays in the
+/// queue as a stale one: the index no longer refers to it.
 #[derive(Default)]
 pub(super) struct Departed {
     queue: VecDeque<Departure>,
-    /// Sequence number of the queue's front; they go round.
+    /// Sequence number of the first entry in the queue. Sequence numbers wrap around.
     front: u32,
-    /// Sequence numbers of the entries that count, by destination.
+    /// Sequence numbers of the current entries, by destination.
     index: Index<u32>,
     hasher: RandomState,
+    /// Number of entries examined so far.
     visited: Cell<u64>,
 }
 
 impl Departed {
     pub(super) fn contains(&self, destination: DestinationId) -> bool {
-        self.index.find(self.hasher.hash_one(destination), |at| self.is(*at, destination)).is_some()
+        self.index.find(self.hasher.hash_one(destination), |at| self.is_for(*at, destination)).is_some()
     }
 
-    /// A destination left; no earlier than those that are held.
+    /// Adds a destination that has left. `last_listed` must not be earlier than that of the entries before
+    /// it.
     pub(super) fn push(&mut self, destination: DestinationId, last_listed: Duration) {
         self.remove(destination);
-        if self.queue.len() > 2 * self.index.len() + SLACK {
+        if self.queue.len() > 2 * self.index.len() + STALE_SLACK {
             self.compact();
         }
         let sequence = self.front.wrapping_add(self.queue.len() as u32);
@@ -47,7 +49,7 @@
         self.insert(sequence, destination);
     }
 
-    /// A destination is listed again.
+    /// Removes a destination that is listed again.
     pub(super) fn remove(&mut self, destination: DestinationId) {
         let hash = self.hasher.hash_one(destination);
         let Departed { queue, front, index, visited, .. } = self;
@@ -55,38 +57,40 @@
         index.remove(hash, is);
     }
 
-    /// Forgets those last listed `span` or longer ago, and the oldest beyond so many.
-    pub(super) fn expire(&mut self, now: Duration, span: Duration, most: usize) {
+    /// Removes the destinations that were last listed `retention` or longer ago, and the oldest ones beyond
+    /// `max`.
+    pub(super) fn expire(&mut self, now: Duration, retention: Duration, max: usize) {
         while let Some(first) = self.queue.front() {
             self.visited.set(self.visited.get() + 1);
-            let over = now.saturating_sub(first.last_listed) >= span;
-            if !over && self.index.len() <= most && self.counts(self.front, first.destination) {
+            let expired = now.saturating_sub(first.last_listed) >= retention;
+            if !expired && self.index.len() <= max && self.is_current(self.front, first.destination) {
                 break;
             }
             self.pop();
         }
-        if self.queue.capacity() > 4 * self.queue.len() + 4 * SLACK {
+        if self.queue.capacity() > 4 * self.queue.len() + 4 * STALE_SLACK {
             self.compact();
         }
     }
 
-    /// Entries looked at so far.
+    /// Number of entries examined so far.
     pub(super) fn visited(&self) -> u64 {
         self.visited.get()
     }
 
-    /// Bytes allocated.
+    /// Number of bytes allocated.
     pub(super) fn bytes(&self) -> usize {
         self.queue.capacity() * size_of::<Departure>() + self.index.bytes()
     }
 
-    fn is(&self, at: u32, destination: DestinationId) -> bool {
-        entry(&self.queue, self.front, at, &self.visited).is_some_and(|e| e.destination == destination)
+    fn is_for(&self, sequence: u32, destination: DestinationId) -> bool {
+        entry(&self.queue, self.front, sequence, &self.visited)
+            .is_some_and(|entry| entry.destination == destination)
     }
 
-    /// Whether the entry of this number is the one that counts for its destination.
-    fn counts(&self, sequence: u32, destination: DestinationId) -> bool {
-        self.index.find(self.hasher.hash_one(destination), |at| *at == sequence).is_some()
+    /// Whether the entry with this sequence number is the current one of its destination.
+    fn is_current(&self, sequence: u32, destination: DestinationId) -> bool {
+        self.index.find(self.hasher.hash_one(destination), |other| *other == sequence).is_some()
     }
 
     fn insert(&mut self, sequence: u32, destination: DestinationId) {
@@ -100,26 +104,27 @@
     fn pop(&mut self) {
         let Some(first) = self.queue.front() else { return };
         let (hash, sequence) = (self.hasher.hash_one(first.destination), self.front);
-        self.index.remove(hash, |at| *at == sequence);
+        self.index.remove(hash, |other| *other == sequence);
         self.queue.pop_front();
         self.front = self.front.wrapping_add(1);
     }
 
-    /// Gives back what entries that no longer count take.
+    /// Frees the memory of the stale entries.
     fn compact(&mut self) {
-        let old = std::mem::take(&mut self.queue);
+        let old_queue = std::mem::take(&mut self.queue);
         let index = std::mem::take(&mut self.index);
-        let counting: Vec<u32> = index.into_entries().map(|at| at.wrapping_sub(self.front)).collect();
-        self.visited.set(self.visited.get() + old.len() as u64);
-        let mut counts = vec![false; old.len()];
-        for position in counting {
-            if let Some(count) = counts.get_mut(position as usize) {
-                *count = true;
+        let current_positions: Vec<u32> =
+            index.into_entries().map(|sequence| sequence.wrapping_sub(self.front)).collect();
+        self.visited.set(self.visited.get() + old_queue.len() as u64);
+        let mut current_flags = vec![false; old_queue.len()];
+        for position in current_positions {
+            if let Some(is_current) = current_flags.get_mut(position as usize) {
+                *is_current = true;
             }
         }
         self.front = 0;
-        for (departure, counts) in old.into_iter().zip(counts) {
-            if counts {
+        for (departure, is_current) in old_queue.into_iter().zip(current_flags) {
+            if is_current {
                 let sequence = self.queue.len() as u32;
                 let destination = departure.destination;
                 self.queue.push_back(departure);
--- a/crates/sailcart-sender/src/exchange/directory/destinations.rs
+++ b/crates/sailcart-sender/src/exchange/directory/destinations.rs
@@ -1,4 +1,4 @@
-//! Which destinations are known: those with a live endpoint, and those that left the list lately.
+//! Known destinations: those with a live endpoint, and those that have left the list recently.
 
 use std::hash::{BuildHasher, RandomState};
 use std::time::Duration;
@@ -9,21 +9,21 @@
 use super::departed::Departed;
 use super::index::Index;
 
-/// A destination that was not listed for so long is not known any more.
-const FORGOTTEN: Duration = Duration::from_secs(3600);
+/// How long a destination stays known after it was last listed.
+const RETENTION: Duration = Duration::from_secs(3600);
 
 #[derive(Default)]
 pub(super) struct Destinations {
-    /// Those with a live endpoint.
+    /// Destinations with a live endpoint.
     listed: Index<DestinationId>,
     hasher: RandomState,
-    /// How many live endpoints, where there is more than one.
-    shared: HashMap<DestinationId, u32, RandomState>,
+    /// Number of live endpoints of each destination that has more than one.
+    endpoint_counts: HashMap<DestinationId, u32, RandomState>,
     departed: Departed,
-    /// Named by lines of the list that is being put in force which left no live endpoint.
+    /// Destinations that the list being applied names, perhaps without a live endpoint.
     mentioned: Vec<DestinationId>,
-    /// When the list before was put in force: what leaves with this one was last listed then.
-    last_news: Duration,
+    /// When the previous list took effect: destinations that leave with the next list were last listed then.
+    last_update: Duration,
 }
 
 impl Destinations {
@@ -31,10 +31,10 @@
         self.is_listed(destination) || self.departed.contains(destination)
     }
 
-    /// A destination has one live endpoint more.
-    pub(super) fn add(&mut self, destination: DestinationId) {
+    /// Counts a live endpoint that is added to a destination.
+    pub(super) fn add_endpoint(&mut self, destination: DestinationId) {
         if self.is_listed(destination) {
-            *self.shared.entry(destination).or_insert(1) += 1;
+            *self.endpoint_counts.entry(destination).or_insert(1) += 1;
             return;
         }
         let Destinations { listed, hasher, departed, .. } = self;
@@ -42,45 +42,45 @@
         departed.remove(destination);
     }
 
-    /// A destination has one live endpoint less.
-    pub(super) fn remove(&mut self, destination: DestinationId) {
-        match self.shared.get_mut(&destination) {
+    /// Counts a live endpoint that is removed from a destination.
+    pub(super) fn remove_endpoint(&mut self, destination: DestinationId) {
+        match self.endpoint_counts.get_mut(&destination) {
             Some(2) => {
-                self.shared.remove(&destination);
+                self.endpoint_counts.remove(&destination);
             }
             Some(count) => *count -= 1,
             None => {
                 self.listed.remove(self.hasher.hash_one(destination), |other| *other == destination);
-                self.departed.push(destination, self.last_news);
+                self.departed.push(destination, self.last_update);
             }
         }
     }
 
-    /// The list names a destination, perhaps with no live endpoint.
+    /// Notes that the list being applied names a destination, perhaps without a live endpoint.
     pub(super) fn mention(&mut self, destination: DestinationId) {
         self.mentioned.push(destination);
     }
 
-    /// A list is in force: what it named counts as listed now, and what left long ago is forgotten, as are the oldest beyond
-    /// `most`.
-    pub(super) fn settle(&mut self, now: Duration, most: usize) {
+    /// Ends the application of a list. The destinations that it mentioned count as listed now; those last
+    /// listed [`RETENTION`] or longer ago are dropped, as are the oldest departed ones beyond `max_departed`.
+    pub(super) fn finish_update(&mut self, now: Duration, max_departed: usize) {
         for destination in std::mem::take(&mut self.mentioned) {
             if !self.is_listed(destination) {
                 self.departed.push(destination, now);
             }
         }
-        self.departed.expire(now, FORGOTTEN, most);
-        self.last_news = now;
+        self.departed.expire(now, RETENTION, max_departed);
+        self.last_update = now;
     }
 
-    /// Entries looked at so far.
+    /// Number of entries examined so far.
     pub(super) fn visited(&self) -> u64 {
         self.departed.visited()
     }
 
-    /// Bytes allocated.
+    /// Number of bytes allocated.
     pub(super) fn bytes(&self) -> usize {
-        self.listed.bytes() + self.shared.allocation_size() + self.departed.bytes()
+        self.listed.bytes() + self.endpoint_counts.allocation_size() + self.departed.bytes()
     }
 
     fn is_listed(&self, destination: DestinationId) -> bool {
--- a/crates/sailcart-sender/src/exchange/directory/index.rs
+++ b/crates/sailcart-sender/src/exchange/directory/index.rs
@@ -1,45 +1,49 @@
-//! A hash index that grows in small parts.
+//! A hash index that is partitioned, so that no single insertion has to rehash all of it.
 
 use std::mem::size_of;
 
 use hashbrown::HashTable;
 
-/// A table that grows looks at all that it holds: one of this many parts of the index at a time.
-const PARTS: usize = 64;
-/// From this bit on, a hash tells the part; its ends tell the place within.
-const PART_BITS: u32 = 40;
+/// Number of partitions. A table rehashes all its entries when it grows; here only one partition grows at a
+/// time.
+const PARTITIONS: usize = 64;
+/// Lowest bit of a hash that selects the partition. The hash table uses the bits at both ends to locate an
+/// entry.
+const PARTITION_SHIFT: u32 = 40;
 
-/// Entries by their hash. What an entry stands for, and so its hash, only the caller knows.
+/// A hash index of entries whose keys only the caller knows: it passes their hashes and compares them.
 pub(in crate::exchange) struct Index<T> {
-    parts: Vec<HashTable<T>>,
+    /// Empty until the first insertion.
+    partitions: Vec<HashTable<T>>,
     len: usize,
 }
 
 impl<T> Default for Index<T> {
     fn default() -> Self {
-        Index { parts: Vec::new(), len: 0 }
+        Index { partitions: Vec::new(), len: 0 }
     }
 }
 
 impl<T> Index<T> {
-    pub(in crate::exchange) fn find(&self, hash: u64, is: impl FnMut(&T) -> bool) -> Option<&T> {
-        self.parts.get(part(hash))?.find(hash, is)
+    pub(in crate::exchange) fn find(&self, hash: u64, matches: impl FnMut(&T) -> bool) -> Option<&T> {
+        self.partitions.get(partition(hash))?.find(hash, matches)
     }
 
-    /// Enters what is not in it yet.
+    /// Inserts an entry. The index must not contain an equal one.
     pub(in crate::exchange) fn insert(&mut self, hash: u64, entry: T, rehash: impl Fn(&T) -> u64) {
-        if self.parts.is_empty() {
-            self.parts.resize_with(PARTS, HashTable::new);
+        if self.partitions.is_empty() {
+            self.partitions.resize_with(PARTITIONS, HashTable::new);
         }
-        if let Some(part) = self.parts.get_mut(part(hash)) {
-            part.insert_unique(hash, entry, rehash);
+        if let Some(table) = self.partitions.get_mut(partition(hash)) {
+            table.insert_unique(hash, entry, rehash);
             self.len += 1;
         }
     }
 
-    /// Whether there was one.
-    pub(in crate::exchange) fn remove(&mut self, hash: u64, is: impl FnMut(&T) -> bool) -> bool {
-        let found = self.parts.get_mut(part(hash)).and_then(|part| part.find_entry(hash, is).ok());
+    /// Removes an entry; returns whether there was one.
+    pub(in crate::exchange) fn remove(&mut self, hash: u64, matches: impl FnMut(&T) -> bool) -> bool {
+        let found =
+            self.partitions.get_mut(partition(hash)).and_then(|table| table.find_entry(hash, matches).ok());
         let removed = found.map(|entry| entry.remove()).is_some();
         self.len -= usize::from(removed);
         removed
@@ -54,16 +58,16 @@
     }
 
     pub(in crate::exchange) fn into_entries(self) -> impl Iterator<Item = T> {
-        self.parts.into_iter().flatten()
+        self.partitions.into_iter().flatten()
     }
 
-    /// Bytes allocated.
+    /// Number of bytes allocated.
     pub(in crate::exchange) fn bytes(&self) -> usize {
-        let parts = self.parts.capacity() * size_of::<HashTable<T>>();
-        parts + self.parts.iter().map(HashTable::allocation_size).sum::<usize>()
+        let partitions = self.partitions.capacity() * size_of::<HashTable<T>>();
+        partitions + self.partitions.iter().map(HashTable::allocation_size).sum::<usize>()
     }
 }
 
-fn part(hash: u64) -> usize {
-    (hash >> PART_BITS) as usize % PARTS
+fn partition(hash: u64) -> usize {
+    (hash >> PARTITION_SHIFT) as usize % PARTITIONS
 }
--- a/crates/sailcart-sender/src/exchange/directory/mod.rs
+++ b/crates/sailcart-sender/src/exchange/directory/mod.rs
@@ -1,7 +1,10 @@
-//! The directory of live endpoints: name, id and place of each, and which destinations are known.
+//! The directory of live endpoints, with the name, id, address, destination and kind of each, and of the
+//! known destinations.
 //!
-//! No input or output and no clock: times are passed in. A change costs what it changes, whatever is listed; only a whole list
-//! costs the whole. Hundreds of thousands of endpoints are held, so a slot takes 64 bytes, and an index four and one for each.
+//! It performs no I/O and reads no clock: times are passed in. The cost of a change depends on the size of
+//! the change and not on the number of listed endpoints; only a full list costs in proportion to its length.
+//! The directory holds hundreds of thousands of endpoints, so a slot takes 64 bytes, and an index entry four
+//! and one more for the table.
 
 mod departed;
 mod destinations;
@@ -19,12 +22,12 @@
 use self::destinations::Destinations;
 pub(super) use self::index::Index;
 pub(super) use self::slots::Target;
-use self::slots::{Slot, Slots, Stamp};
+use self::slots::{ListMark, Slot, Slots};
 
-/// Bytes of a slot.
+/// Size of a slot in bytes.
 pub const SLOT_BYTES: usize = size_of::<Option<Slot>>();
 
-/// What an endpoint is; one of which any of this changes is another endpoint.
+/// What identifies an endpoint besides its name. If any of this changes, the name belongs to a new endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Place {
     pub address: SocketAddr,
@@ -33,41 +36,44 @@
     pub kind: u16,
 }
 
-/// A line of a list, as read.
+/// An entry of a destination list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Line<'a> {
     pub name: &'a str,
     pub place: Place,
-    /// False for one that drains.
+    /// False for an endpoint that drains.
     pub live: bool,
-    /// Calls a second from all senders.
+    /// Calls per second from all senders.
     pub rate: f64,
 }
 
-/// What is held under the name of a line that is being staged.
-pub(super) struct Held {
+/// The directory's endpoint with the name of an entry that is being staged.
+pub(super) struct Current {
     pub(super) destination: DestinationId,
-    /// The line says nothing new.
-    pub(super) same: bool,
-    /// It is the same endpoint, perhaps with another rate.
+    /// The entry changes nothing.
+    pub(super) unchanged: bool,
+    /// The entry names the same endpoint, perhaps with another rate.
     pub(super) same_place: bool,
-    /// An earlier line of the same list has this name.
+    /// An earlier entry of the same list has this name.
     pub(super) named: bool,
-    /// An earlier line of the same list said nothing new.
-    pub(super) was_same: bool,
+    /// An earlier entry of the same list changed nothing.
+    pub(super) was_unchanged: bool,
 }
 
-/// Live endpoints, and no others.
+/// The live endpoints, and the destinations known from them.
 #[derive(Default)]
 pub struct Directory {
     slots: Slots,
+    /// Slot positions by endpoint name.
     by_name: Index<u32>,
+    /// Slot positions by endpoint id.
     by_endpoint: Index<u32>,
     hasher: RandomState,
     destinations: Destinations,
-    /// Never used twice: connections and calls are kept by it. At 28 new ones a second it lasts nearly five years.
+    /// Id of the next new endpoint. Ids are not reused, as connections and calls refer to them. At 28 new
+    /// endpoints per second they last nearly five years.
     next_endpoint: u32,
-    /// Of the list that was staged last.
+    /// Number of the list that was begun last.
     generation: u32,
 }
 
@@ -76,7 +82,7 @@
         Self::default()
     }
 
-    /// How many endpoints are live.
+    /// Number of live endpoints.
     pub fn len(&self) -> usize {
         self.by_name.len()
     }
@@ -85,32 +91,35 @@
         self.by_name.is_empty()
     }
 
-    /// Whether an endpoint is listed, and live.
+    /// Whether an endpoint is listed and live.
     pub fn contains(&self, endpoint: EndpointId) -> bool {
         self.find_endpoint(endpoint).is_some()
     }
 
-    /// Where and what a live endpoint is.
+    /// Address, destination and kind of a live endpoint.
     pub fn place(&self, endpoint: EndpointId) -> Option<Place> {
         self.slots.get(self.find_endpoint(endpoint)?).map(Slot::place)
     }
 
-    /// The id of the live endpoint of this name.
+    /// Id of the live endpoint with this name.
     pub fn endpoint(&self, name: &str) -> Option<EndpointId> {
-        self.slots.get(self.find(name)?).map(|slot| slot.endpoint)
+        self.slots.get(self.find_name(name)?).map(|slot| slot.endpoint)
     }
 
-    /// Whether a destination is listed, or was lately. One of which all endpoints drain is known.
+    /// Whether a destination is listed or was listed recently. This includes destinations whose endpoints all
+    /// drain.
     pub fn knows(&self, destination: DestinationId) -> bool {
         self.destinations.knows(destination)
     }
 
-    /// Slots and entries looked at so far: what the work cost, whatever the machine does beside.
+    /// Number of slots and entries examined so far: a measure of work that does not depend on the load of the
+    /// machine.
     pub fn visited(&self) -> u64 {
         self.slots.visited() + self.destinations.visited()
     }
 
-    /// Bytes allocated, without names longer than 24 bytes and IPv6 addresses, which are allocated one by one.
+    /// Number of bytes allocated, without names longer than 24 bytes and IPv6 addresses, which are allocated
+    /// one by one.
     pub fn bytes(&self) -> usize {
         let indexes = self.by_name.bytes() + self.by_endpoint.bytes();
         self.slots.bytes() + indexes + self.destinations.bytes()
@@ -120,13 +129,14 @@
         &self.hasher
     }
 
-    /// A list begins to be staged: its generation. An older one that is still being staged counts no longer.
-    pub(super) fn begin(&mut self) -> u32 {
-        if self.generation == Stamp::LAST {
+    /// Begins the staging of a list and returns its generation. An older list that is still being staged is
+    /// superseded.
+    pub(super) fn begin_list(&mut self) -> u32 {
+        if self.generation == ListMark::MAX_GENERATION {
             self.generation = 0;
-            for at in 0..self.slots.end() {
-                if let Some(slot) = self.slots.get_mut(at) {
-                    slot.stamp = Stamp::default();
+            for position in 0..self.slots.end() {
+                if let Some(slot) = self.slots.get_mut(position) {
+                    slot.mark = ListMark::default();
                 }
             }
         }
@@ -134,38 +144,39 @@
         self.generation
     }
 
-    /// Whether no list was staged later.
+    /// Whether no list was begun after the one of this generation.
     pub(super) fn is_latest(&self, generation: u32) -> bool {
         self.generation == generation
     }
 
-    /// A line of a list that is being staged: notes that the list has its name, and tells what is held under it.
-    pub(super) fn compare(&mut self, generation: u32, line: &Line) -> Option<Held> {
-        let at = self.find(line.name)?;
-        let slot = self.slots.get_mut(at)?;
-        let same_place = slot.place() == line.place;
-        let held = Held {
+    /// Compares an entry of the list that is being staged with the endpoint of the same name, if there is
+    /// one, and marks that endpoint as named by the list.
+    pub(super) fn compare(&mut self, generation: u32, listed: &Line) -> Option<Current> {
+        let position = self.find_name(listed.name)?;
+        let slot = self.slots.get_mut(position)?;
+        let same_place = slot.place() == listed.place;
+        let current = Current {
             destination: slot.destination,
-            same: same_place && line.live && slot.rate == line.rate,
+            unchanged: same_place && listed.live && slot.rate == listed.rate,
             same_place,
-            named: slot.stamp.is_of(generation),
-            was_same: slot.stamp == Stamp::same(generation),
+            named: slot.mark.is_from(generation),
+            was_unchanged: slot.mark == ListMark::unchanged(generation),
         };
-        if held.same {
-            slot.stamp = Stamp::same(generation);
-        } else if !held.named {
-            slot.stamp = Stamp::named(generation);
+        if current.unchanged {
+            slot.mark = ListMark::unchanged(generation);
+        } else if !current.named {
+            slot.mark = ListMark::named(generation);
         }
-        Some(held)
+        Some(current)
     }
 
-    /// A line of a list that is being staged has this name, and is passed over: what is held stays. Tells whether something is
-    /// held, and the list names it for the first time.
-    pub(super) fn keep(&mut self, generation: u32, name: &str) -> bool {
-        let Some(slot) = self.find(name).and_then(|at| self.slots.get_mut(at)) else { return false };
-        let first = !slot.stamp.is_of(generation);
+    /// Marks the endpoint with the name of a skipped entry as named by the list that is being staged, so that
+    /// it stays. Returns true if there is such an endpoint and the list had not named it before.
+    pub(super) fn mark_named(&mut self, generation: u32, name: &str) -> bool {
+        let Some(slot) = self.find_name(name).and_then(|at| self.slots.get_mut(at)) else { return false };
+        let first = !slot.mark.is_from(generation);
         if first {
-            slot.stamp = Stamp::named(generation);
+            slot.mark = ListMark::named(generation);
         }
         first
     }
@@ -175,83 +186,87 @@
         self.slots.end()
     }
 
-    /// Of the slots at these positions, those that a list does not name.
+    /// Of the slots at these positions, those whose endpoint a list does not name.
     pub(super) fn unnamed(&self, generation: u32, positions: Range<u32>) -> impl Iterator<Item = u32> {
-        positions.filter(move |at| self.slots.get(*at).is_some_and(|slot| !slot.stamp.is_of(generation)))
+        positions.filter(move |at| self.slots.get(*at).is_some_and(|slot| !slot.mark.is_from(generation)))
     }
 
-    /// An endpoint is listed; one that was listed with another place is another from now on.
-    pub(super) fn put(&mut self, name: CompactString, place: Place, rate: f64, lines: &mut Vec<Listing>) {
-        let held = self.find(&name);
-        let same = held.and_then(|at| self.slots.get_mut(at)).filter(|slot| slot.place() == place);
+    /// Adds a listed endpoint, or updates its rate. If the name was listed with another address, destination
+    /// or kind, that endpoint is removed and a new one added.
+    pub(super) fn put(&mut self, name: CompactString, place: Place, rate: f64, listings: &mut Vec<Listing>) {
+        let current = self.find_name(&name);
+        let same = current.and_then(|at| self.slots.get_mut(at)).filter(|slot| slot.place() == place);
         if let Some(slot) = same {
             if slot.rate != rate {
                 slot.rate = rate;
-                lines.push(slot.line());
+                listings.push(slot.listing());
             }
             return;
         }
-        if let Some(at) = held {
-            self.remove(at, lines);
+        if let Some(position) = current {
+            self.remove(position, listings);
         }
         let endpoint = EndpointId(self.next_endpoint);
         self.next_endpoint = self.next_endpoint.wrapping_add(1);
         let target = Target::new(place.address, place.kind);
-        let stamp = Stamp::named(self.generation);
-        let slot = Slot { name, destination: place.destination, rate, target, endpoint, stamp };
-        lines.push(slot.line());
+        let mark = ListMark::named(self.generation);
+        let slot = Slot { name, destination: place.destination, rate, target, endpoint, mark };
+        listings.push(slot.listing());
         self.insert(slot);
     }
 
-    /// An endpoint drains.
-    pub(super) fn drain(&mut self, name: &str, lines: &mut Vec<Listing>) {
-        if let Some(at) = self.find(name) {
-            self.remove(at, lines);
+    /// Removes the endpoint with this name, which drains.
+    pub(super) fn drain(&mut self, name: &str, listings: &mut Vec<Listing>) {
+        if let Some(position) = self.find_name(name) {
+            self.remove(position, listings);
         }
     }
 
-    /// The endpoint at a position drains, is gone, or is another now. It is forgotten, so that a new endpoint at its address, or
-    /// a new place for its name, inherits nothing.
-    pub(super) fn remove(&mut self, at: u32, lines: &mut Vec<Listing>) {
-        let Some(slot) = self.slots.get(at) else { return };
+    /// Removes the endpoint at a position: it drains, is no longer listed, or has changed its address,
+    /// destination or kind. Nothing of it is retained, so that a new endpoint at its address, or under its
+    /// name, starts without its state.
+    pub(super) fn remove(&mut self, position: u32, listings: &mut Vec<Listing>) {
+        let Some(slot) = self.slots.get(position) else { return };
         let name_hash = self.hasher.hash_one(slot.name.as_str());
         let endpoint_hash = self.hasher.hash_one(slot.endpoint);
-        self.by_name.remove(name_hash, |other| *other == at);
-        self.by_endpoint.remove(endpoint_hash, |other| *other == at);
-        let Some(slot) = self.slots.remove(at) else { return };
-        self.destinations.remove(slot.destination);
-        lines.push(Listing { live: false, rate: 0.0, ..slot.line() });
+        self.by_name.remove(name_hash, |other| *other == position);
+        self.by_endpoint.remove(endpoint_hash, |other| *other == position);
+        let Some(slot) = self.slots.remove(position) else { return };
+        self.destinations.remove_endpoint(slot.destination);
+        listings.push(Listing { live: false, rate: 0.0, ..slot.listing() });
     }
 
-    /// A line of the list names a destination, perhaps without a live endpoint: packets for it are no mistake of their clients.
+    /// Notes that the list being applied names a destination, perhaps without a live endpoint: packets for it
+    /// are not rejected as having an unknown destination.
     pub(super) fn mention(&mut self, destination: DestinationId) {
         self.destinations.mention(destination);
     }
 
-    /// A list is in force, after which so many endpoints may be held: what left long ago is forgotten.
-    pub(super) fn settle(&mut self, now: Duration, most: usize) {
-        self.destinations.settle(now, most);
+    /// Ends the application of a list, after which at most `max_endpoints` endpoints may be live.
+    /// Destinations that left long ago are dropped.
+    pub(super) fn finish_update(&mut self, now: Duration, max_endpoints: usize) {
+        self.destinations.finish_update(now, max_endpoints);
     }
 
     fn insert(&mut self, slot: Slot) {
         let name_hash = self.hasher.hash_one(slot.name.as_str());
         let endpoint_hash = self.hasher.hash_one(slot.endpoint);
-        self.destinations.add(slot.destination);
-        let at = self.slots.insert(slot);
+        self.destinations.add_endpoint(slot.destination);
+        let position = self.slots.insert(slot);
         let Directory { slots, hasher, by_name, by_endpoint, .. } = self;
         let rehash_name = |at: &u32| slots.get(*at).map_or(0, |slot| hasher.hash_one(slot.name.as_str()));
-        by_name.insert(name_hash, at, rehash_name);
+        by_name.insert(name_hash, position, rehash_name);
         let rehash_endpoint = |at: &u32| slots.get(*at).map_or(0, |slot| hasher.hash_one(slot.endpoint));
-        by_endpoint.insert(endpoint_hash, at, rehash_endpoint);
+        by_endpoint.insert(endpoint_hash, position, rehash_endpoint);
     }
 
-    fn find(&self, name: &str) -> Option<u32> {
-        let is = |at: &u32| self.slots.get(*at).is_some_and(|slot| slot.name == name);
-        self.by_name.find(self.hasher.hash_one(name), is).copied()
+    fn find_name(&self, name: &str) -> Option<u32> {
+        let matches = |at: &u32| self.slots.get(*at).is_some_and(|slot| slot.name == name);
+        self.by_name.find(self.hasher.hash_one(name), matches).copied()
     }
 
     fn find_endpoint(&self, endpoint: EndpointId) -> Option<u32> {
-        let is = |at: &u32| self.slots.get(*at).is_some_and(|slot| slot.endpoint == endpoint);
-        self.by_endpoint.find(self.hasher.hash_one(endpoint), is).copied()
+        let matches = |at: &u32| self.slots.get(*at).is_some_and(|slot| slot.endpoint == endpoint);
+        self.by_endpoint.find(self.hasher.hash_one(endpoint), matches).copied()
     }
 }
--- a/crates/sailcart-sender/src/exchange/directory/slots.rs
+++ b/crates/sailcart-sender/src/exchange/directory/slots.rs
@@ -1,4 +1,4 @@
-//! The slab in which live endpoints stand.
+//! The slab that stores the live endpoints.
 
 use std::cell::Cell;
 use std::mem::size_of;
@@ -9,10 +9,10 @@
 
 use super::Place;
 
-/// Slots that are allocated together.
-const CHUNK: usize = 512;
+/// Number of slots that are allocated together.
+const CHUNK_SLOTS: usize = 512;
 
-/// Where and of what kind an endpoint is, in 16 bytes. IPv6 is rare, and boxed.
+/// Address and kind of an endpoint, in 16 bytes. IPv6 addresses are rare and therefore boxed.
 #[derive(Clone, Debug, PartialEq)]
 pub(in crate::exchange) enum Target {
     V4 { kind: u16, port: u16, ip: Ipv4Addr },
@@ -46,11 +46,11 @@
 pub(super) struct Slot {
     pub(super) name: CompactString,
     pub(super) destination: DestinationId,
-    /// Calls a second, as last told.
+    /// Calls per second from all senders, as last listed.
     pub(super) rate: f64,
     pub(super) target: Target,
     pub(super) endpoint: EndpointId,
-    pub(super) stamp: Stamp,
+    pub(super) mark: ListMark,
 }
 
 impl Slot {
@@ -58,8 +58,8 @@
         Place { address: self.target.address(), destination: self.destination, kind: self.target.kind() }
     }
 
-    /// The line that the decision module hears of a live endpoint.
-    pub(super) fn line(&self) -> Listing {
+    /// The endpoint as the decision module receives it.
+    pub(super) fn listing(&self) -> Listing {
         Listing {
             endpoint: self.endpoint,
             destination: self.destination,
@@ -70,90 +70,92 @@
     }
 }
 
-/// In which staged list a slot's name was read last: the list's generation, and in the lowest bit whether a line equal to
-/// the slot was among it.
+/// Marks which staged list named a slot's endpoint last: the generation of the list and, in the lowest bit,
+/// whether one of its entries was equal to the slot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct Stamp(u32);
+pub(super) struct ListMark(u32);
 
-impl Stamp {
-    /// The last generation that a stamp can hold.
-    pub(super) const LAST: u32 = u32::MAX >> 1;
+impl ListMark {
+    /// Largest generation that a mark can hold.
+    pub(super) const MAX_GENERATION: u32 = u32::MAX >> 1;
 
     pub(super) fn named(generation: u32) -> Self {
-        Stamp(generation << 1)
+        ListMark(generation << 1)
     }
 
-    pub(super) fn same(generation: u32) -> Self {
-        Stamp(generation << 1 | 1)
+    pub(super) fn unchanged(generation: u32) -> Self {
+        ListMark(generation << 1 | 1)
     }
 
-    pub(super) fn is_of(self, generation: u32) -> bool {
+    pub(super) fn is_from(self, generation: u32) -> bool {
         self.0 >> 1 == generation
     }
 }
 
-/// Slots by position. Grows by chunks, so that it never holds twice what it needs; positions of removed slots are used again,
-/// and their memory is kept for that.
+/// Slots by position. Memory grows in chunks, so that it never holds twice what is needed. The positions of
+/// removed slots are reused, and their memory is retained for that.
 #[derive(Default)]
 pub(super) struct Slots {
     chunks: Vec<Vec<Option<Slot>>>,
+    /// Positions of removed slots.
     free: Vec<u32>,
+    /// Number of slots examined so far.
     visited: Cell<u64>,
 }
 
 impl Slots {
-    pub(super) fn get(&self, at: u32) -> Option<&Slot> {
+    pub(super) fn get(&self, position: u32) -> Option<&Slot> {
         self.visited.set(self.visited.get() + 1);
-        self.chunks.get(at as usize / CHUNK)?.get(at as usize % CHUNK)?.as_ref()
+        self.chunks.get(position as usize / CHUNK_SLOTS)?.get(position as usize % CHUNK_SLOTS)?.as_ref()
     }
 
-    pub(super) fn get_mut(&mut self, at: u32) -> Option<&mut Slot> {
+    pub(super) fn get_mut(&mut self, position: u32) -> Option<&mut Slot> {
         self.visited.set(self.visited.get() + 1);
-        self.position(at)?.as_mut()
+        self.entry_mut(position)?.as_mut()
     }
 
     pub(super) fn insert(&mut self, slot: Slot) -> u32 {
-        if let Some(at) = self.free.pop() {
-            if let Some(position) = self.position(at) {
-                *position = Some(slot);
+        if let Some(position) = self.free.pop() {
+            if let Some(entry) = self.entry_mut(position) {
+                *entry = Some(slot);
             }
-            return at;
+            return position;
         }
-        let at = self.end();
-        if (at as usize).is_multiple_of(CHUNK) {
-            self.chunks.push(Vec::with_capacity(CHUNK));
+        let position = self.end();
+        if (position as usize).is_multiple_of(CHUNK_SLOTS) {
+            self.chunks.push(Vec::with_capacity(CHUNK_SLOTS));
         }
         if let Some(chunk) = self.chunks.last_mut() {
             chunk.push(Some(slot));
         }
-        at
+        position
     }
 
-    pub(super) fn remove(&mut self, at: u32) -> Option<Slot> {
-        let slot = self.position(at)?.take()?;
-        self.free.push(at);
+    pub(super) fn remove(&mut self, position: u32) -> Option<Slot> {
+        let slot = self.entry_mut(position)?.take()?;
+        self.free.push(position);
         Some(slot)
     }
 
     /// One past the last position.
     pub(super) fn end(&self) -> u32 {
         let last = self.chunks.last().map_or(0, Vec::len);
-        (self.chunks.len().saturating_sub(1) * CHUNK + last) as u32
+        (self.chunks.len().saturating_sub(1) * CHUNK_SLOTS + last) as u32
     }
 
-    /// Slots looked at so far.
+    /// Number of slots examined so far.
     pub(super) fn visited(&self) -> u64 {
         self.visited.get()
     }
 
-    /// Bytes allocated.
+    /// Number of bytes allocated.
     pub(super) fn bytes(&self) -> usize {
         let chunks = self.chunks.capacity() * size_of::<Vec<Option<Slot>>>();
-        let slots = self.chunks.len() * CHUNK * size_of::<Option<Slot>>();
+        let slots = self.chunks.len() * CHUNK_SLOTS * size_of::<Option<Slot>>();
         chunks + slots + self.free.capacity() * size_of::<u32>()
     }
 
-    fn position(&mut self, at: u32) -> Option<&mut Option<Slot>> {
-        self.chunks.get_mut(at as usize / CHUNK)?.get_mut(at as usize % CHUNK)
+    fn entry_mut(&mut self, position: u32) -> Option<&mut Option<Slot>> {
+        self.chunks.get_mut(position as usize / CHUNK_SLOTS)?.get_mut(position as usize % CHUNK_SLOTS)
     }
 }
--- a/crates/sailcart-sender/src/exchange/lists.rs
+++ b/crates/sailcart-sender/src/exchange/lists.rs
@@ -1,4 +1,5 @@
-//! The destination list: staged as it is read, and put in force in slices.
+//! Receives destination lists: stages a list while it is read, and applies it to the directory and the sender
+//! in slices.
 
 use std::borrow::Borrow;
 
@@ -8,97 +9,106 @@
 use super::directory::{Line, Place};
 use super::staged::{ListTooLarge, StagedList};
 use super::update::{Step, Update};
-use super::{Exchange, Within};
+use super::{Exchange, Inner};
 use crate::wire::discovery::Entry;
 
 impl Exchange {
-    /// Begins to stage a list after which at most so many endpoints may be held. One list is staged at a time: an older one that
-    /// is not in force yet counts for nothing from now on.
-    pub fn stage(&self, most: usize) -> StagedList {
-        StagedList::new(&mut self.within.borrow_mut().desk.directory, most)
+    /// Begins to stage a list. At most `max_endpoints` endpoints may be live once it is in force. Only one
+    /// list is staged at a time: an older one that is not fully applied yet is superseded.
+    pub fn stage(&self, max_endpoints: usize) -> StagedList {
+        StagedList::new(&mut self.inner.borrow_mut().host.directory, max_endpoints)
     }
 
-    /// Adds entries as read. Cost is in step with their number; only what differs from what is held takes memory.
+    /// Adds entries in the order in which they are read. The cost is proportional to their number; only
+    /// entries that differ from the directory take memory.
     ///
-    /// Refused as soon as the live endpoints that the list itself names are more than may be held. Whether those that a partial
-    /// list adds fit beside those that are held is known at its end: [`fits`](Self::fits) tells.
+    /// # Errors
+    /// Fails as soon as the list itself names more live endpoints than are allowed. Whether the endpoints
+    /// that an incremental list adds fit together with those already in the directory is known only at its
+    /// end, from [`fits`](Self::fits).
     pub fn add(&self, staged: &mut StagedList, entries: Vec<Entry>) -> Result<(), ListTooLarge> {
         entries.iter().try_for_each(|entry| self.add_entry(staged, entry))
     }
 
-    /// Whether a list that was read to its end may be put in force, as a whole or as a partial one.
-    pub fn fits(&self, staged: &StagedList, whole: bool) -> Result<(), ListTooLarge> {
-        staged.fits(&self.within.borrow().desk.directory, whole)
+    /// Checks whether a list that was read to its end may be applied, as a `full` list or as an incremental
+    /// one.
+    ///
+    /// # Errors
+    /// Fails if more endpoints than are allowed would be live.
+    pub fn fits(&self, staged: &StagedList, full: bool) -> Result<(), ListTooLarge> {
+        staged.fits(&self.inner.borrow().host.directory, full)
     }
 
-    /// Puts it in force: `whole` replaces all that was told before. Large ones in slices, with yields in between.
+    /// Applies a list; a `full` one replaces all earlier lists. A large list is applied in slices, and the
+    /// task yields between them.
     ///
-    /// The decision module hears of what differs, and of no line that says what it has heard, also where the list is a whole one.
-    /// One that does not [fit](Self::fits) is refused, with a line in the log. Not to be given up half-way: what was told by
-    /// then stays in force.
-    pub async fn commit(&self, staged: StagedList, whole: bool) {
-        let Some(mut update) = self.begin(staged, whole) else { return };
-        while !self.step(&mut update) {
+    /// The decision module receives only what differs, also from a full list. A list that does not
+    /// [fit](Self::fits) is rejected with a log message. The future must not be dropped before it completes:
+    /// the slices applied by then would stay in force.
+    pub async fn commit(&self, staged: StagedList, full: bool) {
+        let Some(mut update) = self.begin_update(staged, full) else { return };
+        while !self.apply_step(&mut update) {
             yield_now().await;
         }
-        self.within.borrow_mut().desk.told = true;
+        self.inner.borrow_mut().host.has_current_list = true;
     }
 
-    /// Puts a list in force at once: the one last known before this life.
-    pub fn take_over<E: Borrow<Entry>>(&self, whole: bool, entries: impl IntoIterator<Item = E>) {
+    /// Applies, without yielding, the list that was known before this process started.
+    pub fn take_over<E: Borrow<Entry>>(&self, full: bool, entries: impl IntoIterator<Item = E>) {
         let mut staged = self.stage(usize::MAX);
         let added = entries.into_iter().try_for_each(|entry| self.add_entry(&mut staged, entry.borrow()));
-        if let Err(fault) = added {
-            return log::error!("list: refused, code=too_large {fault}");
+        if let Err(error) = added {
+            return log::error!("list: rejected, code=too_large {error}");
         }
-        let Some(mut update) = self.begin(staged, whole) else { return };
-        while !self.step(&mut update) {}
+        let Some(mut update) = self.begin_update(staged, full) else { return };
+        while !self.apply_step(&mut update) {}
     }
 
-    /// The same for a list that counts as told, as a sender's own does.
-    pub fn take_over_as_told<E: Borrow<Entry>>(&self, whole: bool, entries: impl IntoIterator<Item = E>) {
-        self.take_over(whole, entries);
-        self.within.borrow_mut().desk.told = true;
+    /// Applies a list in the same way, and treats it as current: the list of the sender's own configuration.
+    pub fn take_over_as_told<E: Borrow<Entry>>(&self, full: bool, entries: impl IntoIterator<Item = E>) {
+        self.take_over(full, entries);
+        self.inner.borrow_mut().host.has_current_list = true;
     }
 
     fn add_entry(&self, staged: &mut StagedList, entry: &Entry) -> Result<(), ListTooLarge> {
-        let desk = &mut self.within.borrow_mut().desk;
-        let kind = desk.names.kinds.get(&entry.kind).and_then(|kind| u16::try_from(*kind).ok());
+        let host = &mut self.inner.borrow_mut().host;
+        let kind = host.names.kinds.get(&entry.kind).and_then(|kind| u16::try_from(*kind).ok());
         let Some(kind) = kind else {
-            staged.note_unknown(&entry.name, &entry.kind);
-            return staged.keep(&mut desk.directory, &entry.name);
+            staged.log_unknown_kind(&entry.name, &entry.kind);
+            return staged.keep(&mut host.directory, &entry.name);
         };
         let place = Place { address: entry.address, destination: DestinationId(entry.destination), kind };
-        let line = Line { name: &entry.name, place, live: entry.live, rate: entry.rate };
-        staged.add(&mut desk.directory, &line)
+        let listed = Line { name: &entry.name, place, live: entry.live, rate: entry.rate };
+        staged.add(&mut host.directory, &listed)
     }
 
-    fn begin(&self, staged: StagedList, whole: bool) -> Option<Update> {
-        let desk = &self.within.borrow().desk;
-        if !staged.is_latest(&desk.directory) {
-            log::error!("list: given up, code=superseded");
+    fn begin_update(&self, staged: StagedList, full: bool) -> Option<Update> {
+        let host = &self.inner.borrow().host;
+        if !staged.is_latest(&host.directory) {
+            log::error!("list: abandoned as a newer one is being read, code=superseded");
             return None;
         }
-        staged.tell_unknown();
-        let fits = staged.fits(&desk.directory, whole);
-        if let Err(fault) = fits {
-            log::error!("list: refused, code=too_large {fault}");
+        staged.log_unknown_kind_count();
+        let fits = staged.fits(&host.directory, full);
+        if let Err(error) = fits {
+            log::error!("list: rejected, code=too_large {error}");
         }
-        fits.ok().map(|()| Update::new(staged, whole, &desk.directory, desk.clock.now()))
+        fits.ok().map(|()| Update::new(staged, full, &host.directory, host.clock.now()))
     }
 
-    /// Does a step of an update, and tells the decision module; true once the list is in force.
-    fn step(&self, update: &mut Update) -> bool {
-        let Within { sender, desk, .. } = &mut *self.within.borrow_mut();
-        let (lines, last) = match update.step(&mut desk.directory) {
+    /// Performs one step of an update and passes its changes to the decision module. Returns true once the
+    /// list is in force.
+    fn apply_step(&self, update: &mut Update) -> bool {
+        let Inner { sender, host, .. } = &mut *self.inner.borrow_mut();
+        let (listings, last) = match update.step(&mut host.directory) {
             Step::Searched => return false,
-            Step::Lines(lines) => (lines, false),
-            Step::Last(lines) => (lines, true),
+            Step::Lines(listings) => (listings, false),
+            Step::Last(listings) => (listings, true),
         };
-        let left = lines.iter().filter(|line| !line.live);
-        desk.closing.extend(left.map(|line| (line.endpoint, "unlisted")));
-        sender.list(desk.clock.now(), false, &lines);
-        self.bell.notify_one();
+        let removed = listings.iter().filter(|listing| !listing.live);
+        host.endpoints_to_close.extend(removed.map(|listing| (listing.endpoint, "unlisted")));
+        sender.list(host.clock.now(), false, &listings);
+        self.round_requested.notify_one();
         last
     }
 }
--- a/crates/sailcart-sender/src/exchange/mod.rs
+++ b/crates/sailcart-sender/src/exchange/mod.rs
@@ -1,12 +1,13 @@
-//! Where clients and endpoints meet: the owner of the [`Sender`] and the host that carries out what it
-//! decides. What comes in is told to the sender at once; a round follows soon, and its answers go out.
+//! Connects clients, endpoints and the platform: owns the decision module ([`Sender`]) and the host that
+//! carries out its decisions. Every input is passed to the sender at once and schedules a round; at the end
+//! of the round the decisions are carried out and clients receive their replies.
 
 mod calls;
 mod clock;
-mod desk;
 pub mod directory;
-pub mod guard;
 mod host;
+mod host_state;
+pub mod invariants;
 mod lists;
 mod packets;
 pub mod staged;
@@ -21,130 +22,139 @@
 use tokio::sync::Notify;
 use tokio::time::sleep_until;
 
-use self::desk::Desk;
+use self::host_state::HostState;
 pub use self::packets::Answer;
 pub use self::staged::{ListTooLarge, StagedList};
 use crate::endpoints::Endpoints;
 use crate::memory::Notice;
 use crate::memory::ledger::Ledger;
 
-/// How long what could not be written waits for its next try.
-const RETRY: Duration = Duration::from_millis(50);
-/// How long rounds wait where nothing comes in and the sender asked for none.
-const LONGEST_REST: Duration = Duration::from_secs(3600);
+/// Interval between rounds while journal changes wait to be written.
+const WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// Longest interval between rounds when nothing arrives and the sender has requested none.
+const MAX_ROUND_INTERVAL: Duration = Duration::from_secs(3600);
 
+/// The sender, its host and the signals between the tasks that use them.
 pub struct Exchange {
-    within: RefCell<Within>,
-    /// Something came in: a round is due.
-    bell: Notify,
-    /// Notices are owed.
+    inner: RefCell<Inner>,
+    /// Signalled on every input: a round is due.
+    round_requested: Notify,
+    /// Signalled when a notice is pending.
     pub notices: Notify,
-    /// A call with some of them goes out.
+    /// Signalled when a call that carries notices is sent.
     pub notices_out: Notify,
-    /// The platform has some of them.
-    heard: Notify,
+    /// Signalled when the platform has acknowledged notices.
+    notices_acknowledged: Notify,
 }
 
-struct Within {
+struct Inner {
     sender: Sender,
-    desk: Desk,
+    host: HostState,
     stopped: bool,
 }
 
 impl Exchange {
+    /// Creates the sender and its host with the state that the journal restored. `seed` drives the sender's
+    /// random draws.
     pub fn new(terms: sailcart::Terms, seed: u64, names: Names, ledger: Ledger) -> Self {
-        let desk = Desk::new(&terms, names, ledger);
-        let within = Within { sender: Sender::new(terms, seed), desk, stopped: false };
-        let (bell, heard) = (Notify::new(), Notify::new());
+        let host = HostState::new(&terms, names, ledger);
+        let inner = Inner { sender: Sender::new(terms, seed), host, stopped: false };
+        let (round_requested, notices_acknowledged) = (Notify::new(), Notify::new());
         let (notices, notices_out) = (Notify::new(), Notify::new());
-        Exchange { within: RefCell::new(within), bell, notices, notices_out, heard }
+        Exchange { inner: RefCell::new(inner), round_requested, notices, notices_out, notices_acknowledged }
     }
 
-    /// Reads the notices that are owed.
+    /// Calls `read` with the pending notices: those that the platform has not acknowledged.
     pub fn owed<T>(&self, read: impl FnOnce(&mut dyn Iterator<Item = (PacketId, &str, Notice)>) -> T) -> T {
-        read(&mut self.within.borrow().desk.ledger.owed())
+        read(&mut self.inner.borrow().host.ledger.owed())
     }
 
-    /// Reads the notices that may be told now: no process could contradict them.
+    /// Calls `read` with the pending notices that may be sent now: those that this process or a later one can
+    /// no longer contradict by delivering the packet.
     pub fn tellable<T>(
         &self,
         read: impl FnOnce(&mut dyn Iterator<Item = (PacketId, &str, Notice)>) -> T,
     ) -> T {
-        let desk = &self.within.borrow().desk;
-        read(&mut desk.ledger.tellable(|ends| desk.clock.is_over(ends)))
+        let host = &self.inner.borrow().host;
+        read(&mut host.ledger.tellable(|deadline| host.clock.is_past(deadline)))
     }
 
-    /// How often an invariant did not hold in this process.
+    /// Number of invariant violations in this process.
     pub fn violations(&self) -> u64 {
-        self.within.borrow().desk.violations.total()
+        self.inner.borrow().host.violations.total()
     }
 
-    /// Changes that wait for the state folder.
+    /// Number of changes that are not yet written to the state folder.
     pub fn behind(&self) -> usize {
-        self.within.borrow().desk.ledger.behind()
+        self.inner.borrow().host.ledger.behind()
     }
 
-    /// The platform has these notices.
+    /// Removes notices that the platform has acknowledged.
     pub fn told(&self, ids: &[PacketId]) {
         log::debug!("notices: told {:?}", ids.iter().map(|id| id.0).collect::<Vec<_>>());
-        let desk = &mut self.within.borrow_mut().desk;
-        desk.ledger.told(ids);
-        desk.untold.told(ids);
-        self.heard.notify_waiters();
+        let host = &mut self.inner.borrow_mut().host;
+        host.ledger.told(ids);
+        host.unacknowledged.told(ids);
+        self.notices_acknowledged.notify_waiters();
     }
 
-    /// Takes nothing more; what is out may come back.
+    /// Stops accepting packets. Calls in flight may still complete.
     pub fn stop(&self) {
-        self.within.borrow_mut().stopped = true;
-        self.bell.notify_one();
+        self.inner.borrow_mut().stopped = true;
+        self.round_requested.notify_one();
     }
 
-    /// At the end of a stop: clients whose packets stand in the folder, and not yet beyond a loss of power, hear so all the same. No
-    /// answer would lose them, and the next life tries what stands.
+    /// At the end of a stop, replies also to clients whose packets are on disk but might not survive a power
+    /// loss yet. Without a reply the clients would have to treat them as lost, although the next process
+    /// dispatches whatever is on disk.
     pub fn answer_unsynced(&self) {
-        let desk = &mut self.within.borrow_mut().desk;
-        if !desk.answers.is_empty() || !desk.ends.is_empty() {
-            log::warn!("journal: code=answered_unsynced {} answers", desk.answers.len() + desk.ends.len());
-            desk.tell_round();
+        let host = &mut self.inner.borrow_mut().host;
+        if !host.waiting_clients.is_empty() || !host.rejections.is_empty() {
+            log::warn!(
+                "journal: code=answered_unsynced {} answers",
+                host.waiting_clients.len() + host.rejections.len()
+            );
+            host.reply_to_clients();
         }
     }
 
-    /// A round whenever something came in or the sender asked for one, but not too often.
-    pub async fn rounds(self: Rc<Self>, pace: Duration, endpoints: Rc<Endpoints>) {
+    /// Runs a round after each input and at each time that the sender requested, but at most one per
+    /// `min_interval`.
+    pub async fn rounds(self: Rc<Self>, min_interval: Duration, endpoints: Rc<Endpoints>) {
         loop {
             let (wake, recorded) = {
-                let desk = &self.within.borrow().desk;
-                (desk.wakes.next(), desk.ledger.is_recorded())
+                let host = &self.inner.borrow().host;
+                (host.wakes.next(), host.ledger.is_recorded())
             };
-            let latest = Instant::now() + if recorded { LONGEST_REST } else { RETRY };
+            let latest = Instant::now() + if recorded { MAX_ROUND_INTERVAL } else { WRITE_RETRY_INTERVAL };
             tokio::select! {
-                () = self.bell.notified() => {}
+                () = self.round_requested.notified() => {}
                 () = sleep_until(wake.map_or(latest, |wake| wake.min(latest)).into()) => {}
             }
             let start = Instant::now();
-            self.round(&endpoints);
-            sleep_until((start + pace).into()).await;
+            self.run_round(&endpoints);
+            sleep_until((start + min_interval).into()).await;
         }
     }
 
-    fn round(self: &Rc<Self>, endpoints: &Rc<Endpoints>) {
-        let Within { sender, desk, stopped } = &mut *self.within.borrow_mut();
-        desk.wakes.meet(Instant::now());
-        if !*stopped || !desk.answers.is_empty() {
-            sender.decide(desk.clock.now(), desk);
+    fn run_round(self: &Rc<Self>, endpoints: &Rc<Endpoints>) {
+        let Inner { sender, host, stopped } = &mut *self.inner.borrow_mut();
+        host.wakes.meet(Instant::now());
+        if !*stopped || !host.waiting_clients.is_empty() {
+            sender.decide(host.clock.now(), host);
         }
-        match desk.ledger.commit() {
-            Ok(()) => desk.tell_round(),
-            // What would be told must outlive the power first: it is told with the round that can say so.
-            Err(fault) => log::debug!("journal: code=not_committed {fault}"),
+        match host.ledger.commit() {
+            Ok(()) => host.reply_to_clients(),
+            // Replies promise durability, so they wait for the first round whose commit succeeds.
+            Err(error) => log::debug!("journal: code=not_committed {error}"),
         }
-        for (endpoint, code) in std::mem::take(&mut desk.closing) {
+        for (endpoint, code) in std::mem::take(&mut host.endpoints_to_close) {
             endpoints.close(endpoint, code);
         }
-        for call in desk.calls() {
-            tokio::task::spawn_local(endpoints.clone().carry(call, self.clone()));
+        for call in host.take_calls() {
+            tokio::task::spawn_local(endpoints.clone().execute(call, self.clone()));
         }
-        if desk.ledger.owed().next().is_some() {
+        if host.ledger.owed().next().is_some() {
             self.notices.notify_one();
         }
     }
--- a/crates/sailcart-sender/src/exchange/packets.rs
+++ b/crates/sailcart-sender/src/exchange/packets.rs
@@ -1,4 +1,4 @@
-//! Taking packets: from clients, and from an earlier life of this sender.
+//! Accepts packets: those that clients submit, and those that a previous process left in the journal.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::rc::Rc;
@@ -7,18 +7,21 @@
 use sailcart::{CategoryId, CustomerId, DestinationId, KeyId, PacketId};
 use tokio::sync::oneshot;
 
-use super::desk::Desk;
-use super::{Exchange, Within};
+use super::host_state::HostState;
+use super::{Exchange, Inner};
 use crate::memory::{Notice, Packet};
 use crate::wire::Put;
 
-/// What a client hears of a packet that it hands in.
+/// The reply to the submission of a packet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Answer {
-    Taken,
+    /// The packet is in the journal and will be dispatched.
+    Accepted,
+    /// Rejected; it may be submitted again, after this wait if one is given.
     Dismissed(Option<Duration>),
+    /// Failed for good.
     Scrapped,
-    /// It names what the settings do not know.
+    /// Rejected, as its `category`, `customer` or `destination` is unknown.
     Unknown(&'static str),
 }
 
@@ -31,85 +34,94 @@
     }
 }
 
-/// Told to some who may have gone: nothing is lost by it.
-pub(super) fn tell(waiting: Vec<oneshot::Sender<Answer>>, answer: Answer) {
-    for one in waiting {
-        let _ = one.send(answer);
+/// Sends a reply to all clients that wait for it. Those that have disconnected meanwhile are ignored.
+pub(super) fn reply_all(clients: Vec<oneshot::Sender<Answer>>, reply: Answer) {
+    for client in clients {
+        let _ = client.send(reply);
     }
 }
 
-/// Two keys that share a number only wait for each other; a table of all keys would grow without end.
-pub(super) fn key(about: &str) -> KeyId {
+/// Derives the id of a key by hashing. Two keys with the same id merely wait for each other, whereas a table
+/// of all keys would grow without bound.
+pub(super) fn key_id(key: &str) -> KeyId {
     let mut hasher = DefaultHasher::new();
-    about.hash(&mut hasher);
+    key.hash(&mut hasher);
     KeyId(hasher.finish())
 }
 
 impl Exchange {
-    /// Packets that are not over, in the order in which they were taken.
+    /// Packets that are not completed, in the order in which they were accepted.
     pub fn unended(&self) -> Vec<Rc<Packet>> {
-        self.within.borrow().desk.ledger.unended()
+        self.inner.borrow().host.ledger.unended()
     }
 
-    /// A packet of an earlier life comes back to the sender; one that the settings no longer know is given up.
+    /// Passes a packet that a previous process accepted to the sender again. One with names that are no
+    /// longer in the settings is scrapped.
     pub fn take_back(&self, packet: &Packet) {
-        let Within { sender, desk, .. } = &mut *self.within.borrow_mut();
-        match desk.describe(packet) {
-            Ok(taken) => {
-                let now = desk.clock.now();
-                // Whatever the clock of the life before told, no packet has longer than its patience.
-                let most = now.saturating_add(desk.patience[taken.category.0]);
-                sender.take(now, sailcart::Packet { ends: taken.ends.min(most), taken_on: true, ..taken });
+        let Inner { sender, host, .. } = &mut *self.inner.borrow_mut();
+        match host.sender_packet(packet) {
+            Ok(restored) => {
+                let now = host.clock.now();
+                // The previous process may have had a wrong clock: the time left is never longer than the
+                // category's patience.
+                let max = now.saturating_add(host.patience_by_category[restored.category.0]);
+                sender
+                    .take(now, sailcart::Packet { ends: restored.ends.min(max), taken_on: true, ..restored });
             }
             Err(unknown) => {
                 log::warn!("packet {} scrapped, code=unknown_{unknown}", packet.id);
-                desk.owe(packet.number, Notice::Scrapped);
+                host.queue_notice(packet.number, Notice::Scrapped);
             }
         }
-        self.bell.notify_one();
+        self.round_requested.notify_one();
     }
 
-    /// A packet is handed in; the answer comes with the next round.
+    /// Submits a packet. The reply arrives with the next round whose records are written.
     pub fn take(&self, put: &Put) -> oneshot::Receiver<Answer> {
-        let (answer, heard) = oneshot::channel();
-        let within = &mut *self.within.borrow_mut();
-        match within.enter(put) {
+        let (client, reply) = oneshot::channel();
+        let inner = &mut *self.inner.borrow_mut();
+        match inner.accept(put) {
             Ok(number) => {
-                within.desk.answers.entry(number).or_default().push(answer);
-                self.bell.notify_one();
+                inner.host.waiting_clients.entry(number).or_default().push(client);
+                self.round_requested.notify_one();
             }
-            Err(at_once) => tell(vec![answer], at_once),
+            Err(immediate) => reply_all(vec![client], immediate),
         }
-        heard
+        reply
     }
 }
 
-impl Within {
-    /// The number under which a packet's answer is due, or the answer at once.
-    fn enter(&mut self, put: &Put) -> Result<PacketId, Answer> {
-        let Within { sender, desk, stopped } = self;
-        if let Some(number) = desk.ledger.number(put.id) {
-            // Handed in once more on another connection: it hears what the first would have heard.
-            return if desk.answers.contains_key(&number) { Ok(number) } else { Err(Answer::Taken) };
+impl Inner {
+    /// Returns the number of the packet whose reply the client waits for, or the reply if it is known at
+    /// once.
+    fn accept(&mut self, put: &Put) -> Result<PacketId, Answer> {
+        let Inner { sender, host, stopped } = self;
+        if let Some(number) = host.ledger.number(put.id) {
+            // A duplicate submission on another connection gets the same reply as the first.
+            return if host.waiting_clients.contains_key(&number) {
+                Ok(number)
+            } else {
+                Err(Answer::Accepted)
+            };
         }
-        // Guards against a packet that goes on after its end under the id of one that is over.
-        if let Some(told) = desk.ledger.ended(put.id) {
-            return Err(told.map_or(Answer::Taken, Answer::from));
+        // A packet resubmitted after its completion must not be dispatched again under the same id.
+        if let Some(rejection) = host.ledger.ended(put.id) {
+            return Err(rejection.map_or(Answer::Accepted, Answer::from));
         }
         if *stopped {
-            return Err(Answer::Dismissed(desk.retry_after));
+            return Err(Answer::Dismissed(host.retry_after));
         }
-        let now = desk.clock.now();
-        let packet = desk.copy(put, now);
-        let taken = desk.describe(&packet).map_err(Answer::Unknown)?;
-        if desk.told && !desk.directory.knows(taken.destination) {
+        let now = host.clock.now();
+        let packet = host.to_packet(put, now);
+        let accepted = host.sender_packet(&packet).map_err(Answer::Unknown)?;
+        if host.has_current_list && !host.directory.knows(accepted.destination) {
             return Err(Answer::Unknown("destination"));
         }
-        desk.ledger.take(packet).map_err(|fault| {
-            log::debug!("packet {} dismissed, code=journal {fault}", put.id);
-            Answer::Dismissed(desk.retry_after)
+        host.ledger.take(packet).map_err(|error| {
+            log::debug!("packet {} dismissed, code=journal {error}", put.id);
+            Answer::Dismissed(host.retry_after)
         })?;
-        let number = taken.id;
+        let number = accepted.id;
         log::debug!(
             "packet {}: taken as {}, about {:?}, for {:?}",
             put.id,
@@ -117,14 +129,14 @@
             put.about,
             put.patience
         );
-        sender.take(now, taken);
+        sender.take(now, accepted);
         Ok(number)
     }
 }
 
-impl Desk {
-    /// Copies what a client handed in: it must outlive the buffer.
-    fn copy(&self, put: &Put, now: Duration) -> Packet {
+impl HostState {
+    /// Copies a submitted packet out of the connection's buffer, and numbers it.
+    fn to_packet(&self, put: &Put, now: Duration) -> Packet {
         Packet {
             number: self.ledger.next(),
             id: put.id.into(),
@@ -133,14 +145,15 @@
             mark: put.mark.map(Into::into),
             about: put.about.map(Into::into),
             destination: DestinationId(put.destination),
-            ends: self.clock.moment(now.saturating_add(put.patience)),
+            ends: self.clock.to_moment(now.saturating_add(put.patience)),
             body: put.body.into(),
         }
     }
 
-    /// A packet as the sender takes it, or which of its names the settings do not know.
-    fn describe(&mut self, packet: &Packet) -> Result<sailcart::Packet, &'static str> {
-        let stand = self.ledger.stand(packet.number);
+    /// Converts a packet for the sender. Fails with the kind of the first name that the settings do not
+    /// contain.
+    fn sender_packet(&mut self, packet: &Packet) -> Result<sailcart::Packet, &'static str> {
+        let state = self.ledger.stand(packet.number);
         let category = self.names.categories.get(&*packet.category).ok_or("category")?;
         let customer = match &packet.customer {
             None => None,
@@ -151,10 +164,10 @@
             destination: packet.destination,
             category: CategoryId(*category),
             customer: customer.map(CustomerId),
-            key: packet.about.as_deref().map(key),
-            ends: self.clock.end(packet.ends),
-            dispatches: stand.dispatches,
-            doubt: stand.doubt.or(stand.out).map(|at| self.clock.doubt(at)),
+            key: packet.about.as_deref().map(key_id),
+            ends: self.clock.deadline(packet.ends),
+            dispatches: state.dispatches,
+            doubt: state.doubt.or(state.out).map(|sent_at| self.clock.dispatch_time(sent_at)),
             taken_on: false,
         })
     }
--- a/crates/sailcart-sender/src/exchange/staged.rs
+++ b/crates/sailcart-sender/src/exchange/staged.rs
@@ -1,4 +1,5 @@
-//! A list that is being read. Nothing of it counts until it is put in force.
+//! Holds a destination list while it is read. Nothing of it takes effect until it is applied by an
+//! [`Update`](super::update::Update).
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -9,15 +10,16 @@
 
 use super::directory::{Directory, Index, Line, Place, Target};
 
-/// Lines that are told to the decision module at once, at most.
+/// Largest number of listings passed to the decision module at once.
 pub const SLICE: usize = 2048;
-/// Staged lines that are allocated, applied and given back together. Each tells two lines at most: that its endpoint of before
-/// is gone, and that a new one is there.
-pub(super) const CHUNK: usize = SLICE / 2;
+/// Number of staged entries that are allocated, applied and freed together. Each leads to at most two
+/// listings: the removal of its previous endpoint and the addition of the new one.
+pub(super) const CHUNK_ENTRIES: usize = SLICE / 2;
 
-/// More endpoints are listed than may be held.
+/// The list would leave more live endpoints than are allowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListTooLarge {
+    /// Largest number of endpoints allowed.
     pub most: usize,
 }
 
@@ -29,25 +31,27 @@
 
 impl std::error::Error for ListTooLarge {}
 
-/// A line that differs from what is held.
-pub(super) struct StagedLine {
+/// An entry that differs from the directory.
+pub(super) struct StagedEntry {
     pub(super) name: CompactString,
     pub(super) destination: DestinationId,
+    /// Calls per second from all senders.
     pub(super) rate: f64,
     pub(super) target: Target,
+    /// False for an endpoint that drains.
     pub(super) live: bool,
-    /// A later line of the same list has the same name.
+    /// A later entry of the same list has the same name.
     pub(super) overridden: bool,
 }
 
-impl StagedLine {
-    fn new(line: &Line) -> Self {
-        StagedLine {
-            name: CompactString::new(line.name),
-            destination: line.place.destination,
-            rate: line.rate,
-            target: Target::new(line.place.address, line.place.kind),
-            live: line.live,
+impl StagedEntry {
+    fn new(listed: &Line) -> Self {
+        StagedEntry {
+            name: CompactString::new(listed.name),
+            destination: listed.place.destination,
+            rate: listed.rate,
+            target: Target::new(listed.place.address, listed.place.kind),
+            live: listed.live,
             overridden: false,
         }
     }
@@ -57,120 +61,137 @@
     }
 }
 
-/// A list that is being read. Nothing of it counts until it is committed.
+/// A destination list that is being read. It takes effect only when it is applied.
 ///
-/// A line equal to what is held is only noted in the directory; the others are kept here, in chunks that are given back as they
-/// are applied. One list is staged at a time: as soon as another is begun, this one counts for nothing.
+/// An entry equal to the directory is only marked there; the others are stored here, in chunks that are freed
+/// as they are applied. Only one list is staged at a time: as soon as the next one is begun, this one is
+/// superseded.
 pub struct StagedList {
-    /// As the directory counts lists that are begun.
+    /// Number of this list, as the directory counts the lists that were begun.
     pub(super) generation: u32,
-    pub(super) most: usize,
-    /// In the order in which they were read.
-    pub(super) chunks: VecDeque<Vec<StagedLine>>,
-    /// The last staged line of each name, by position.
-    names: Index<u32>,
+    /// Largest number of live endpoints once the list is in force.
+    pub(super) max_endpoints: usize,
+    /// The staged entries in the order in which they were read.
+    pub(super) chunks: VecDeque<Vec<StagedEntry>>,
+    /// Position of the last staged entry of each name.
+    last_by_name: Index<u32>,
     hasher: RandomState,
-    staged: usize,
-    /// Destinations named by lines equal to what was held, which a later line overrides.
-    pub(super) mentioned: Vec<DestinationId>,
-    /// Held endpoints that the list names.
-    pub(super) named: usize,
-    /// Names whose last line is live.
-    live: usize,
-    /// Names that are held or were staged live before, and drain now; and those that were not, and are live now.
-    drained: usize,
-    added: usize,
-    /// Lines that it tells the decision module at most, beside what a whole list removes.
-    pub(super) tells: usize,
-    /// Lines of kinds that the settings do not know.
-    unknown: usize,
+    staged_count: usize,
+    /// Destinations of entries that were equal to the directory and are overridden by a later entry.
+    pub(super) overridden_destinations: Vec<DestinationId>,
+    /// Number of endpoints in the directory that the list names.
+    pub(super) named_endpoints: usize,
+    /// Number of names whose last entry is live.
+    live_names: usize,
+    /// Number of names that the list turns from live to draining: live in the directory or in an earlier
+    /// entry.
+    removed_endpoints: usize,
+    /// Number of names that the list turns from not live to live.
+    added_endpoints: usize,
+    /// Largest number of listings that the list leads to, without the endpoints that a full list removes by
+    /// not naming them.
+    pub(super) max_listings: usize,
+    /// Number of entries whose kind is not in the settings.
+    unknown_kinds: usize,
 }
 
-/// Lines of unknown kinds that the log tells of one by one.
-const UNKNOWN_TOLD: usize = 3;
+/// Number of entries of unknown kinds that are logged one by one for each list.
+const MAX_LOGGED_UNKNOWN_KINDS: usize = 3;
 
 impl StagedList {
-    /// Begins a list after which at most so many endpoints may be held.
-    pub fn new(directory: &mut Directory, most: usize) -> Self {
+    /// Begins a list. At most `max_endpoints` endpoints may be live once it is in force.
+    pub fn new(directory: &mut Directory, max_endpoints: usize) -> Self {
         StagedList {
-            generation: directory.begin(),
-            most,
+            generation: directory.begin_list(),
+            max_endpoints,
             chunks: VecDeque::new(),
-            names: Index::default(),
+            last_by_name: Index::default(),
             hasher: directory.hasher().clone(),
-            staged: 0,
-            mentioned: Vec::new(),
-            named: 0,
-            live: 0,
-            drained: 0,
-            added: 0,
-            tells: 0,
-            unknown: 0,
+            staged_count: 0,
+            overridden_destinations: Vec::new(),
+            named_endpoints: 0,
+            live_names: 0,
+            removed_endpoints: 0,
+            added_endpoints: 0,
+            max_listings: 0,
+            unknown_kinds: 0,
         }
     }
 
-    /// A line of a kind that the settings do not know is passed over. The log has the first few of a list.
-    pub(super) fn note_unknown(&mut self, name: &str, kind: &str) {
-        self.unknown += 1;
-        if self.unknown <= UNKNOWN_TOLD {
-            log::warn!("list: endpoint {name} passed over, unknown kind {kind}");
+    /// Counts an entry that is skipped because its kind is not in the settings, and logs the first few of a
+    /// list.
+    pub(super) fn log_unknown_kind(&mut self, name: &str, kind: &str) {
+        self.unknown_kinds += 1;
+        if self.unknown_kinds <= MAX_LOGGED_UNKNOWN_KINDS {
+            log::warn!("list: endpoint {name} skipped, unknown kind {kind}");
         }
     }
 
-    /// How many there were, where the log has not told of each.
-    pub(super) fn tell_unknown(&self) {
-        if self.unknown > UNKNOWN_TOLD {
-            log::warn!("list: {} entries passed over, unknown kind", self.unknown);
+    /// Logs the number of entries of unknown kinds unless each of them was logged.
+    pub(super) fn log_unknown_kind_count(&self) {
+        if self.unknown_kinds > MAX_LOGGED_UNKNOWN_KINDS {
+            log::warn!("list: {} entries skipped, unknown kind", self.unknown_kinds);
         }
     }
 
-    /// Lines that are kept, as they differ from what is held.
+    /// Number of entries stored because they differ from the directory.
     pub fn differences(&self) -> usize {
-        self.staged
+        self.staged_count
     }
 
-    /// Adds a line, as read.
-    pub fn add(&mut self, directory: &mut Directory, line: &Line) -> Result<(), ListTooLarge> {
+    /// Adds the next entry of the list.
+    ///
+    /// # Errors
+    /// Fails as soon as the list names more live endpoints, or stores more entries, than are allowed.
+    pub fn add(&mut self, directory: &mut Directory, listed: &Line) -> Result<(), ListTooLarge> {
         if !self.is_latest(directory) {
             return Ok(());
         }
-        let held = directory.compare(self.generation, line);
-        let earlier = self.earlier(line.name);
-        let named = held.as_ref().is_some_and(|held| held.named);
-        // Whether the list so far has this name as live, and whether it is live once the list so far is in force.
-        let was_listed = earlier.unwrap_or(named);
-        let was_live = earlier.unwrap_or(held.is_some());
-        self.named += usize::from(held.is_some() && !named);
-        self.live = self.live + usize::from(line.live) - usize::from(was_listed);
-        let held = held.filter(|_| earlier.is_none());
-        if held.as_ref().is_some_and(|held| held.same) {
-            return self.check();
+        let current = directory.compare(self.generation, listed);
+        let staged_live = self.last_staged_live(listed.name);
+        let named = current.as_ref().is_some_and(|current| current.named);
+        // Whether the entries so far list this name as live, and whether it would be live if they were
+        // applied.
+        let was_listed = staged_live.unwrap_or(named);
+        let was_live = staged_live.unwrap_or(current.is_some());
+        self.named_endpoints += usize::from(current.is_some() && !named);
+        self.live_names = self.live_names + usize::from(listed.live) - usize::from(was_listed);
+        let current = current.filter(|_| staged_live.is_none());
+        if current.as_ref().is_some_and(|current| current.unchanged) {
+            return self.check_limits();
         }
-        if let Some(held) = held.as_ref().filter(|held| held.was_same) {
-            self.mentioned.push(held.destination);
+        if let Some(current) = current.as_ref().filter(|current| current.was_unchanged) {
+            self.overridden_destinations.push(current.destination);
         }
-        self.added += usize::from(line.live && !was_live);
-        self.drained += usize::from(!line.live && was_live);
-        let stays = line.live && held.is_some_and(|held| held.same_place);
-        self.tells += usize::from(line.live) + usize::from(was_live && !stays);
-        self.push(line);
-        self.check()
+        self.added_endpoints += usize::from(listed.live && !was_live);
+        self.removed_endpoints += usize::from(!listed.live && was_live);
+        let stays = listed.live && current.is_some_and(|current| current.same_place);
+        self.max_listings += usize::from(listed.live) + usize::from(was_live && !stays);
+        self.push(listed);
+        self.check_limits()
     }
 
-    /// A line that is passed over: what is held under its name stays, also if the list is a whole one.
+    /// Skips an entry: the endpoint that the directory has under its name stays, also if the list is a full
+    /// one.
+    ///
+    /// # Errors
+    /// As for [`add`](Self::add).
     pub fn keep(&mut self, directory: &mut Directory, name: &str) -> Result<(), ListTooLarge> {
-        if self.is_latest(directory) && directory.keep(self.generation, name) {
-            self.named += 1;
-            self.live += 1;
+        if self.is_latest(directory) && directory.mark_named(self.generation, name) {
+            self.named_endpoints += 1;
+            self.live_names += 1;
         }
-        self.check()
+        self.check_limits()
     }
 
-    /// Whether no more endpoints are held than may be, once the list is in force.
-    pub fn fits(&self, directory: &Directory, whole: bool) -> Result<(), ListTooLarge> {
-        let before = if whole { self.named } else { directory.len() };
-        let after = (before + self.added).saturating_sub(self.drained);
-        if after > self.most { Err(ListTooLarge { most: self.most }) } else { Ok(()) }
+    /// Checks the number of live endpoints after the list is applied.
+    ///
+    /// # Errors
+    /// Fails if more endpoints than are allowed would be live.
+    pub fn fits(&self, directory: &Directory, full: bool) -> Result<(), ListTooLarge> {
+        let before = if full { self.named_endpoints } else { directory.len() };
+        let after = (before + self.added_endpoints).saturating_sub(self.removed_endpoints);
+        if after > self.max_endpoints { Err(ListTooLarge { most: self.max_endpoints }) } else { Ok(()) }
     }
 
     /// Whether no list was begun after this one.
@@ -178,61 +199,65 @@
         directory.is_latest(self.generation)
     }
 
-    /// Gives back what only reading needs.
-    pub(super) fn read(&mut self) {
-        self.names = Index::default();
+    /// Frees what is needed only while the list is read.
+    pub(super) fn finish_reading(&mut self) {
+        self.last_by_name = Index::default();
     }
 
-    /// What the list names alone must fit. Guards also against a list without end of endpoints that are not held and drain:
-    /// what is held and what replaces it may differ in twice what may be held.
-    fn check(&self) -> Result<(), ListTooLarge> {
-        let most_staged = self.most.saturating_mul(2).saturating_add(SLICE);
-        if self.live > self.most || self.staged > most_staged {
-            return Err(ListTooLarge { most: self.most });
+    /// Checks the live endpoints that the list names, and the number of stored entries. The latter stops an
+    /// endless list of draining endpoints that are not in the directory. Twice `max_endpoints` suffices for
+    /// any valid list: each endpoint in the directory may be removed and another one added.
+    fn check_limits(&self) -> Result<(), ListTooLarge> {
+        let max_staged = self.max_endpoints.saturating_mul(2).saturating_add(SLICE);
+        if self.live_names > self.max_endpoints || self.staged_count > max_staged {
+            return Err(ListTooLarge { most: self.max_endpoints });
         }
         Ok(())
     }
 
-    /// Whether the last line of this name that is staged is live, if there is one.
-    fn earlier(&self, name: &str) -> Option<bool> {
-        let at = self.names.find(self.hasher.hash_one(name), |at| self.has_name(*at, name))?;
-        self.line(*at).map(|line| line.live)
+    /// Whether the last staged entry of this name is live; `None` if there is no such entry.
+    fn last_staged_live(&self, name: &str) -> Option<bool> {
+        let position =
+            self.last_by_name.find(self.hasher.hash_one(name), |position| self.has_name(*position, name))?;
+        self.entry(*position).map(|entry| entry.live)
     }
 
-    fn push(&mut self, line: &Line) {
-        let hash = self.hasher.hash_one(line.name);
-        let at = self.staged as u32;
-        if let Some(earlier) = self.names.find(hash, |other| self.has_name(*other, line.name)).copied() {
-            if let Some(overridden) = self.line_mut(earlier) {
+    fn push(&mut self, listed: &Line) {
+        let hash = self.hasher.hash_one(listed.name);
+        let position = self.staged_count as u32;
+        if let Some(earlier) =
+            self.last_by_name.find(hash, |other| self.has_name(*other, listed.name)).copied()
+        {
+            if let Some(overridden) = self.entry_mut(earlier) {
                 overridden.overridden = true;
             }
-            self.names.remove(hash, |other| *other == earlier);
+            self.last_by_name.remove(hash, |other| *other == earlier);
         }
-        if self.staged.is_multiple_of(CHUNK) {
+        if self.staged_count.is_multiple_of(CHUNK_ENTRIES) {
             self.chunks.push_back(Vec::new());
         }
         if let Some(chunk) = self.chunks.back_mut() {
-            chunk.push(StagedLine::new(line));
+            chunk.push(StagedEntry::new(listed));
         }
-        self.staged += 1;
-        let StagedList { names, chunks, hasher, .. } = self;
-        let rehash = |at: &u32| line_at(chunks, *at).map_or(0, |line| hasher.hash_one(line.name.as_str()));
-        names.insert(hash, at, rehash);
+        self.staged_count += 1;
+        let StagedList { last_by_name, chunks, hasher, .. } = self;
+        let rehash = |at: &u32| entry_at(chunks, *at).map_or(0, |entry| hasher.hash_one(entry.name.as_str()));
+        last_by_name.insert(hash, position, rehash);
     }
 
-    fn has_name(&self, at: u32, name: &str) -> bool {
-        self.line(at).is_some_and(|line| line.name == name)
+    fn has_name(&self, position: u32, name: &str) -> bool {
+        self.entry(position).is_some_and(|entry| entry.name == name)
     }
 
-    fn line(&self, at: u32) -> Option<&StagedLine> {
-        line_at(&self.chunks, at)
+    fn entry(&self, position: u32) -> Option<&StagedEntry> {
+        entry_at(&self.chunks, position)
     }
 
-    fn line_mut(&mut self, at: u32) -> Option<&mut StagedLine> {
-        self.chunks.get_mut(at as usize / CHUNK)?.get_mut(at as usize % CHUNK)
+    fn entry_mut(&mut self, position: u32) -> Option<&mut StagedEntry> {
+        self.chunks.get_mut(position as usize / CHUNK_ENTRIES)?.get_mut(position as usize % CHUNK_ENTRIES)
     }
 }
 
-fn line_at(chunks: &VecDeque<Vec<StagedLine>>, at: u32) -> Option<&StagedLine> {
-    chunks.get(at as usize / CHUNK)?.get(at as usize % CHUNK)
+fn entry_at(chunks: &VecDeque<Vec<StagedEntry>>, position: u32) -> Option<&StagedEntry> {
+    chunks.get(position as usize / CHUNK_ENTRIES)?.get(position as usize % CHUNK_ENTRIES)
 }
--- a/crates/sailcart-sender/src/exchange/update.rs
+++ b/crates/sailcart-sender/src/exchange/update.rs
@@ -1,4 +1,4 @@
-//! A staged list is put in force, in steps of bounded length.
+//! Applies a staged list to the directory in steps of bounded length.
 
 use std::mem;
 use std::time::Duration;
@@ -6,151 +6,153 @@
 use sailcart::Listing;
 
 use super::directory::Directory;
-use super::staged::{SLICE, StagedLine, StagedList};
+use super::staged::{SLICE, StagedEntry, StagedList};
 
-/// Slots of the directory that one step looks at for endpoints that a whole list no longer names.
-const SEARCH: u32 = 16 * 1024;
+/// Number of directory slots that one step searches for endpoints that a full list does not name.
+const SEARCH_SLOTS: u32 = 16 * 1024;
 
-/// What a step did.
+/// Result of one step of an [`Update`].
 #[derive(Debug)]
 pub enum Step {
-    /// It looked for what is gone. Nothing changed yet.
+    /// The step searched for endpoints to remove. Nothing has changed yet.
     Searched,
-    /// These lines are for the decision module; others follow.
+    /// Changes for the decision module; more steps follow.
     Lines(Vec<Listing>),
-    /// These lines are for the decision module, and the list is in force. There may be none.
+    /// The last changes for the decision module, possibly none. The list is in force.
     Last(Vec<Listing>),
 }
 
-/// A list on its way into force: what is gone first, then in the order of its lines. Where that is more than [`SLICE`] lines,
-/// they come in several steps, those that drain before those that are live.
+/// A staged list that is being applied. Endpoints that it no longer names are removed first; then its entries
+/// are applied in order. If there may be more than [`SLICE`] changes, they are spread over several steps, and
+/// all draining endpoints are removed before live ones are added.
 pub struct Update {
     staged: StagedList,
     now: Duration,
     phase: Phase,
-    /// Positions of endpoints that a whole list no longer names.
-    gone: Vec<u32>,
-    /// More than one step tells lines.
+    /// Slots of endpoints that a full list does not name.
+    unlisted: Vec<u32>,
+    /// The changes are spread over several steps.
     sliced: bool,
 }
 
 enum Phase {
-    /// From this position on.
+    /// Searches for unlisted endpoints from this slot on.
     Search(u32),
-    Gone,
-    /// From this chunk on.
-    Drains(usize),
-    Live,
+    RemoveUnlisted,
+    /// Removes the draining endpoints of the chunks from this one on.
+    RemoveDraining(usize),
+    ApplyLive,
 }
 
 impl Update {
-    /// With a `whole` list, what it does not name is gone.
-    pub fn new(mut staged: StagedList, whole: bool, directory: &Directory, now: Duration) -> Self {
-        staged.read();
-        let all_named = directory.len() == staged.named;
-        let start = if whole && !all_named { 0 } else { directory.end() };
-        Update { staged, now, phase: Phase::Search(start), gone: Vec::new(), sliced: false }
+    /// Prepares to apply a list. A `full` list removes the endpoints that it does not name.
+    pub fn new(mut staged: StagedList, full: bool, directory: &Directory, now: Duration) -> Self {
+        staged.finish_reading();
+        let all_named = directory.len() == staged.named_endpoints;
+        let start = if full && !all_named { 0 } else { directory.end() };
+        Update { staged, now, phase: Phase::Search(start), unlisted: Vec::new(), sliced: false }
     }
 
-    /// Does the next step.
+    /// Performs the next step. Ends the update early if another list was begun meanwhile.
     pub fn step(&mut self, directory: &mut Directory) -> Step {
         if !self.staged.is_latest(directory) {
-            log::error!("list: given up, code=superseded");
+            log::error!("list: abandoned as a newer one is being read, code=superseded");
             return self.finish(directory, Vec::new());
         }
         loop {
             match self.phase {
                 Phase::Search(from) if from < directory.end() => {
-                    let to = directory.end().min(from.saturating_add(SEARCH));
-                    self.gone.extend(directory.unnamed(self.staged.generation, from..to));
+                    let to = directory.end().min(from.saturating_add(SEARCH_SLOTS));
+                    self.unlisted.extend(directory.unnamed(self.staged.generation, from..to));
                     self.phase = Phase::Search(to);
                     if to < directory.end() {
                         return Step::Searched;
                     }
                 }
                 Phase::Search(_) => {
-                    self.sliced = self.gone.len() + self.staged.tells > SLICE;
-                    self.phase = Phase::Gone;
+                    self.sliced = self.unlisted.len() + self.staged.max_listings > SLICE;
+                    self.phase = Phase::RemoveUnlisted;
                     if !self.sliced {
-                        return self.all(directory);
+                        return self.apply_all(directory);
                     }
                 }
-                Phase::Gone if self.gone.is_empty() => self.phase = Phase::Drains(0),
-                Phase::Gone => return Step::Lines(self.remove_gone(directory)),
-                Phase::Drains(chunk) if chunk < self.staged.chunks.len() => {
-                    self.phase = Phase::Drains(chunk + 1);
-                    let lines = self.drain(chunk, directory);
-                    if !lines.is_empty() {
-                        return Step::Lines(lines);
+                Phase::RemoveUnlisted if self.unlisted.is_empty() => self.phase = Phase::RemoveDraining(0),
+                Phase::RemoveUnlisted => return Step::Lines(self.remove_unlisted(directory)),
+                Phase::RemoveDraining(chunk) if chunk < self.staged.chunks.len() => {
+                    self.phase = Phase::RemoveDraining(chunk + 1);
+                    let listings = self.remove_draining(chunk, directory);
+                    if !listings.is_empty() {
+                        return Step::Lines(listings);
                     }
                 }
-                Phase::Drains(_) => self.phase = Phase::Live,
-                Phase::Live => return self.put_chunk(directory),
+                Phase::RemoveDraining(_) => self.phase = Phase::ApplyLive,
+                Phase::ApplyLive => return self.apply_live_chunk(directory),
             }
         }
     }
 
-    /// All that changes, at once.
-    fn all(&mut self, directory: &mut Directory) -> Step {
-        let mut lines = self.remove_gone(directory);
-        for line in mem::take(&mut self.staged.chunks).into_iter().flatten() {
-            if !line.live || line.overridden {
-                directory.mention(line.destination);
+    /// Applies all changes in one step.
+    fn apply_all(&mut self, directory: &mut Directory) -> Step {
+        let mut listings = self.remove_unlisted(directory);
+        for entry in mem::take(&mut self.staged.chunks).into_iter().flatten() {
+            if !entry.live || entry.overridden {
+                directory.mention(entry.destination);
             }
-            if line.live {
-                put(line, directory, &mut lines);
+            if entry.live {
+                put(entry, directory, &mut listings);
             } else {
-                directory.drain(&line.name, &mut lines);
+                directory.drain(&entry.name, &mut listings);
             }
         }
-        self.finish(directory, lines)
+        self.finish(directory, listings)
     }
 
-    fn remove_gone(&mut self, directory: &mut Directory) -> Vec<Listing> {
-        let mut lines = Vec::new();
-        let rest = self.gone.split_off(self.gone.len().min(SLICE));
-        for at in mem::replace(&mut self.gone, rest) {
-            directory.remove(at, &mut lines);
+    /// Removes up to [`SLICE`] unlisted endpoints.
+    fn remove_unlisted(&mut self, directory: &mut Directory) -> Vec<Listing> {
+        let mut listings = Vec::new();
+        let rest = self.unlisted.split_off(self.unlisted.len().min(SLICE));
+        for slot in mem::replace(&mut self.unlisted, rest) {
+            directory.remove(slot, &mut listings);
         }
-        lines
+        listings
     }
 
-    /// Those of a chunk that drain.
-    fn drain(&self, chunk: usize, directory: &mut Directory) -> Vec<Listing> {
-        let mut lines = Vec::new();
-        for line in self.staged.chunks.get(chunk).into_iter().flatten() {
-            if !line.live || line.overridden {
-                directory.mention(line.destination);
+    /// Removes the draining endpoints of a chunk.
+    fn remove_draining(&self, chunk: usize, directory: &mut Directory) -> Vec<Listing> {
+        let mut listings = Vec::new();
+        for entry in self.staged.chunks.get(chunk).into_iter().flatten() {
+            if !entry.live || entry.overridden {
+                directory.mention(entry.destination);
             }
-            if !line.live && !line.overridden {
-                directory.drain(&line.name, &mut lines);
+            if !entry.live && !entry.overridden {
+                directory.drain(&entry.name, &mut listings);
             }
         }
-        lines
+        listings
     }
 
-    /// Those of the first chunk that are live. Its memory is given back.
-    fn put_chunk(&mut self, directory: &mut Directory) -> Step {
-        let mut lines = Vec::new();
-        for line in self.staged.chunks.pop_front().into_iter().flatten() {
-            if line.live && !line.overridden {
-                put(line, directory, &mut lines);
+    /// Applies the live entries of the first chunk and frees it.
+    fn apply_live_chunk(&mut self, directory: &mut Directory) -> Step {
+        let mut listings = Vec::new();
+        for entry in self.staged.chunks.pop_front().into_iter().flatten() {
+            if entry.live && !entry.overridden {
+                put(entry, directory, &mut listings);
             }
         }
-        if self.staged.chunks.is_empty() { self.finish(directory, lines) } else { Step::Lines(lines) }
+        if self.staged.chunks.is_empty() { self.finish(directory, listings) } else { Step::Lines(listings) }
     }
 
-    fn finish(&mut self, directory: &mut Directory, lines: Vec<Listing>) -> Step {
-        for destination in mem::take(&mut self.staged.mentioned) {
+    fn finish(&mut self, directory: &mut Directory, listings: Vec<Listing>) -> Step {
+        for destination in mem::take(&mut self.staged.overridden_destinations) {
             directory.mention(destination);
         }
-        directory.settle(self.now, self.staged.most);
-        Step::Last(lines)
+        directory.finish_update(self.now, self.staged.max_endpoints);
+        Step::Last(listings)
     }
 }
 
-fn put(line: StagedLine, directory: &mut Directory, lines: &mut Vec<Listing>) {
-    let (place, rate) = (line.place(), line.rate);
-    log::debug!("list: {} of destination {}, {rate} a second", place.address, place.destination.0);
-    directory.put(line.name, place, rate, lines);
+fn put(entry: StagedEntry, directory: &mut Directory, listings: &mut Vec<Listing>) {
+    let (place, rate) = (entry.place(), entry.rate);
+    log::debug!("list: {} serves destination {}, {rate} calls/s", place.address, place.destination.0);
+    directory.put(entry.name, place, rate, listings);
 }
--- a/crates/sailcart-sender/src/outgoing.rs
+++ b/crates/sailcart-sender/src/outgoing.rs
@@ -1,4 +1,4 @@
-//! A call on its way to an endpoint, and what its owner is asked and told meanwhile.
+//! A call on its way to an endpoint, and the interface to its owner.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 use sailcart::EndpointId;
 use tokio::sync::Notify;
 
-use crate::exchange::guard::{Permit, Refusal};
+use crate::exchange::invariants::{Permit, Refusal};
 use crate::memory::Packet;
 use crate::wire::call::Ending;
 use crate::wire::http::Head;
@@ -18,25 +18,30 @@
     pub endpoint: EndpointId,
     pub address: SocketAddr,
     pub packets: Vec<Rc<Packet>>,
-    pub time_out: Duration,
-    pub start: Instant,
-    /// When its first byte went: a connection that comes up late is no slow answer.
-    pub sent: Cell<Option<Instant>>,
-    pub called_off: Rc<Notify>,
+    /// Bounds the whole call, counted from `started_at`.
+    pub timeout: Duration,
+    pub started_at: Instant,
+    /// When the call was permitted to send its first byte. Response times are counted from here, so that a
+    /// slow connect does not count as a slow response.
+    pub sent_at: Cell<Option<Instant>>,
+    /// Signalled to cancel the call.
+    pub cancelled: Rc<Notify>,
 }
 
-/// Who handed out a call: asked before it goes, and told what came of it.
+/// The owner of calls. It permits each call before its first byte is sent, and receives the outcome.
 pub trait CallOwner {
-    /// Waits until a call may go in the order of its packets' keys, or its time is up, or it is called off.
-    fn turn_comes(&self, call: &Call) -> impl Future<Output = ()>;
+    /// Waits until a call may be sent in the order of its packets' keys, or it has timed out or was
+    /// cancelled.
+    fn wait_for_key_order(&self, call: &Call) -> impl Future<Output = ()>;
 
-    /// Asked when a call's connection stands, before its first byte: whether it may still go. If so, the
-    /// journal has it.
+    /// Decides, once a call is connected and before its first byte is sent, whether it may still be sent. If
+    /// so, it has been recorded in the journal.
     fn permit(&self, call: &Call) -> Result<Permit, Refusal>;
 
-    /// Whether an endpoint is still listed, and live.
+    /// Whether an endpoint is still listed and live.
     fn lists(&self, endpoint: EndpointId) -> bool;
 
-    /// A call came back, with how each of its packets fared and perhaps what its answer tells of a limit.
-    fn came_back(&self, call: &Call, endings: &[Ending], head: Option<&Head>);
+    /// Receives the outcome of each of the call's packets, and the head of the response, which may report a
+    /// limit.
+    fn call_completed(&self, call: &Call, endings: &[Ending], head: Option<&Head>);
 }
