--- a/crates/sailcart-sender/src/exchange/directory/destinations.rs
+++ b/crates/sailcart-sender/src/exchange/directory/destinations.rs
@@ -12,6 +12,7 @@
 /// How long a destination stays known after it was last listed.
 const RETENTION: Duration = Duration::from_secs(3600);
 
+/// The known destinations, which the directory updates as endpoints are added and removed.
 #[derive(Default)]
 pub(super) struct Destinations {
     /// Destinations with a live endpoint.
--- a/crates/sailcart-sender/src/exchange/host_state.rs
+++ b/crates/sailcart-sender/src/exchange/host_state.rs
@@ -36,8 +36,9 @@
     /// Clients that wait for the reply to a packet: the one that submitted it, and those with duplicate
     /// submissions.
     pub(super) waiting_clients: BTreeMap<PacketId, Vec<oneshot::Sender<Answer>>>,
-    /// Clients that receive a rejection in place of `+OK` once the records of this round are written.
-    pub(super) rejections: Vec<(Vec<oneshot::Sender<Answer>>, Notice)>,
+    /// Clients that receive a failure (dismissed or scrapped) in place of `+OK` once the records of this
+    /// round are written.
+    pub(super) failure_replies: Vec<(Vec<oneshot::Sender<Answer>>, Notice)>,
     /// Packets in flight, each with the signal that cancels its call.
     pub(super) in_flight: BTreeMap<PacketId, Rc<Notify>>,
     /// Dispatches of this round by endpoint, each with its timeout.
@@ -68,7 +69,7 @@
             directory: Directory::new(),
             has_current_list: false,
             waiting_clients: BTreeMap::new(),
-            rejections: Vec::new(),
+            failure_replies: Vec::new(),
             in_flight: BTreeMap::new(),
             dispatches: Vec::new(),
             endpoints_to_close: Vec::new(),
@@ -89,11 +90,11 @@
         }
         let Some(clients) = self.waiting_clients.remove(&id) else { return self.queue_notice(id, notice) };
         if self.ledger.over_at_once(id, notice) {
-            self.rejections.push((clients, notice));
+            self.failure_replies.push((clients, notice));
         } else {
             // The journal holds the packet as accepted and cannot be changed now, so the reply says that it
-            // was accepted, and a notice reports the rejection.
-            log::warn!("packet {}: rejection reported as a notice, code=not_recorded", id.0);
+            // was accepted, and a notice reports the failure.
+            log::warn!("packet {}: failure reported as a notice, code=not_recorded", id.0);
             reply_all(clients, Answer::Accepted);
             self.queue_notice(id, notice);
         }
@@ -101,7 +102,7 @@
 
     /// Replies to the clients that wait for this round's records, which are written now.
     pub(super) fn reply_to_clients(&mut self) {
-        for (clients, notice) in std::mem::take(&mut self.rejections) {
+        for (clients, notice) in std::mem::take(&mut self.failure_replies) {
             reply_all(clients, notice.into());
         }
         for (_, clients) in std::mem::take(&mut self.waiting_clients) {
--- a/crates/sailcart-sender/src/exchange/mod.rs
+++ b/crates/sailcart-sender/src/exchange/mod.rs
@@ -109,10 +109,10 @@
     /// dispatches whatever is on disk.
     pub fn answer_unsynced(&self) {
         let host = &mut self.inner.borrow_mut().host;
-        if !host.waiting_clients.is_empty() || !host.rejections.is_empty() {
+        if !host.waiting_clients.is_empty() || !host.failure_replies.is_empty() {
             log::warn!(
                 "journal: code=answered_unsynced {} answers",
-                host.waiting_clients.len() + host.rejections.len()
+                host.waiting_clients.len() + host.failure_replies.len()
             );
             host.reply_to_clients();
         }
--- a/crates/sailcart-sender/src/exchange/packets.rs
+++ b/crates/sailcart-sender/src/exchange/packets.rs
@@ -105,8 +105,8 @@
             };
         }
         // A packet resubmitted after its completion must not be dispatched again under the same id.
-        if let Some(rejection) = host.ledger.ended(put.id) {
-            return Err(rejection.map_or(Answer::Accepted, Answer::from));
+        if let Some(failure) = host.ledger.ended(put.id) {
+            return Err(failure.map_or(Answer::Accepted, Answer::from));
         }
         if *stopped {
             return Err(Answer::Dismissed(host.retry_after));
