--- a/crates/sailcart-lab/src/watcher/mod.rs
+++ b/crates/sailcart-lab/src/watcher/mod.rs
@@ -1,9 +1,9 @@
 //! The watcher of the six rules. It is told only what an outsider sees (clients, receivers, discovery and the
 //! receiver of notices), in order of time, and knows nothing of how a sender decides.
 
-mod order;
-mod restraint;
-mod single;
+mod backpressure;
+mod exactly_once;
+mod key_order;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -219,9 +219,9 @@
 /// Sees a run from outside and counts broken rules.
 pub struct Watcher {
     record: Record,
-    single: single::Single,
-    restraint: restraint::Restraint,
-    order: order::Order,
+    single: exactly_once::Single,
+    restraint: backpressure::Restraint,
+    order: key_order::Order,
 }
 
 impl Watcher {
@@ -238,9 +238,9 @@
         };
         Watcher {
             record,
-            single: single::Single::default(),
-            restraint: restraint::Restraint::default(),
-            order: order::Order::default(),
+            single: exactly_once::Single::default(),
+            restraint: backpressure::Restraint::default(),
+            order: key_order::Order::default(),
         }
     }
 
