--- a/crates/sailcart-lab/src/results/bounds.rs
+++ b/crates/sailcart-lab/src/results/bounds.rs
@@ -1,4 +1,4 @@
-//! Bounds that an experiment states: a figure, how it compares, and an amount.
+//! The bounds of an experiment: conditions on figures of its result, such as `credit >= 0.7`.
 
 use winnow::ascii::{float, space0};
 use winnow::combinator::{alt, delimited};
@@ -7,50 +7,51 @@
 
 use super::figures::{self, FIGURES};
 
-/// What a figure must be for an experiment to succeed.
+/// A condition on one figure that must hold for the experiment to succeed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bound {
-    /// The name of the figure.
+    /// The name of the figure, one of [`FIGURES`].
     pub figure: String,
-    sign: &'static str,
-    amount: f64,
+    operator: &'static str,
+    threshold: f64,
 }
 
 impl Bound {
-    /// Reads a bound as an experiment states it, such as `credit >= 0.7`.
+    /// Parses a bound as written in an experiment, such as `credit >= 0.7`.
     ///
     /// # Errors
-    /// What was expected, in words, with the text as it stands.
+    /// A message that quotes the text and says what was expected: the syntax, or the names of the known
+    /// figures.
     pub fn read(text: &str) -> Result<Bound, String> {
-        let mut whole = (name, delimited(space0, sign, space0), float::<_, f64, _>);
-        let bound = whole
-            .parse(text.trim())
-            .map_err(|_| format!("{text:?}: expected a figure, one of <= >= < > =, and a number"))?;
-        let (figure, sign, amount) = bound;
+        let mut parser = (figure_name, delimited(space0, operator, space0), float::<_, f64, _>);
+        let parsed = parser.parse(text.trim()).map_err(|_| {
+            format!("{text:?}: expected the name of a figure, one of <= >= < > = and a number")
+        })?;
+        let (figure, operator, threshold) = parsed;
         if !figures::is_known(figure) {
             let known: Vec<&str> = FIGURES.iter().map(|known| known.name).collect();
-            return Err(format!("{text:?}: no figure {figure}; there are {}", known.join(", ")));
+            return Err(format!("{text:?}: unknown figure {figure}; known figures: {}", known.join(", ")));
         }
-        Ok(Bound { figure: figure.to_owned(), sign, amount })
+        Ok(Bound { figure: figure.to_owned(), operator, threshold })
     }
 
-    /// Whether a value keeps the bound.
+    /// Whether the value satisfies the bound.
     pub fn holds(&self, value: f64) -> bool {
-        match self.sign {
-            "<=" => value <= self.amount,
-            ">=" => value >= self.amount,
-            "<" => value < self.amount,
-            ">" => value > self.amount,
-            _ => value == self.amount,
+        match self.operator {
+            "<=" => value <= self.threshold,
+            ">=" => value >= self.threshold,
+            "<" => value < self.threshold,
+            ">" => value > self.threshold,
+            _ => value == self.threshold,
         }
     }
 }
 
-fn name<'a>(input: &mut &'a str) -> ModalResult<&'a str> {
+fn figure_name<'a>(input: &mut &'a str) -> ModalResult<&'a str> {
     take_while(1.., ('a'..='z', '0'..='9', '_')).parse_next(input)
 }
 
-fn sign(input: &mut &str) -> ModalResult<&'static str> {
+fn operator(input: &mut &str) -> ModalResult<&'static str> {
     alt(("<=".value("<="), ">=".value(">="), "<".value("<"), ">".value(">"), "=".value("=")))
         .parse_next(input)
 }
--- a/crates/sailcart-lab/src/results/credit.rs
+++ b/crates/sailcart-lab/src/results/credit.rs
@@ -1,66 +1,78 @@
-//! Credit over time: what clients got for what they wanted delivered.
+//! Credit over time: the share of the credit for all wanted deliveries that was earned.
 
 use std::time::Duration;
 
 use super::outcome::Series;
 use crate::plan::Plan;
 
-/// Seconds that the worst stretch of a run has.
-const WORST_WINDOW: usize = 10;
+/// Length of the window over which the worst credit of a run is computed.
+const WORST_WINDOW_SECONDS: usize = 10;
 
-/// Credit earned and wanted, by category and second of the packet's intended moment.
+/// Credit earned and wanted, by category and by the second in which the packets were to be sent.
 pub struct Credit {
-    by: Vec<Vec<(f64, f64)>>,
+    /// By category, then by second: credit earned and credit wanted.
+    seconds_by_category: Vec<Vec<(f64, f64)>>,
 }
 
 impl Credit {
-    /// What each packet wanted earned, from when it was delivered after its intended moment, if it was.
-    pub fn new(plan: &Plan, delivered: &[Option<Duration>]) -> Self {
+    /// Adds up the credit of all planned packets. `delivery_delays` has, for each, the time from its intended
+    /// moment to its delivery, or `None` if it was not delivered.
+    pub fn new(plan: &Plan, delivery_delays: &[Option<Duration>]) -> Self {
         let seconds = (plan.experiment.span.as_secs_f64().ceil() as usize).max(1);
-        let mut by = vec![vec![(0.0, 0.0); seconds]; plan.experiment.categories.len()];
-        for (origin, after) in plan.origins.iter().zip(delivered) {
+        let mut seconds_by_category = vec![vec![(0.0, 0.0); seconds]; plan.experiment.categories.len()];
+        for (origin, delay) in plan.origins.iter().zip(delivery_delays) {
             let second = (origin.at.as_secs() as usize).min(seconds - 1);
-            let (earned, wanted) = &mut by[origin.category.0][second];
-            *earned += after.map_or(0.0, |after| plan.credit(origin, after));
+            let (earned, wanted) = &mut seconds_by_category[origin.category.0][second];
+            *earned += delay.map_or(0.0, |delay| plan.credit(origin, delay));
             *wanted += plan.whole_credit(origin);
         }
-        Credit { by }
+        Credit { seconds_by_category }
     }
 
-    /// Earned over wanted; 1 where nothing was wanted.
-    fn share(parts: impl Iterator<Item = (f64, f64)>) -> f64 {
+    /// Credit earned over credit wanted; 1 if none was wanted.
+    fn ratio(parts: impl Iterator<Item = (f64, f64)>) -> f64 {
         let (earned, wanted) = parts.fold((0.0, 0.0), |sum, part| (sum.0 + part.0, sum.1 + part.1));
         if wanted == 0.0 { 1.0 } else { earned / wanted }
     }
 
-    /// Over the whole run.
-    pub fn all(&self) -> f64 {
-        Self::share(self.by.iter().flatten().copied())
+    /// The credit of the whole run.
+    pub fn overall(&self) -> f64 {
+        Self::ratio(self.seconds_by_category.iter().flatten().copied())
     }
 
-    /// Of the category that got least.
+    /// The credit of the category with the lowest credit.
     pub fn worst_category(&self) -> f64 {
-        self.by.iter().map(|seconds| Self::share(seconds.iter().copied())).fold(1.0, f64::min)
+        self.seconds_by_category
+            .iter()
+            .map(|seconds| Self::ratio(seconds.iter().copied()))
+            .fold(1.0, f64::min)
     }
 
-    /// Of the ten seconds in a row that got least.
+    /// The credit of the ten consecutive seconds with the lowest credit.
     pub fn worst_window(&self) -> f64 {
-        let seconds = self.by.first().map_or(0, Vec::len);
-        let window = WORST_WINDOW.min(seconds);
-        let starts = 0..=seconds - window;
-        let of = |from: usize| {
-            Self::share(self.by.iter().flat_map(|line| line[from..from + window].iter().copied()))
+        let run_seconds = self.seconds_by_category.first().map_or(0, Vec::len);
+        let window = WORST_WINDOW_SECONDS.min(run_seconds);
+        let starts = 0..=run_seconds - window;
+        let credit_of_window = |from: usize| {
+            Self::ratio(
+                self.seconds_by_category
+                    .iter()
+                    .flat_map(|seconds| seconds[from..from + window].iter().copied()),
+            )
         };
-        starts.map(of).fold(1.0, f64::min)
+        starts.map(credit_of_window).fold(1.0, f64::min)
     }
 
-    /// Second by second, a line for each category.
+    /// The credit of each second, one series for each category.
     pub fn series(&self, plan: &Plan) -> Vec<Series> {
-        let lines = self.by.iter().zip(&plan.experiment.categories).map(|(line, category)| Series {
-            picture: "credit delivered of what was wanted".to_owned(),
-            name: category.name.clone(),
-            values: line.iter().map(|part| Self::share(std::iter::once(*part))).collect(),
-        });
-        lines.collect()
+        let all_series =
+            self.seconds_by_category.iter().zip(&plan.experiment.categories).map(|(seconds, category)| {
+                Series {
+                    chart: "credit delivered of what was wanted".to_owned(),
+                    name: category.name.clone(),
+                    values: seconds.iter().map(|part| Self::ratio(std::iter::once(*part))).collect(),
+                }
+            });
+        all_series.collect()
     }
 }
--- a/crates/sailcart-lab/src/results/figures.rs
+++ b/crates/sailcart-lab/src/results/figures.rs
@@ -1,15 +1,16 @@
-//! The figures of a result by name, which experiments' bounds refer to and reports explain.
+//! The figures of a result: their names, to which the bounds of experiments refer, and their meaning, which
+//! reports print.
 
 /// One figure of a result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Figure {
-    /// As it stands in `result.json` and in bounds.
+    /// The name in `result.json` and in bounds.
     pub name: &'static str,
-    /// What it counts or measures, for a reader.
+    /// What it counts or measures, as printed in reports.
     pub meaning: &'static str,
 }
 
-/// Every figure of a result.
+/// All figures of a result, in the order of reports.
 pub const FIGURES: &[Figure] = &[
     figure("credit", "credit delivered over credit wanted"),
     figure("credit_worst_10s", "the same in the worst ten seconds"),
@@ -45,7 +46,7 @@
     Figure { name, meaning }
 }
 
-/// Whether a result has a figure of this name.
+/// Whether there is a figure of this name.
 pub fn is_known(name: &str) -> bool {
     FIGURES.iter().any(|figure| figure.name == name)
 }
--- a/crates/sailcart-lab/src/results/folder.rs
+++ b/crates/sailcart-lab/src/results/folder.rs
@@ -1,4 +1,4 @@
-//! A result's folder: `result.json`, which programs read, and `report.html`, which people do.
+//! Reads and writes the folder of a result: `result.json` for programs and `report.html` for people.
 
 use std::path::Path;
 use std::{fs, io};
@@ -7,33 +7,34 @@
 use super::report;
 
 impl Outcome {
-    /// Reads a folder's result.
+    /// Reads `result.json` in the folder.
     ///
     /// # Errors
-    /// [`io::ErrorKind::InvalidData`] for one that cannot be read or is of another [`VERSION`], and what the file
-    /// system tells.
+    /// [`io::ErrorKind::InvalidData`] if the file cannot be parsed or its version is not [`VERSION`], else
+    /// the error of the file system.
     pub fn read(folder: &Path) -> io::Result<Outcome> {
         let path = folder.join("result.json");
         let text = fs::read_to_string(&path)?;
-        let wrong = |words: String| io::Error::new(io::ErrorKind::InvalidData, words);
+        let invalid_data = |message: String| io::Error::new(io::ErrorKind::InvalidData, message);
         let outcome: Outcome =
-            serde_json::from_str(&text).map_err(|e| wrong(format!("{}: {e}", path.display())))?;
+            serde_json::from_str(&text).map_err(|e| invalid_data(format!("{}: {e}", path.display())))?;
         if outcome.version != VERSION {
-            let words = format!("{}: version {}, expected {VERSION}", path.display(), outcome.version);
-            return Err(wrong(words));
+            let message =
+                format!("{}: result version {}, expected {VERSION}", path.display(), outcome.version);
+            return Err(invalid_data(message));
         }
         Ok(outcome)
     }
 
-    /// Writes a result and its report into a folder, which is made where it is not there.
+    /// Writes `result.json` and `report.html` into the folder, which is created if needed.
     ///
     /// # Errors
-    /// What the file system tells.
+    /// The error of the file system.
     pub fn write(&self, folder: &Path) -> io::Result<()> {
         fs::create_dir_all(folder)?;
         let mut text = serde_json::to_string_pretty(self)?;
         text.push('\n');
         fs::write(folder.join("result.json"), text)?;
-        fs::write(folder.join("report.html"), report::page(self))
+        fs::write(folder.join("report.html"), report::render_page(self))
     }
 }
--- a/crates/sailcart-lab/src/results/mod.rs
+++ b/crates/sailcart-lab/src/results/mod.rs
@@ -1,4 +1,5 @@
-//! What came of a run: figures, series over time, rules, bounds; written as `result.json` and `report.html`.
+//! The result of a run: counting while it goes on ([`tally`]), its figures, time series, rules and bounds
+//! ([`Outcome`]), and its output as `result.json` and `report.html`.
 
 mod assemble;
 pub mod bounds;
--- a/crates/sailcart-lab/src/results/outcome.rs
+++ b/crates/sailcart-lab/src/results/outcome.rs
@@ -1,4 +1,4 @@
-//! What came of a run: figures, series over time, rules, bounds.
+//! The result of a run as stored in `result.json`, and its summary for a terminal.
 
 use std::collections::BTreeMap;
 
@@ -8,79 +8,83 @@
 use crate::policies::PolicyName;
 use crate::watcher::{Breach, Rule};
 
-/// Raised when a field changes its meaning or goes.
+/// Version of the format of `result.json`; raised when a field changes its meaning or is removed.
 pub const VERSION: u32 = 1;
 
-/// The result of one run, as it stands in `result.json`.
+/// The result of one run, as stored in `result.json`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Outcome {
-    /// [`VERSION`] of the program that wrote it.
+    /// The [`VERSION`] of the program that wrote it.
     pub version: u32,
     /// The experiment's name.
     pub experiment: String,
-    /// What it is about, for a reader.
+    /// The experiment's description.
     pub about: String,
     pub mode: Mode,
     pub policy: PolicyName,
     pub seed: u64,
-    /// For how long clients had packets to send, in seconds.
+    /// For how long clients submitted packets, in seconds.
     pub span_s: f64,
     pub senders: usize,
     pub destinations: usize,
     pub endpoints: usize,
-    /// By name; what each means stands in [`super::figures::FIGURES`].
+    /// Figures by name; [`super::figures::FIGURES`] explains each.
     pub figures: BTreeMap<String, f64>,
     pub rules: Vec<RuleLine>,
     pub breaches: Vec<Breach>,
     pub bounds: Vec<BoundLine>,
     pub troubles: Vec<TroubleLine>,
-    /// Second by second.
+    /// Values over time, one a second.
     pub series: Vec<Series>,
-    /// Milliseconds from the intended moment to delivery, and how many took up to that.
+    /// Histogram of the times from the intended moment to delivery: upper limit in milliseconds, and count.
     pub delivery_ms: Vec<(f64, u64)>,
-    /// Milliseconds to the client's answer: likewise.
+    /// Histogram of the times to the client's answer, in the same form.
     pub answer_ms: Vec<(f64, u64)>,
-    /// What each process cost, where they are processes.
+    /// The resources that each process used; empty in virtual mode.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub cost: Vec<Cost>,
 }
 
-/// How often a rule was broken.
+/// A rule, and how often it was broken.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RuleLine {
     pub rule: Rule,
-    pub words: String,
+    #[serde(rename = "words")]
+    pub description: String,
     pub broken: u64,
 }
 
-/// Whether a bound held.
+/// A bound, the value of its figure, and whether the bound held.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BoundLine {
-    /// As the experiment states it.
+    /// The bound as written in the experiment.
     pub bound: String,
     pub value: f64,
     pub held: bool,
 }
 
-/// A trouble, and from when until when it lasted, in seconds.
+/// A trouble, with its begin and end in seconds since the start of the run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TroubleLine {
-    pub what: String,
+    #[serde(rename = "what")]
+    pub description: String,
     pub from_s: f64,
     pub until_s: f64,
 }
 
-/// One line of a picture over time.
+/// One series of values over time, a line of a chart.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Series {
-    /// Which picture it belongs to: credit, dispatches, refusals, held or slots.
-    pub picture: String,
+    /// The title of its chart: credit, dispatches, refusals, packets held or calls in flight.
+    #[serde(rename = "picture")]
+    pub chart: String,
     pub name: String,
-    /// One a second.
+    /// One value a second.
     pub values: Vec<f64>,
 }
 
-/// What a process cost: seconds of processor time, and the most that it held.
+/// The resources that a process used: processor time in seconds, and the maxima of its memory and
+/// descriptors.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Cost {
     pub process: String,
@@ -90,27 +94,27 @@
 }
 
 impl Outcome {
-    /// A figure by name; 0 for one that is not there.
+    /// The value of a figure; 0 if the result does not have it.
     pub fn figure(&self, name: &str) -> f64 {
         self.figures.get(name).copied().unwrap_or(0.0)
     }
 
-    /// No rule was broken.
+    /// Whether no rule was broken.
     pub fn rules_kept(&self) -> bool {
         self.rules.iter().all(|line| line.broken == 0)
     }
 
-    /// No bound was missed.
+    /// Whether all bounds held.
     pub fn bounds_kept(&self) -> bool {
         self.bounds.iter().all(|line| line.held)
     }
 
-    /// A line or two for a terminal.
+    /// A summary for a terminal, in two lines.
     pub fn summary(&self) -> String {
-        format!("{}\n{}{}", self.credit_words(), self.rules_words(), self.bounds_words())
+        format!("{}\n{}{}", self.credit_summary(), self.rules_summary(), self.bounds_summary())
     }
 
-    fn credit_words(&self) -> String {
+    fn credit_summary(&self) -> String {
         format!(
             "{} ({}, {}, seed {}): credit {:.3}, worst 10 s {:.3}, {:.0} of {:.0} packets delivered",
             self.experiment,
@@ -124,7 +128,7 @@
         )
     }
 
-    fn rules_words(&self) -> String {
+    fn rules_summary(&self) -> String {
         let broken = self.rules.iter().filter(|line| line.broken > 0);
         let broken: Vec<String> = broken.map(|line| format!("{:?} x{}", line.rule, line.broken)).collect();
         if broken.is_empty() {
@@ -133,7 +137,7 @@
         format!("BROKEN: {}", broken.join(", "))
     }
 
-    fn bounds_words(&self) -> String {
+    fn bounds_summary(&self) -> String {
         let missed = self.bounds.iter().filter(|line| !line.held);
         let missed: Vec<&str> = missed.map(|line| line.bound.as_str()).collect();
         match (self.bounds.len(), missed.len()) {
--- a/crates/sailcart-lab/src/results/tally.rs
+++ b/crates/sailcart-lab/src/results/tally.rs
@@ -1,4 +1,4 @@
-//! Counts while a run goes on; both modes tell it the same things.
+//! Counts events while a run is in progress. Both modes, virtual and sockets, report the same events.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,29 +8,44 @@
 
 use crate::plan::{OriginId, Plan};
 
-/// Destinations that get lines of their own in the pictures.
-const SHOWN: usize = 6;
+/// Destinations that get a series of their own in the charts; all others share one.
+const MAX_PLOTTED_DESTINATIONS: usize = 6;
 
-/// What is counted under a name of its own.
+/// A counter of a run; its value is a figure of the result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Count {
+    /// Packets submitted, resubmissions included.
     HandedIn,
+    /// Packets completed as dismissed.
     Dismissed,
+    /// Packets completed as scrapped.
     Scrapped,
+    /// Packets in the calls that reached a receiver.
     Dispatches,
+    /// Calls that reached a receiver.
     Calls,
+    /// Calls that were rejected.
     Full,
+    /// Calls answered with an error, or whose connection broke.
     Errors,
+    /// Calls abandoned without an answer.
     Unanswered,
+    /// Calls for which no connection could be established.
     NotConnected,
+    /// Connections that were opened.
     Connections,
+    /// Sender processes that ended although nobody stopped them.
     Crashes,
+    /// Calls with a packet that no client submitted.
     Strays,
+    /// Clients with a malformed command that got no reply within three seconds.
     Ignored,
+    /// Sender processes that were killed or stopped on purpose.
     Kills,
 }
 
 impl Count {
+    /// All counters with the names of their figures.
     pub(super) const ALL: [(Count, &'static str); 14] = [
         (Count::HandedIn, "handed_in"),
         (Count::Dismissed, "dismissed"),
@@ -49,130 +64,137 @@
     ];
 }
 
-/// All that is counted of a run, until [`Tally::outcome`] makes a result of it.
+/// The counts of a run in progress; [`Tally::outcome`] turns them into its result.
 pub struct Tally {
     pub(super) counts: BTreeMap<Count, u64>,
-    /// When each packet wanted was delivered, after its intended moment.
-    pub(super) delivered: Vec<Option<Duration>>,
-    /// How long clients waited for their answers, in microseconds.
-    pub(super) answers: Histogram<u64>,
-    /// Which line of the pictures a destination has; the last is for all others.
-    line: Vec<usize>,
-    /// The names of the pictures' lines.
-    pub(super) names: Vec<String>,
-    /// Packets that reached a receiver, by line and second; so the next three.
-    pub(super) dispatched: Vec<Vec<f64>>,
-    pub(super) refused: Vec<Vec<f64>>,
-    pub(super) held: Vec<Vec<f64>>,
-    pub(super) out: Vec<Vec<f64>>,
+    /// For each planned packet, the time from its intended moment to its delivery.
+    pub(super) delivery_delays: Vec<Option<Duration>>,
+    /// The times that clients waited for their answers, in microseconds.
+    pub(super) answer_delays: Histogram<u64>,
+    /// For each destination, the index of its series; the last series is for all others.
+    series_of_destination: Vec<usize>,
+    /// The names of the series.
+    pub(super) series_names: Vec<String>,
+    /// Packets that reached a receiver, by series and second. The following three fields have the same form.
+    pub(super) dispatches_per_second: Vec<Vec<f64>>,
+    pub(super) refusals_per_second: Vec<Vec<f64>>,
+    pub(super) packets_held: Vec<Vec<f64>>,
+    pub(super) calls_in_flight: Vec<Vec<f64>>,
     held_now: Vec<f64>,
-    out_now: Vec<f64>,
+    in_flight_now: Vec<f64>,
+    /// The number of values in each series.
     seconds: usize,
 }
 
-/// Microseconds to an hour, three digits.
-pub(super) fn histogram() -> Histogram<u64> {
-    let mut all = Histogram::new_with_bounds(1, 3_600_000_000, 3).unwrap_or_else(|_| unreachable!());
-    all.auto(true);
-    all
+/// A histogram of times from 1 µs to one hour, in microseconds, with three significant digits. It grows for
+/// longer times.
+pub(super) fn microsecond_histogram() -> Histogram<u64> {
+    let mut histogram = Histogram::new_with_bounds(1, 3_600_000_000, 3).unwrap_or_else(|_| unreachable!());
+    histogram.auto(true);
+    histogram
 }
 
 impl Tally {
-    /// Nothing counted yet.
+    /// Creates a tally for a run of the plan, with all counts at zero.
     pub fn new(plan: &Plan) -> Self {
-        let mut wanted: Vec<(usize, usize)> = (0..plan.destinations.len()).map(|at| (0, at)).collect();
+        let mut by_demand: Vec<(usize, usize)> =
+            (0..plan.destinations.len()).map(|index| (0, index)).collect();
         for origin in &plan.origins {
-            wanted[origin.destination.0 as usize].0 += 1;
+            by_demand[origin.destination.0 as usize].0 += 1;
         }
-        wanted.sort_by(|a, b| b.cmp(a));
-        let shown: Vec<usize> = wanted.iter().take(SHOWN).map(|(_, at)| *at).collect();
-        let of = |at| shown.iter().position(|other| *other == at).unwrap_or(shown.len());
-        let line = (0..plan.destinations.len()).map(of).collect();
-        let mut names: Vec<String> = shown.iter().map(|at| plan.destinations[*at].name.clone()).collect();
-        names.push("all others".to_owned());
+        by_demand.sort_by(|a, b| b.cmp(a));
+        let plotted: Vec<usize> =
+            by_demand.iter().take(MAX_PLOTTED_DESTINATIONS).map(|(_, index)| *index).collect();
+        let series_index = |index| plotted.iter().position(|other| *other == index).unwrap_or(plotted.len());
+        let series_of_destination = (0..plan.destinations.len()).map(series_index).collect();
+        let mut series_names: Vec<String> =
+            plotted.iter().map(|index| plan.destinations[*index].name.clone()).collect();
+        series_names.push("all others".to_owned());
         let seconds = plan.end().as_secs() as usize + 2;
-        let empty = vec![vec![0.0; seconds]; names.len()];
+        let no_values = vec![vec![0.0; seconds]; series_names.len()];
         Tally {
             counts: BTreeMap::new(),
-            delivered: vec![None; plan.origins.len()],
-            answers: histogram(),
-            line,
-            dispatched: empty.clone(),
-            refused: empty.clone(),
-            held: empty.clone(),
-            out: empty,
-            held_now: vec![0.0; names.len()],
-            out_now: vec![0.0; names.len()],
-            names,
+            delivery_delays: vec![None; plan.origins.len()],
+            answer_delays: microsecond_histogram(),
+            series_of_destination,
+            dispatches_per_second: no_values.clone(),
+            refusals_per_second: no_values.clone(),
+            packets_held: no_values.clone(),
+            calls_in_flight: no_values,
+            held_now: vec![0.0; series_names.len()],
+            in_flight_now: vec![0.0; series_names.len()],
+            series_names,
             seconds,
         }
     }
 
-    /// Counts one more.
-    pub fn count(&mut self, what: Count) {
-        *self.counts.entry(what).or_default() += 1;
+    /// Increments a counter.
+    pub fn count(&mut self, counter: Count) {
+        *self.counts.entry(counter).or_default() += 1;
     }
 
     fn second(&self, now: Duration) -> usize {
         (now.as_secs() as usize).min(self.seconds - 1)
     }
 
-    /// A client heard of its packet.
-    pub fn answered(&mut self, after: Duration) {
-        let _ = self.answers.record(after.as_micros().max(1) as u64);
+    /// A client got the answer to its packet after this time.
+    pub fn answered(&mut self, delay: Duration) {
+        let _ = self.answer_delays.record(delay.as_micros().max(1) as u64);
     }
 
-    /// A packet wanted has run, so long after its intended moment; the first time counts.
-    pub fn delivered(&mut self, origin: OriginId, after: Duration) {
-        let at = &mut self.delivered[origin.0];
-        *at = Some(at.map_or(after, |before| before.min(after)));
+    /// A planned packet was executed, this long after its intended moment. The shortest time is retained.
+    pub fn delivered(&mut self, origin: OriginId, delay: Duration) {
+        let shortest = &mut self.delivery_delays[origin.0];
+        *shortest = Some(shortest.map_or(delay, |previous| previous.min(delay)));
     }
 
-    /// A sender holds one packet more, or one less.
-    pub fn holds(&mut self, to: DestinationId, more: bool) {
-        self.held_now[self.line[to.0 as usize]] += if more { 1.0 } else { -1.0 };
+    /// A sender holds one packet more for the destination, or one less.
+    pub fn holds(&mut self, destination: DestinationId, more: bool) {
+        self.held_now[self.series_of_destination[destination.0 as usize]] += if more { 1.0 } else { -1.0 };
     }
 
-    /// One call more is out, or one less.
-    pub fn calls_out(&mut self, to: DestinationId, more: bool) {
-        self.out_now[self.line[to.0 as usize]] += if more { 1.0 } else { -1.0 };
+    /// One call more to the destination is in flight, or one less.
+    pub fn calls_out(&mut self, destination: DestinationId, more: bool) {
+        self.in_flight_now[self.series_of_destination[destination.0 as usize]] +=
+            if more { 1.0 } else { -1.0 };
     }
 
-    /// A call with so many packets reached a receiver.
-    pub fn dispatched(&mut self, now: Duration, to: DestinationId, packets: usize) {
+    /// A call with this number of packets reached a receiver.
+    pub fn dispatched(&mut self, now: Duration, destination: DestinationId, packets: usize) {
         *self.counts.entry(Count::Dispatches).or_default() += packets as u64;
         self.count(Count::Calls);
         let second = self.second(now);
-        self.dispatched[self.line[to.0 as usize]][second] += packets as f64;
+        self.dispatches_per_second[self.series_of_destination[destination.0 as usize]][second] +=
+            packets as f64;
     }
 
-    /// A call was turned away.
-    pub fn refused(&mut self, now: Duration, to: DestinationId) {
+    /// A call was rejected.
+    pub fn refused(&mut self, now: Duration, destination: DestinationId) {
         self.count(Count::Full);
         let second = self.second(now);
-        self.refused[self.line[to.0 as usize]][second] += 1.0;
+        self.refusals_per_second[self.series_of_destination[destination.0 as usize]][second] += 1.0;
     }
 
-    /// A line on what has come so far.
+    /// The main counts so far, in one line for a terminal.
     pub fn standing(&self) -> String {
-        let of = |count| self.counts.get(&count).copied().unwrap_or(0);
+        let value = |counter| self.counts.get(&counter).copied().unwrap_or(0);
         format!(
-            "{} calls with {} packets, {} turned away, {} errors; notices: {} dismissed, {} scrapped",
-            of(Count::Calls),
-            of(Count::Dispatches),
-            of(Count::Full),
-            of(Count::Errors),
-            of(Count::Dismissed),
-            of(Count::Scrapped)
+            "{} calls with {} packets, {} calls rejected, {} errors; notices: {} dismissed, {} scrapped",
+            value(Count::Calls),
+            value(Count::Dispatches),
+            value(Count::Full),
+            value(Count::Errors),
+            value(Count::Dismissed),
+            value(Count::Scrapped)
         )
     }
 
-    /// Once a second.
+    /// Records the packets held and the calls in flight; called once a second.
     pub fn sample(&mut self, now: Duration) {
         let second = self.second(now);
-        for line in 0..self.names.len() {
-            self.held[line][second] = self.held_now[line].max(0.0);
-            self.out[line][second] = self.out_now[line].max(0.0);
+        for series in 0..self.series_names.len() {
+            self.packets_held[series][second] = self.held_now[series].max(0.0);
+            self.calls_in_flight[series][second] = self.in_flight_now[series].max(0.0);
         }
     }
 }
--- a/crates/sailcart-lab/src/watcher/backpressure.rs
+++ b/crates/sailcart-lab/src/watcher/backpressure.rs
@@ -1,114 +1,125 @@
-//! Rules 3, 4 and 6: drains are kept, a destination that returns is not pushed over, waits are heeded.
+//! Checks rules 3, 4 and 6: draining endpoints get no calls, recovering destinations are not overloaded,
+//! requested waits are observed.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
 
 use sailcart::EndpointId;
 
-use super::{Call, GateId, Heard, Record, Rule, ms};
+use super::{GateId, Heard, ObservedCall, Rule, RunState, format_ms};
 use crate::plan::SenderId;
 
-/// The part of the calls in a fall that must have come from senders that knew better.
-const KNEW: f64 = 2.0 / 3.0;
+/// A collapse breaks rule 4 only if at least this share of the calls before it came from senders that had
+/// seen the outage.
+const MIN_INFORMED_SHARE: f64 = 2.0 / 3.0;
 
 #[derive(Default)]
-pub struct Restraint {
-    told_off: HashMap<(SenderId, EndpointId), Duration>,
+pub struct BackpressureCheck {
+    /// When discovery first reported to a sender that an endpoint drains.
+    drains: HashMap<(SenderId, EndpointId), Duration>,
+    /// For each sender and gate, when the longest wait was requested, and until when.
     waits: HashMap<(SenderId, GateId), (Duration, Duration)>,
-    /// Who saw a call or a connection fail, or be refused, since an outage began there.
-    saw: HashMap<GateId, BTreeSet<SenderId>>,
-    came: HashMap<GateId, VecDeque<(Duration, SenderId)>>,
+    /// For each gate with an outage, the senders that saw a call or connection fail or be rejected since it
+    /// began.
+    informed_senders: HashMap<GateId, BTreeSet<SenderId>>,
+    /// Calls received within the period [`crate::experiment::Rules::fall`], by gate.
+    recent_calls: HashMap<GateId, VecDeque<(Duration, SenderId)>>,
 }
 
-impl Restraint {
-    pub fn told_off(&mut self, record: &Record, sender: SenderId, endpoint: EndpointId) {
-        self.told_off.entry((sender, endpoint)).or_insert(record.now);
+impl BackpressureCheck {
+    pub fn endpoint_draining(&mut self, state: &RunState, sender: SenderId, endpoint: EndpointId) {
+        self.drains.entry((sender, endpoint)).or_insert(state.now);
     }
 
-    pub fn told_on(&mut self, sender: SenderId, endpoint: EndpointId) {
-        self.told_off.remove(&(sender, endpoint));
+    pub fn endpoint_ready(&mut self, sender: SenderId, endpoint: EndpointId) {
+        self.drains.remove(&(sender, endpoint));
     }
 
-    pub fn outage(&mut self, gate: GateId) {
-        self.saw.insert(gate, BTreeSet::new());
+    pub fn outage_started(&mut self, gate: GateId) {
+        self.informed_senders.insert(gate, BTreeSet::new());
     }
 
-    pub fn lost(&mut self, sender: SenderId, gate: GateId) {
-        if let Some(saw) = self.saw.get_mut(&gate) {
-            saw.insert(sender);
+    /// A call or a connection attempt of a sender failed or was rejected.
+    pub fn call_failed(&mut self, sender: SenderId, gate: GateId) {
+        if let Some(senders) = self.informed_senders.get_mut(&gate) {
+            senders.insert(sender);
         }
     }
 
-    /// A life ends, and with it the waits that were told to it and what it saw.
-    pub fn restarted(&mut self, sender: SenderId) {
-        self.waits.retain(|(of, _), _| *of != sender);
-        for saw in self.saw.values_mut() {
-            saw.remove(&sender);
+    /// A sender went down. Its next process knows neither the waits that were requested nor the failures seen
+    /// before.
+    pub fn sender_down(&mut self, sender: SenderId) {
+        self.waits.retain(|(owner, _), _| *owner != sender);
+        for senders in self.informed_senders.values_mut() {
+            senders.remove(&sender);
         }
     }
 
-    pub fn came(&mut self, record: &mut Record, call: &Call) {
-        let (now, grace, crossing) = (record.now, record.rules.drain_grace, record.rules.crossing);
-        if let Some(told) = self.told_off.get(&(call.sender, call.endpoint)).copied()
-            && now > told + grace + crossing
+    pub fn call_received(&mut self, state: &mut RunState, call: &ObservedCall) {
+        let (now, grace, crossing) = (state.now, state.rules.drain_grace, state.rules.crossing);
+        if let Some(reported_at) = self.drains.get(&(call.sender, call.endpoint)).copied()
+            && now > reported_at + grace + crossing
         {
             let events = vec![
                 format!(
                     "{}: sender {} was told that endpoint {} drains",
-                    ms(told),
+                    format_ms(reported_at),
                     call.sender.0,
                     call.endpoint.0
                 ),
-                format!("{}: the grace was over", ms(told + grace)),
-                format!("{}: a call came from it", ms(now)),
+                format!("{}: the grace was over", format_ms(reported_at + grace)),
+                format!("{}: a call came from it", format_ms(now)),
             ];
-            record.breach(Rule::Drains, call.packets.first().copied(), events);
+            state.record_breach(Rule::Drains, call.packets.first().copied(), events);
         }
-        if let Some((told, until)) = self.waits.get(&(call.sender, call.gate)).copied()
-            && now > told + crossing
+        if let Some((requested_at, until)) = self.waits.get(&(call.sender, call.gate)).copied()
+            && now > requested_at + crossing
             && now + Duration::from_millis(1) < until
         {
             let events = vec![
-                format!("{}: sender {} was told to wait", ms(told), call.sender.0),
-                format!("the wait ends at {}", ms(until)),
-                format!("{}: a call came from it to endpoint {}", ms(now), call.endpoint.0),
+                format!("{}: sender {} was told to wait", format_ms(requested_at), call.sender.0),
+                format!("the wait ends at {}", format_ms(until)),
+                format!("{}: a call came from it to endpoint {}", format_ms(now), call.endpoint.0),
             ];
-            record.breach(Rule::Waits, call.packets.first().copied(), events);
+            state.record_breach(Rule::Waits, call.packets.first().copied(), events);
         }
-        let recent = self.came.entry(call.gate).or_default();
-        while recent.front().is_some_and(|(at, _)| *at + record.rules.fall < now) {
+        let recent = self.recent_calls.entry(call.gate).or_default();
+        while recent.front().is_some_and(|(at, _)| *at + state.rules.fall < now) {
             recent.pop_front();
         }
         recent.push_back((now, call.sender));
     }
 
-    pub fn over(&mut self, record: &Record, call: &Call, heard: Heard) {
-        if heard != Heard::Done {
-            self.lost(call.sender, call.gate);
+    pub fn call_completed(&mut self, state: &RunState, call: &ObservedCall, result: Heard) {
+        if result != Heard::Done {
+            self.call_failed(call.sender, call.gate);
         }
-        if let Heard::Full(Some(wait)) = heard {
-            let until = record.now + wait;
-            let longest = self.waits.get(&(call.sender, call.gate)).is_none_or(|(_, other)| *other < until);
-            if longest {
-                self.waits.insert((call.sender, call.gate), (record.now, until));
+        if let Heard::Full(Some(wait)) = result {
+            let until = state.now + wait;
+            let is_longest =
+                self.waits.get(&(call.sender, call.gate)).is_none_or(|(_, other)| *other < until);
+            if is_longest {
+                self.waits.insert((call.sender, call.gate), (state.now, until));
             }
         }
     }
 
-    pub fn fell(&mut self, record: &mut Record, gate: GateId) {
-        let none = BTreeSet::new();
-        let saw = self.saw.get(&gate).unwrap_or(&none);
-        let recent = self.came.get(&gate).into_iter().flatten();
+    /// The capacity behind a gate collapsed under load. This breaks rule 4 if most of the recent calls came
+    /// from senders that knew of the outage.
+    pub fn gate_collapsed(&mut self, state: &mut RunState, gate: GateId) {
+        let no_senders = BTreeSet::new();
+        let informed = self.informed_senders.get(&gate).unwrap_or(&no_senders);
+        let recent = self.recent_calls.get(&gate).into_iter().flatten();
         let calls: Vec<(Duration, SenderId)> = recent.copied().collect();
-        let knew = calls.iter().filter(|(_, sender)| saw.contains(sender)).count();
-        if calls.is_empty() || (knew as f64) < KNEW * calls.len() as f64 {
+        let from_informed = calls.iter().filter(|(_, sender)| informed.contains(sender)).count();
+        if calls.is_empty() || (from_informed as f64) < MIN_INFORMED_SHARE * calls.len() as f64 {
             return;
         }
         let events = vec![
-            format!("an outage was seen by {} senders", saw.len()),
-            format!("{} of {} calls within the span came from them", knew, calls.len()),
-            format!("{}: what the endpoints share (gate {}) fell over", ms(record.now), gate.0),
+            format!("an outage was seen by {} senders", informed.len()),
+            format!("{} of {} calls within the span came from them", from_informed, calls.len()),
+            format!("{}: what the endpoints share (gate {}) fell over", format_ms(state.now), gate.0),
         ];
-        record.breach(Rule::Return, None, events);
+        state.record_breach(Rule::Return, None, events);
     }
 }
--- a/crates/sailcart-lab/src/watcher/exactly_once.rs
+++ b/crates/sailcart-lab/src/watcher/exactly_once.rs
@@ -1,216 +1,241 @@
-//! Rules 1 and 2: one end in time and nothing after it; no effect twice.
+//! Checks rules 1 and 2: an accepted packet is completed exactly once, in time, and not sent afterwards; no
+//! packet takes effect twice.
 
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
 use std::time::Duration;
 
 use sailcart::PacketId;
 
-use super::{Call, CallId, End, Record, Rule, ms};
+use super::{CallId, End, ObservedCall, Rule, RunState, format_ms};
 use crate::experiment::Repeat;
 use crate::plan::{OriginId, SenderId};
 
-/// A restart's grace: from its sender's being ready on.
-const READY: Duration = Duration::from_millis(1500);
+/// Extra time for overdue completions of a restarted sender, from the moment it is ready.
+const RESTART_GRACE: Duration = Duration::from_millis(1500);
 
 #[derive(Default)]
-pub struct Single {
-    /// Taken on and without an end, by the time at which one is overdue.
-    owed: BTreeSet<(Duration, PacketId)>,
-    /// The first time that a packet took effect, and on which handing in.
-    ran: HashMap<OriginId, (Duration, PacketId)>,
-    /// Deliveries of late, which their senders may not have read.
-    delivered: VecDeque<(Duration, PacketId)>,
-    /// Delivered by an answer that a sender's death crossed: its next life cannot know, and goes on. That no effect
-    /// comes twice is watched all the same.
-    unread: HashSet<PacketId>,
-    /// Senders whose folder takes nothing: a delivery that they read is known to no next life.
-    folder_fails: HashSet<SenderId>,
+pub struct ExactlyOnceCheck {
+    /// Accepted packets that are not completed, by the time at which their completion is overdue.
+    incomplete: BTreeSet<(Duration, PacketId)>,
+    /// For each planned packet, when it last took effect, and as which submission.
+    last_effects: HashMap<OriginId, (Duration, PacketId)>,
+    /// Recent deliveries whose answers may not have been read by their senders yet.
+    recent_deliveries: VecDeque<(Duration, PacketId)>,
+    /// Packets whose sender may have crashed before it read the answer that reported the delivery. Its next
+    /// process cannot know of the delivery and continues with the packet. Rule 2 is still checked for them.
+    unread_deliveries: HashSet<PacketId>,
+    /// Senders whose writes to the state folder fail: their next process does not know of a delivery that
+    /// they read.
+    failing_folders: HashSet<SenderId>,
 }
 
-impl Single {
-    pub fn taken(&mut self, record: &mut Record, packet: PacketId) {
-        let (now, slack) = (record.now, record.rules.slack);
-        let Some(kept) = record.packets.get_mut(&packet) else { return };
-        kept.taken.get_or_insert(now);
-        if kept.end.is_none() {
-            self.owed.insert((kept.handed.ends + slack, packet));
+impl ExactlyOnceCheck {
+    pub fn packet_accepted(&mut self, state: &mut RunState, packet: PacketId) {
+        let (now, slack) = (state.now, state.rules.slack);
+        let Some(tracked) = state.packets.get_mut(&packet) else { return };
+        tracked.accepted_at.get_or_insert(now);
+        if tracked.completion.is_none() {
+            self.incomplete.insert((tracked.submission.ends + slack, packet));
         }
     }
 
-    pub fn abandoned(&mut self, record: &mut Record, packet: PacketId) {
-        let Some(kept) = record.packets.get_mut(&packet) else { return };
-        kept.abandoned = true;
-        self.owed.remove(&(kept.handed.ends + record.rules.slack, packet));
-        if self.ran.get(&kept.handed.origin).is_some_and(|(_, by)| *by == packet) {
-            self.ran.remove(&kept.handed.origin);
+    pub fn packet_abandoned(&mut self, state: &mut RunState, packet: PacketId) {
+        let Some(tracked) = state.packets.get_mut(&packet) else { return };
+        tracked.abandoned = true;
+        self.incomplete.remove(&(tracked.submission.ends + state.rules.slack, packet));
+        if self.last_effects.get(&tracked.submission.origin).is_some_and(|(_, by)| *by == packet) {
+            self.last_effects.remove(&tracked.submission.origin);
         }
     }
 
-    pub fn ended(&mut self, record: &mut Record, packet: PacketId, end: End) {
-        let (now, crossing) = (record.now, record.rules.crossing);
-        let Some(kept) = record.packets.get_mut(&packet) else { return };
-        let handed = kept.handed;
-        // A dismissal that is told again says nothing new, whatever its client has done since the first.
-        let told_again = matches!(kept.end, Some((_, before)) if before == end);
-        match kept.end {
+    pub fn packet_completed(&mut self, state: &mut RunState, packet: PacketId, completion: End) {
+        let (now, crossing) = (state.now, state.rules.crossing);
+        let Some(tracked) = state.packets.get_mut(&packet) else { return };
+        let submission = tracked.submission;
+        // A repeated report of a dismissal is not a new one, whatever its client has done since the first
+        // report.
+        let repeated = matches!(tracked.completion, Some((_, previous)) if previous == completion);
+        match tracked.completion {
             None => {
-                let unknown =
-                    record.down.contains(&handed.sender) || self.folder_fails.contains(&handed.sender);
-                if end == End::Done && unknown {
-                    self.unread.insert(packet);
-                } else if end == End::Done {
-                    self.delivered.push_back((now, packet));
+                let unrecorded = state.down_senders.contains(&submission.sender)
+                    || self.failing_folders.contains(&submission.sender);
+                if completion == End::Done && unrecorded {
+                    self.unread_deliveries.insert(packet);
+                } else if completion == End::Done {
+                    self.recent_deliveries.push_back((now, packet));
                 }
-                kept.end = Some((now, end));
-                self.owed.remove(&(handed.ends + record.rules.slack, packet));
+                tracked.completion = Some((now, completion));
+                self.incomplete.remove(&(submission.ends + state.rules.slack, packet));
             }
-            // An end that crossed the answer on its way, and the same end told again, do no harm.
-            Some((_, before)) if before == end => {}
-            Some((at, End::Done)) if now <= at + crossing || self.unread.contains(&packet) => {}
-            Some((at, before)) => {
+            // Allowed: the same completion reported again, and one that was on its way when the delivery was
+            // reported.
+            Some((_, previous)) if previous == completion => {}
+            Some((at, End::Done)) if now <= at + crossing || self.unread_deliveries.contains(&packet) => {}
+            Some((at, previous)) => {
                 let events = vec![
-                    format!("handed in to sender {}", handed.sender.0),
-                    format!("{}: ended as {before:?}", ms(at)),
-                    format!("{}: ended as {end:?}", ms(now)),
+                    format!("handed in to sender {}", submission.sender.0),
+                    format!("{}: ended as {previous:?}", format_ms(at)),
+                    format!("{}: ended as {completion:?}", format_ms(now)),
                 ];
-                record.breach(Rule::OneEnd, Some(packet), events);
+                state.record_breach(Rule::OneEnd, Some(packet), events);
             }
         }
-        if end == End::Dismissed
-            && !told_again
-            && handed.repeat == Repeat::Unrepeatable
-            && let Some((at, first)) = self.ran.get(&handed.origin).copied()
+        if completion == End::Dismissed
+            && !repeated
+            && submission.repeat == Repeat::Unrepeatable
+            && let Some((at, earlier_packet)) = self.last_effects.get(&submission.origin).copied()
         {
             let events = vec![
-                format!("handed in to sender {}", handed.sender.0),
-                format!("{}: took effect, as packet {}", ms(at), first.0),
-                format!("{}: dismissed, which says that again is harmless", ms(now)),
+                format!("handed in to sender {}", submission.sender.0),
+                format!("{}: took effect, as packet {}", format_ms(at), earlier_packet.0),
+                format!("{}: dismissed, which says that again is harmless", format_ms(now)),
             ];
-            record.breach(Rule::NoDouble, Some(packet), events);
+            state.record_breach(Rule::NoDouble, Some(packet), events);
         }
     }
 
-    pub fn came(&mut self, record: &mut Record, id: CallId, call: &Call) {
+    pub fn call_received(&mut self, state: &mut RunState, id: CallId, call: &ObservedCall) {
         for packet in &call.packets {
-            let (now, crossing) = (record.now, record.rules.crossing);
-            let Some(kept) = record.packets.get_mut(packet) else { continue };
-            let (end, out) = (kept.end, kept.out.replace(id));
-            kept.last_came = Some(now);
-            let late = |(at, _): &(Duration, End)| now > *at + crossing && !self.unread.contains(packet);
-            if let Some((at, end)) = end.filter(late) {
+            let (now, crossing) = (state.now, state.rules.crossing);
+            let Some(tracked) = state.packets.get_mut(packet) else { continue };
+            let (completion, previous_call) = (tracked.completion, tracked.current_call.replace(id));
+            tracked.last_call_at = Some(now);
+            let is_late =
+                |(at, _): &(Duration, End)| now > *at + crossing && !self.unread_deliveries.contains(packet);
+            if let Some((at, completion)) = completion.filter(is_late) {
                 let events = vec![
-                    format!("handed in to sender {}", kept.handed.sender.0),
-                    format!("{}: ended as {end:?}", ms(at)),
-                    format!("{}: a call with it came to endpoint {}", ms(now), call.endpoint.0),
+                    format!("handed in to sender {}", tracked.submission.sender.0),
+                    format!("{}: ended as {completion:?}", format_ms(at)),
+                    format!("{}: a call with it came to endpoint {}", format_ms(now), call.endpoint.0),
                 ];
-                record.breach(Rule::OneEnd, Some(*packet), events);
+                state.record_breach(Rule::OneEnd, Some(*packet), events);
             }
-            let other = out.and_then(|out| record.calls.get(&out)).cloned();
-            if let Some(other) = other {
+            let earlier_call = previous_call.and_then(|call| state.calls.get(&call)).cloned();
+            if let Some(earlier_call) = earlier_call {
                 let events = vec![
-                    format!("{}: a call with it came to endpoint {}", ms(other.came), other.endpoint.0),
-                    format!("{}: another came to endpoint {}", ms(now), call.endpoint.0),
+                    format!(
+                        "{}: a call with it came to endpoint {}",
+                        format_ms(earlier_call.received_at),
+                        earlier_call.endpoint.0
+                    ),
+                    format!("{}: another came to endpoint {}", format_ms(now), call.endpoint.0),
                     "the first was still out".to_owned(),
                 ];
-                record.breach(Rule::NoDouble, Some(*packet), events);
+                state.record_breach(Rule::NoDouble, Some(*packet), events);
             }
         }
     }
 
-    pub fn ran(&mut self, record: &mut Record, id: CallId, effects: &[bool]) {
-        let Some(call) = record.calls.get(&id).cloned() else { return };
-        for (packet, _) in call.packets.iter().zip(effects).filter(|(_, ran)| **ran) {
-            let Some(kept) = record.packets.get(packet) else { continue };
-            if kept.abandoned {
+    pub fn packets_executed(&mut self, state: &mut RunState, id: CallId, effects: &[bool]) {
+        let Some(call) = state.calls.get(&id).cloned() else { return };
+        for (packet, _) in call.packets.iter().zip(effects).filter(|(_, effect)| **effect) {
+            let Some(tracked) = state.packets.get(packet) else { continue };
+            if tracked.abandoned {
                 continue;
             }
-            let handed = kept.handed;
-            let Some((at, first)) = self.ran.insert(handed.origin, (record.now, *packet)) else { continue };
-            // A keyed packet that its client hands in anew is within its memory as far as its client can know.
-            let anew = handed.repeat == Repeat::Deduplicated && first != *packet;
-            if handed.repeat == Repeat::Idempotent || anew {
+            let submission = tracked.submission;
+            let Some((at, earlier_packet)) =
+                self.last_effects.insert(submission.origin, (state.now, *packet))
+            else {
+                continue;
+            };
+            // A resubmitted packet with an idempotency key is allowed: as far as its client can know, the
+            // receiver still remembers the key.
+            let resubmitted = submission.repeat == Repeat::Deduplicated && earlier_packet != *packet;
+            if submission.repeat == Repeat::Idempotent || resubmitted {
                 continue;
             }
             let events = vec![
-                format!("{}: took effect, as packet {}", ms(at), first.0),
-                format!("handed in to sender {}, as packet {}", handed.sender.0, packet.0),
-                format!("{}: took effect again at endpoint {}", ms(record.now), call.endpoint.0),
+                format!("{}: took effect, as packet {}", format_ms(at), earlier_packet.0),
+                format!("handed in to sender {}, as packet {}", submission.sender.0, packet.0),
+                format!("{}: took effect again at endpoint {}", format_ms(state.now), call.endpoint.0),
             ];
-            record.breach(Rule::NoDouble, Some(*packet), events);
+            state.record_breach(Rule::NoDouble, Some(*packet), events);
         }
     }
 
-    pub fn over(&mut self, record: &mut Record, id: CallId, call: &Call) {
+    pub fn call_completed(&mut self, state: &mut RunState, id: CallId, call: &ObservedCall) {
         for packet in &call.packets {
-            if let Some(kept) = record.packets.get_mut(packet).filter(|kept| kept.out == Some(id)) {
-                kept.out = None;
+            if let Some(tracked) =
+                state.packets.get_mut(packet).filter(|tracked| tracked.current_call == Some(id))
+            {
+                tracked.current_call = None;
             }
         }
     }
 
-    /// A sender dies, or its folder begins to fail: what was delivered to it just before may be unread, or unrecorded.
-    pub fn down(&mut self, record: &Record, sender: SenderId) {
-        while self.delivered.front().is_some_and(|(at, _)| *at + record.rules.crossing < record.now) {
-            self.delivered.pop_front();
+    /// A sender went down, or its state folder began to fail: the answers of its most recent deliveries may
+    /// be unread or unrecorded.
+    pub fn mark_recent_deliveries_unread(&mut self, state: &RunState, sender: SenderId) {
+        while self.recent_deliveries.front().is_some_and(|(at, _)| *at + state.rules.crossing < state.now) {
+            self.recent_deliveries.pop_front();
         }
-        let own =
-            |packet: &PacketId| record.packets.get(packet).is_some_and(|kept| kept.handed.sender == sender);
-        self.unread.extend(self.delivered.iter().map(|(_, packet)| *packet).filter(own));
+        let is_own = |packet: &PacketId| {
+            state.packets.get(packet).is_some_and(|tracked| tracked.submission.sender == sender)
+        };
+        self.unread_deliveries
+            .extend(self.recent_deliveries.iter().map(|(_, packet)| *packet).filter(is_own));
     }
 
-    /// A sender's folder begins to fail, or is well again. What was delivered just before may not be recorded either.
-    pub fn folder(&mut self, record: &Record, sender: SenderId, fails: bool) {
+    /// Writes to a sender's state folder began to fail, or succeed again. The most recent deliveries before a
+    /// failure may not be recorded either.
+    pub fn state_folder_changed(&mut self, state: &RunState, sender: SenderId, fails: bool) {
         if fails {
-            self.down(record, sender);
-            self.folder_fails.insert(sender);
+            self.mark_recent_deliveries_unread(state, sender);
+            self.failing_folders.insert(sender);
         } else {
-            self.folder_fails.remove(&sender);
+            self.failing_folders.remove(&sender);
         }
     }
 
-    /// A sender is ready again: what it owes gets a little more time.
-    pub fn back(&mut self, record: &Record, sender: SenderId) {
-        let until = record.now + READY;
-        let late = self.owed.iter().filter(|(at, packet)| {
-            *at < until && record.packets.get(packet).is_some_and(|kept| kept.handed.sender == sender)
+    /// A sender is ready again after a restart: its overdue completions get [`RESTART_GRACE`].
+    pub fn sender_ready(&mut self, state: &RunState, sender: SenderId) {
+        let until = state.now + RESTART_GRACE;
+        let due_before = self.incomplete.iter().filter(|(at, packet)| {
+            *at < until
+                && state.packets.get(packet).is_some_and(|tracked| tracked.submission.sender == sender)
         });
-        for (at, packet) in late.copied().collect::<Vec<_>>() {
-            self.owed.remove(&(at, packet));
-            self.owed.insert((until, packet));
+        for (at, packet) in due_before.copied().collect::<Vec<_>>() {
+            self.incomplete.remove(&(at, packet));
+            self.incomplete.insert((until, packet));
         }
     }
 
-    pub fn overdue(&mut self, record: &mut Record) {
-        let mut waits = Vec::new();
-        while let Some((at, packet)) = self.owed.first().copied().filter(|(at, _)| *at < record.now) {
-            self.owed.pop_first();
-            let Some(kept) = record.packets.get(&packet) else { continue };
-            if kept.end.is_some() {
+    /// Reports accepted packets that were not completed in time.
+    pub fn check_deadlines(&mut self, state: &mut RunState) {
+        let mut postponed = Vec::new();
+        while let Some((at, packet)) = self.incomplete.first().copied().filter(|(at, _)| *at < state.now) {
+            self.incomplete.pop_first();
+            let Some(tracked) = state.packets.get(&packet) else { continue };
+            if tracked.completion.is_some() {
                 continue;
             }
-            if record.down.contains(&kept.handed.sender) {
-                waits.push((at, packet)); // until it is back
+            if state.down_senders.contains(&tracked.submission.sender) {
+                postponed.push((at, packet)); // until the sender is ready again
                 continue;
             }
-            self.lost(record, packet);
+            self.record_missing_completion(state, packet);
         }
-        self.owed.extend(waits);
+        self.incomplete.extend(postponed);
     }
 
-    fn lost(&mut self, record: &mut Record, packet: PacketId) {
-        let kept = &record.packets[&packet];
+    fn record_missing_completion(&mut self, state: &mut RunState, packet: PacketId) {
+        let tracked = &state.packets[&packet];
         let events = vec![
-            format!("handed in to sender {}, and taken on", kept.handed.sender.0),
-            kept.last_came.map_or("no call with it came".to_owned(), |at| format!("{}: last call", ms(at))),
-            format!("{}: its time was up, and no end was told", ms(kept.handed.ends)),
+            format!("handed in to sender {}, and taken on", tracked.submission.sender.0),
+            tracked
+                .last_call_at
+                .map_or("no call with it came".to_owned(), |at| format!("{}: last call", format_ms(at))),
+            format!("{}: its time was up, and no end was told", format_ms(tracked.submission.ends)),
         ];
-        record.breach(Rule::OneEnd, Some(packet), events);
+        state.record_breach(Rule::OneEnd, Some(packet), events);
     }
 
-    pub fn finish(&mut self, record: &mut Record) {
-        for (_, packet) in std::mem::take(&mut self.owed) {
-            if record.packets.get(&packet).is_some_and(|kept| kept.end.is_none()) {
-                self.lost(record, packet);
+    /// Reports all accepted packets that were never completed.
+    pub fn finish(&mut self, state: &mut RunState) {
+        for (_, packet) in std::mem::take(&mut self.incomplete) {
+            if state.packets.get(&packet).is_some_and(|tracked| tracked.completion.is_none()) {
+                self.record_missing_completion(state, packet);
             }
         }
     }
--- a/crates/sailcart-lab/src/watcher/key_order.rs
+++ b/crates/sailcart-lab/src/watcher/key_order.rs
@@ -1,90 +1,107 @@
-//! Rule 5: packets of one key go one at a time, in the order in which a sender took them.
+//! Checks rule 5: packets of one key are sent one at a time, in the order in which their sender accepted
+//! them.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
 use sailcart::{KeyId, PacketId};
 
-use super::{Call, Handed, Heard, Record, Rule, ms};
+use super::{Handed, Heard, ObservedCall, Rule, RunState, format_ms};
 use crate::plan::SenderId;
 
 #[derive(Default)]
-struct Turn {
-    queue: VecDeque<PacketId>,
-    rests_until: Duration,
-    after: Option<PacketId>,
+struct KeyQueue {
+    /// Submitted packets that are not completed, in order of submission.
+    packets: VecDeque<PacketId>,
+    /// End of the period in which no other packet of the key may be sent, because a call with the packet
+    /// `possibly_executing` may still be executed.
+    blocked_until: Duration,
+    possibly_executing: Option<PacketId>,
 }
 
 #[derive(Default)]
-pub struct Order {
-    turns: HashMap<(SenderId, KeyId), Turn>,
-    of: HashMap<PacketId, (SenderId, KeyId)>,
+pub struct KeyOrderCheck {
+    queues: HashMap<(SenderId, KeyId), KeyQueue>,
+    queue_of_packet: HashMap<PacketId, (SenderId, KeyId)>,
 }
 
-impl Order {
-    pub fn handed(&mut self, record: &Record, handed: &Handed) {
-        let Some(key) = handed.key.filter(|_| handed.in_order) else { return };
-        let turn = self.turns.entry((handed.sender, key)).or_default();
-        turn.queue
-            .retain(|id| record.packets.get(id).is_some_and(|kept| kept.end.is_none() || kept.out.is_some()));
-        turn.queue.push_back(handed.packet);
-        self.of.insert(handed.packet, (handed.sender, key));
+impl KeyOrderCheck {
+    pub fn packet_submitted(&mut self, state: &RunState, submission: &Handed) {
+        let Some(key) = submission.key.filter(|_| submission.in_order) else { return };
+        let queue = self.queues.entry((submission.sender, key)).or_default();
+        queue.packets.retain(|id| {
+            state
+                .packets
+                .get(id)
+                .is_some_and(|tracked| tracked.completion.is_none() || tracked.current_call.is_some())
+        });
+        queue.packets.push_back(submission.packet);
+        self.queue_of_packet.insert(submission.packet, (submission.sender, key));
     }
 
-    pub fn ended(&mut self, packet: PacketId) {
-        if let Some(turn) = self.of.get(&packet).and_then(|of| self.turns.get_mut(of)) {
-            turn.queue.retain(|other| *other != packet);
+    pub fn packet_completed(&mut self, packet: PacketId) {
+        if let Some(queue) = self.queue_of_packet.get(&packet).and_then(|id| self.queues.get_mut(id)) {
+            queue.packets.retain(|other| *other != packet);
         }
     }
 
-    pub fn came(&mut self, record: &mut Record, call: &Call) {
+    pub fn call_received(&mut self, state: &mut RunState, call: &ObservedCall) {
         for packet in &call.packets {
-            // Its client heard nothing, so nobody outside knows its place; what it does counts for nothing.
-            if record.packets.get(packet).is_some_and(|kept| kept.abandoned) {
+            // The client of an abandoned packet got no reply, so its position in the order is unknown outside
+            // the sender; the packet is not checked.
+            if state.packets.get(packet).is_some_and(|tracked| tracked.abandoned) {
                 continue;
             }
-            let Some(turn) = self.of.get(packet).and_then(|of| self.turns.get(of)) else { continue };
-            // Earlier ones that clients had heard of as taken when this call was on its way.
-            let before = turn.queue.iter().take_while(|other| *other != packet).find(|other| {
-                let taken = record.packets.get(other).and_then(|kept| kept.taken);
-                taken.is_some_and(|at| at + record.rules.crossing < record.now)
+            let Some(queue) = self.queue_of_packet.get(packet).and_then(|id| self.queues.get(id)) else {
+                continue;
+            };
+            // Packets submitted before this one whose acceptance clients knew of before this call was sent.
+            let blocking = queue.packets.iter().take_while(|other| *other != packet).find(|other| {
+                let accepted_at = state.packets.get(other).and_then(|tracked| tracked.accepted_at);
+                accepted_at.is_some_and(|at| at + state.rules.crossing < state.now)
             });
-            if let Some(before) = before.copied() {
+            if let Some(blocking) = blocking.copied() {
                 let events = vec![
-                    format!("packet {} of the same key was taken before", before.0),
+                    format!("packet {} of the same key was taken before", blocking.0),
                     "it has no end yet".to_owned(),
-                    format!("{}: a call with packet {} came", ms(record.now), packet.0),
+                    format!("{}: a call with packet {} came", format_ms(state.now), packet.0),
                 ];
-                record.breach(Rule::Order, Some(*packet), events);
-            } else if turn.after.is_some_and(|other| other != *packet) && turn.rests_until > record.now {
+                state.record_breach(Rule::Order, Some(*packet), events);
+            } else if queue.possibly_executing.is_some_and(|other| other != *packet)
+                && queue.blocked_until > state.now
+            {
                 let events = vec![
                     format!(
                         "a call with packet {} of the same key may still run",
-                        turn.after.map_or(0, |p| p.0)
+                        queue.possibly_executing.map_or(0, |packet| packet.0)
                     ),
-                    format!("the key rests until {}", ms(turn.rests_until)),
-                    format!("{}: a call with packet {} came", ms(record.now), packet.0),
+                    format!("the key rests until {}", format_ms(queue.blocked_until)),
+                    format!("{}: a call with packet {} came", format_ms(state.now), packet.0),
                 ];
-                record.breach(Rule::Order, Some(*packet), events);
+                state.record_breach(Rule::Order, Some(*packet), events);
             }
         }
     }
 
-    pub fn over(&mut self, record: &Record, call: &Call, heard: Heard) {
-        if heard != Heard::Unsure {
+    pub fn call_completed(&mut self, state: &RunState, call: &ObservedCall, result: Heard) {
+        if result != Heard::Unsure {
             return;
         }
         for packet in &call.packets {
-            if let Some(turn) = self.of.get(packet).and_then(|of| self.turns.get_mut(of)) {
-                (turn.rests_until, turn.after) = (record.now + record.rules.settle, Some(*packet));
+            if let Some(queue) = self.queue_of_packet.get(packet).and_then(|id| self.queues.get_mut(id)) {
+                (queue.blocked_until, queue.possibly_executing) =
+                    (state.now + state.rules.settle, Some(*packet));
             }
         }
     }
 
-    /// A sender's next life knows what it had taken, but not in which order clients heard of it.
-    pub fn restarted(&mut self, record: &Record, sender: SenderId) {
-        for (_, turn) in self.turns.iter_mut().filter(|((of, _), _)| *of == sender) {
-            turn.queue.retain(|id| record.packets.get(id).is_some_and(|kept| kept.taken.is_some()));
+    /// A sender went down. Its next process knows which packets were accepted, but not in which order clients
+    /// were notified, so packets without a known acceptance are removed.
+    pub fn sender_down(&mut self, state: &RunState, sender: SenderId) {
+        for (_, queue) in self.queues.iter_mut().filter(|((owner, _), _)| *owner == sender) {
+            queue
+                .packets
+                .retain(|id| state.packets.get(id).is_some_and(|tracked| tracked.accepted_at.is_some()));
         }
     }
 }
--- a/crates/sailcart-lab/src/watcher/mod.rs
+++ b/crates/sailcart-lab/src/watcher/mod.rs
@@ -1,5 +1,6 @@
-//! The watcher of the six rules. It is told only what an outsider sees (clients, receivers, discovery and the
-//! receiver of notices), in order of time, and knows nothing of how a sender decides.
+//! The watcher checks the six rules that senders must follow. Its only input is what can be observed from
+//! outside the senders (by clients, receivers, discovery and the receiver of notices), in chronological
+//! order; it has no access to a sender's decisions or state.
 
 mod backpressure;
 mod exactly_once;
@@ -14,33 +15,40 @@
 use crate::experiment::{Repeat, Rules};
 use crate::plan::{OriginId, Plan, SenderId};
 
-/// A call of a run, by its number.
+/// Identifies a call within a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// What several endpoints share that senders must keep to.
+/// Identifies a limit and capacity that one or several endpoints share. Requested waits, outages and overload
+/// apply per gate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GateId(pub usize);
 
-/// A rule that senders must keep; [`Rule::words`] says what it asks for.
+/// A rule that senders must follow; [`Rule::description`] states the requirement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
+    /// Rule 1: each accepted packet is completed exactly once, in time, and not sent afterwards.
     OneEnd,
+    /// Rule 2: no packet takes effect twice.
     NoDouble,
+    /// Rule 3: a draining endpoint receives no calls after the grace period.
     Drains,
+    /// Rule 4: a destination that recovers from an outage is not overloaded.
     Return,
+    /// Rule 5: packets of one key are sent one at a time, in order.
     Order,
+    /// Rule 6: no call is sent before a requested wait has passed.
     Waits,
 }
 
 impl Rule {
-    /// Every rule.
+    /// All rules, in the order of reports.
     pub const ALL: [Rule; 6] =
         [Rule::OneEnd, Rule::NoDouble, Rule::Drains, Rule::Return, Rule::Order, Rule::Waits];
 
-    /// What the rule asks for, as reports have it.
-    pub fn words(self) -> &'static str {
+    /// The requirement, as printed in reports.
+    pub fn description(self) -> &'static str {
         match self {
             Rule::OneEnd => "each packet taken gets exactly one end in time, nothing after",
             Rule::NoDouble => "no effect twice",
@@ -52,18 +60,18 @@
     }
 }
 
-/// How a packet ended, as its client or the receiver of notices heard.
+/// How a packet was completed, as reported to its client or to the receiver of notices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// It has run, and its sender knows.
+    /// Delivered: it was executed, and its sender knows.
     Done,
-    /// Handed back: its client may hand it in again.
+    /// Rejected: its client may submit it again.
     Dismissed,
-    /// Given up for good.
+    /// Failed; this is final.
     Scrapped,
 }
 
-/// A packet as handed in.
+/// One submission of a packet to a sender.
 #[derive(Clone, Copy, Debug)]
 pub struct Handed {
     pub packet: PacketId,
@@ -73,251 +81,255 @@
     pub repeat: Repeat,
     pub in_order: bool,
     pub key: Option<KeyId>,
-    /// When its client gives up.
+    /// The time at which the client stops waiting, on the clock of the run.
     pub ends: Duration,
 }
 
 impl Handed {
-    /// A packet wanted, as a client hands it in to a sender.
+    /// The submission of a planned packet to a sender.
     pub fn new(plan: &Plan, packet: PacketId, origin: OriginId, sender: SenderId) -> Self {
-        let wanted = &plan.origins[origin.0];
-        let category = plan.category(wanted.category);
+        let planned = &plan.origins[origin.0];
+        let category = plan.category(planned.category);
         Handed {
             packet,
             origin,
             sender,
-            destination: wanted.destination,
+            destination: planned.destination,
             repeat: category.repeat,
             in_order: category.in_order,
-            key: wanted.key,
-            ends: wanted.at + category.patience,
+            key: planned.key,
+            ends: planned.at + category.patience,
         }
     }
 }
 
-/// What an outsider sees.
+/// An event that can be observed from outside the senders.
 #[derive(Clone, Debug)]
 pub enum Seen {
+    /// A client submitted a packet.
     Handed(Handed),
-    /// Its client heard that it is taken on.
+    /// The client received the reply that the packet is accepted.
     Taken(PacketId),
+    /// The client or the receiver of notices learned how the packet was completed.
     Ended(PacketId, End),
-    /// Its client heard nothing and gave it up: nothing is owed for it, and nothing that it does counts.
+    /// The client got no reply and abandoned the submission: no completion is due, and its effects are not
+    /// checked.
     Abandoned(PacketId),
-    /// A call's last byte came.
-    Came {
-        call: CallId,
-        sender: SenderId,
-        endpoint: EndpointId,
-        gate: GateId,
-        packets: Vec<PacketId>,
-    },
-    /// Which of a call's packets took effect.
+    /// A receiver read the last byte of a call.
+    Came { call: CallId, sender: SenderId, endpoint: EndpointId, gate: GateId, packets: Vec<PacketId> },
+    /// For each packet of a call, whether it took effect.
     Ran(CallId, Vec<bool>),
-    /// A call was answered, or its connection ended: it is out no longer. What was told.
-    Over {
-        call: CallId,
-        heard: Heard,
-    },
-    /// A connection that a sender wanted did not come up.
-    NoConnection {
-        sender: SenderId,
-        gate: GateId,
-    },
-    /// A sender was told that an endpoint drains or is gone.
+    /// A call was answered, or its connection closed: it is no longer in flight. Carries what its sender
+    /// learned.
+    Over { call: CallId, heard: Heard },
+    /// A sender could not establish a connection.
+    NoConnection { sender: SenderId, gate: GateId },
+    /// Discovery reported to a sender that an endpoint drains or is gone.
     ToldOff(SenderId, EndpointId),
-    /// It was listed as ready.
+    /// Discovery listed the endpoint as ready to a sender.
     ToldOn(SenderId, EndpointId),
+    /// An outage began.
     OutageFrom(GateId),
-    /// A cold destination fell over; the calls that came within the span of the rule.
+    /// A cold destination collapsed under the calls that arrived within the period [`Rules::fall`].
     Fell(GateId),
-    /// A sender died, was stopped or is back; nothing is overdue between the two.
+    /// A sender crashed or was stopped. None of its completions is overdue until [`Seen::SenderUp`].
     SenderDown(SenderId),
+    /// A sender is ready again.
     SenderUp(SenderId),
-    /// A sender's state folder takes nothing, or is well again.
-    Folder {
-        sender: SenderId,
-        fails: bool,
-    },
+    /// Writes to a sender's state folder began to fail, or succeed again.
+    Folder { sender: SenderId, fails: bool },
 }
 
-/// What a sender heard of a call.
+/// What a sender learned about a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Heard {
+    /// Executed and acknowledged.
     Done,
-    /// Turned away, and a wait where told. It never ran.
+    /// Rejected, with the Retry-After wait if the answer has one. It was not executed.
     Full(Option<Duration>),
-    /// Anything else: it may have run, and may yet.
+    /// Anything else: it may have executed, or may still execute.
     Unsure,
-    /// A fault of the receiver, at once: it has stopped.
+    /// The receiver answered with an error; it no longer works on the call.
     Error,
 }
 
-/// A rule broken: the packet, if it is one's, and the events that show it.
+/// A violation of a rule, with the events that prove it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Breach {
     pub rule: Rule,
+    /// The packet concerned; `None` if the violation concerns no single packet.
     pub packet: Option<u64>,
+    /// When it was found, in milliseconds since the start of the run.
     pub at_ms: f64,
     pub events: Vec<String>,
 }
 
-/// What the checks share: who handed in what, and how it stands.
-pub(crate) struct Record {
+/// The state that all checks share: submitted packets, calls in flight, senders that are down, breaches.
+pub(crate) struct RunState {
     pub rules: Rules,
     pub now: Duration,
-    pub packets: HashMap<PacketId, Kept>,
-    pub calls: HashMap<CallId, Call>,
-    pub down: BTreeSet<SenderId>,
+    pub packets: HashMap<PacketId, TrackedPacket>,
+    pub calls: HashMap<CallId, ObservedCall>,
+    pub down_senders: BTreeSet<SenderId>,
     pub breaches: Vec<Breach>,
-    pub counts: BTreeMap<Rule, u64>,
+    pub breach_counts: BTreeMap<Rule, u64>,
 }
 
-pub(crate) struct Kept {
-    pub handed: Handed,
-    pub taken: Option<Duration>,
-    pub end: Option<(Duration, End)>,
-    pub out: Option<CallId>,
-    pub last_came: Option<Duration>,
+pub(crate) struct TrackedPacket {
+    pub submission: Handed,
+    pub accepted_at: Option<Duration>,
+    pub completion: Option<(Duration, End)>,
+    pub current_call: Option<CallId>,
+    pub last_call_at: Option<Duration>,
     pub abandoned: bool,
 }
 
-impl Kept {
-    /// A packet just handed in.
-    fn new(handed: Handed) -> Self {
-        Kept { handed, taken: None, end: None, out: None, last_came: None, abandoned: false }
+impl TrackedPacket {
+    /// A packet that was just submitted.
+    fn new(submission: Handed) -> Self {
+        TrackedPacket {
+            submission,
+            accepted_at: None,
+            completion: None,
+            current_call: None,
+            last_call_at: None,
+            abandoned: false,
+        }
     }
 }
 
 #[derive(Clone)]
-pub(crate) struct Call {
-    pub came: Duration,
+pub(crate) struct ObservedCall {
+    pub received_at: Duration,
     pub sender: SenderId,
     pub endpoint: EndpointId,
     pub gate: GateId,
     pub packets: Vec<PacketId>,
 }
 
-/// Breaches of one rule that are told in full; the rest are counted.
-const TOLD: u64 = 20;
+/// Breaches of one rule that are reported with their events; further ones are only counted.
+const MAX_REPORTED_BREACHES_PER_RULE: u64 = 20;
 
-impl Record {
-    pub fn breach(&mut self, rule: Rule, packet: Option<PacketId>, events: Vec<String>) {
-        let count = self.counts.entry(rule).or_default();
+impl RunState {
+    pub fn record_breach(&mut self, rule: Rule, packet: Option<PacketId>, events: Vec<String>) {
+        let count = self.breach_counts.entry(rule).or_default();
         *count += 1;
-        if *count <= TOLD {
+        if *count <= MAX_REPORTED_BREACHES_PER_RULE {
             let at_ms = self.now.as_micros() as f64 / 1000.0;
             self.breaches.push(Breach { rule, packet: packet.map(|id| id.0), at_ms, events });
         }
     }
 }
 
-pub(crate) fn ms(at: Duration) -> String {
+pub(crate) fn format_ms(at: Duration) -> String {
     format!("{:.1} ms", at.as_micros() as f64 / 1000.0)
 }
 
-/// Sees a run from outside and counts broken rules.
+/// Observes a run from outside and counts violations of each rule.
 pub struct Watcher {
-    record: Record,
-    single: exactly_once::Single,
-    restraint: backpressure::Restraint,
-    order: key_order::Order,
+    state: RunState,
+    exactly_once: exactly_once::ExactlyOnceCheck,
+    backpressure: backpressure::BackpressureCheck,
+    key_order: key_order::KeyOrderCheck,
 }
 
 impl Watcher {
-    /// A watcher that has seen nothing.
+    /// Creates a watcher that has observed nothing yet.
     pub fn new(rules: &Rules) -> Self {
-        let record = Record {
+        let state = RunState {
             rules: rules.clone(),
             now: Duration::ZERO,
             packets: HashMap::new(),
             calls: HashMap::new(),
-            down: BTreeSet::new(),
+            down_senders: BTreeSet::new(),
             breaches: Vec::new(),
-            counts: BTreeMap::new(),
+            breach_counts: BTreeMap::new(),
         };
         Watcher {
-            record,
-            single: exactly_once::Single::default(),
-            restraint: backpressure::Restraint::default(),
-            order: key_order::Order::default(),
+            state,
+            exactly_once: exactly_once::ExactlyOnceCheck::default(),
+            backpressure: backpressure::BackpressureCheck::default(),
+            key_order: key_order::KeyOrderCheck::default(),
         }
     }
 
-    /// Something was seen; times do not go back.
-    pub fn see(&mut self, now: Duration, seen: &Seen) {
-        let record = &mut self.record;
-        record.now = now.max(record.now);
-        self.single.overdue(record);
-        match seen {
-            Seen::Handed(handed) => {
-                record.packets.insert(handed.packet, Kept::new(*handed));
-                self.order.handed(record, handed);
+    /// Processes one event. Events must come in chronological order.
+    pub fn see(&mut self, now: Duration, observation: &Seen) {
+        let state = &mut self.state;
+        state.now = now.max(state.now);
+        self.exactly_once.check_deadlines(state);
+        match observation {
+            Seen::Handed(submission) => {
+                state.packets.insert(submission.packet, TrackedPacket::new(*submission));
+                self.key_order.packet_submitted(state, submission);
             }
-            Seen::Taken(packet) => self.single.taken(record, *packet),
-            Seen::Ended(packet, end) => {
-                self.single.ended(record, *packet, *end);
-                self.order.ended(*packet);
+            Seen::Taken(packet) => self.exactly_once.packet_accepted(state, *packet),
+            Seen::Ended(packet, completion) => {
+                self.exactly_once.packet_completed(state, *packet, *completion);
+                self.key_order.packet_completed(*packet);
             }
             Seen::Abandoned(packet) => {
-                self.single.abandoned(record, *packet);
-                self.order.ended(*packet);
+                self.exactly_once.packet_abandoned(state, *packet);
+                self.key_order.packet_completed(*packet);
             }
             Seen::Came { call, sender, endpoint, gate, packets } => {
                 let (sender, endpoint, gate) = (*sender, *endpoint, *gate);
-                self.came(*call, Call { came: now, sender, endpoint, gate, packets: packets.clone() });
+                self.call_received(
+                    *call,
+                    ObservedCall { received_at: now, sender, endpoint, gate, packets: packets.clone() },
+                );
             }
-            Seen::Ran(call, effects) => self.single.ran(record, *call, effects),
-            Seen::Over { call, heard } => self.over(*call, *heard),
-            Seen::NoConnection { sender, gate } => self.restraint.lost(*sender, *gate),
-            Seen::ToldOff(sender, endpoint) => self.restraint.told_off(record, *sender, *endpoint),
-            Seen::ToldOn(sender, endpoint) => self.restraint.told_on(*sender, *endpoint),
-            Seen::OutageFrom(gate) => self.restraint.outage(*gate),
-            Seen::Fell(gate) => self.restraint.fell(record, *gate),
+            Seen::Ran(call, effects) => self.exactly_once.packets_executed(state, *call, effects),
+            Seen::Over { call, heard } => self.call_completed(*call, *heard),
+            Seen::NoConnection { sender, gate } => self.backpressure.call_failed(*sender, *gate),
+            Seen::ToldOff(sender, endpoint) => self.backpressure.endpoint_draining(state, *sender, *endpoint),
+            Seen::ToldOn(sender, endpoint) => self.backpressure.endpoint_ready(*sender, *endpoint),
+            Seen::OutageFrom(gate) => self.backpressure.outage_started(*gate),
+            Seen::Fell(gate) => self.backpressure.gate_collapsed(state, *gate),
             Seen::SenderDown(sender) => self.sender_down(*sender),
             Seen::SenderUp(sender) => {
-                record.down.remove(sender);
-                self.single.back(record, *sender);
+                state.down_senders.remove(sender);
+                self.exactly_once.sender_ready(state, *sender);
             }
-            Seen::Folder { sender, fails } => self.single.folder(record, *sender, *fails),
+            Seen::Folder { sender, fails } => self.exactly_once.state_folder_changed(state, *sender, *fails),
         }
     }
 
-    fn came(&mut self, id: CallId, call: Call) {
-        self.restraint.came(&mut self.record, &call);
-        self.order.came(&mut self.record, &call);
-        self.single.came(&mut self.record, id, &call);
-        self.record.calls.insert(id, call);
+    fn call_received(&mut self, id: CallId, call: ObservedCall) {
+        self.backpressure.call_received(&mut self.state, &call);
+        self.key_order.call_received(&mut self.state, &call);
+        self.exactly_once.call_received(&mut self.state, id, &call);
+        self.state.calls.insert(id, call);
     }
 
-    fn over(&mut self, id: CallId, heard: Heard) {
-        let Some(call) = self.record.calls.remove(&id) else { return };
-        self.single.over(&mut self.record, id, &call);
-        self.order.over(&self.record, &call, heard);
-        self.restraint.over(&self.record, &call, heard);
+    fn call_completed(&mut self, id: CallId, result: Heard) {
+        let Some(call) = self.state.calls.remove(&id) else { return };
+        self.exactly_once.call_completed(&mut self.state, id, &call);
+        self.key_order.call_completed(&self.state, &call, result);
+        self.backpressure.call_completed(&self.state, &call, result);
     }
 
     fn sender_down(&mut self, sender: SenderId) {
-        self.record.down.insert(sender);
-        self.single.down(&self.record, sender);
-        self.restraint.restarted(sender);
-        self.order.restarted(&self.record, sender);
+        self.state.down_senders.insert(sender);
+        self.exactly_once.mark_recent_deliveries_unread(&self.state, sender);
+        self.backpressure.sender_down(sender);
+        self.key_order.sender_down(&self.state, sender);
     }
 
-    /// All is over: what has no end now never gets one.
+    /// Ends the run: a packet that is not completed by now counts as never completed.
     pub fn finish(&mut self, now: Duration) {
-        self.record.now = now.max(self.record.now);
-        self.record.down.clear();
-        self.single.finish(&mut self.record);
+        self.state.now = now.max(self.state.now);
+        self.state.down_senders.clear();
+        self.exactly_once.finish(&mut self.state);
     }
 
-    /// The first breaches of each rule, in order of time.
+    /// The first breaches of each rule, in chronological order.
     pub fn breaches(&self) -> &[Breach] {
-        &self.record.breaches
+        &self.state.breaches
     }
 
-    /// How often a rule was broken.
+    /// How often a rule was broken, breaches that are not reported included.
     pub fn count(&self, rule: Rule) -> u64 {
-        self.record.counts.get(&rule).copied().unwrap_or(0)
+        self.state.breach_counts.get(&rule).copied().unwrap_or(0)
     }
 }
