--- a/crates/sailcart-lab/src/soak/experiment.rs
+++ b/crates/sailcart-lab/src/soak/experiment.rs
@@ -1,4 +1,5 @@
-//! The day that a soak's troubles strike: all three effects of a repeat, order by key, calls of several packets, limits that tell waits.
+//! The experiment that a soak test runs. It covers all three effects of a repeated packet, per-key order,
+//! calls with several packets, and limits that request waits.
 
 use std::time::Duration;
 
@@ -6,11 +7,12 @@
 use super::schedule::Planned;
 use crate::experiment::{Experiment, Rules, Trouble, TroubleKind, read_text};
 
-/// What a change is told after at the latest, and the grace of a drain behind that: links to discovery are cut in a soak.
+/// The grace period of a draining endpoint. It includes the longest time by which discovery may report the
+/// change late, as a soak test cuts the links to discovery.
 const DRAIN_GRACE: Duration = Duration::from_secs(8);
 
-/// The day without its troubles.
-const DAY: &str = r#"
+/// The experiment without troubles.
+const BASE_EXPERIMENT: &str = r#"
 name = "soak"
 about = "Troubles of peers, processes, machines and links that overlap."
 mode = "sockets"
@@ -93,27 +95,29 @@
 clump = 8
 "#;
 
-/// The day with those troubles of a schedule that peers and senders' lives make.
+/// Builds the experiment with those troubles of the schedule that affect peers and the processes of senders.
+/// The others are drawn by [`super::machine::troubles`]. `rate` is in packets a second, over all senders.
 pub fn of(schedule: &[Planned], senders: usize, span: Duration, rate: f64) -> Experiment {
-    let mut experiment = match read_text(DAY, &[]) {
+    let mut experiment = match read_text(BASE_EXPERIMENT, &[]) {
         Ok(experiment) => experiment,
-        Err(fault) => unreachable!("the soak's own day: {}", fault.0),
+        Err(error) => unreachable!("the built-in experiment of the soak test: {}", error.0),
     };
     experiment.senders.count = senders;
     experiment.span = span;
     experiment.load.rate = rate;
     experiment.rules = Rules { drain_grace: DRAIN_GRACE, ..experiment.rules };
     experiment.troubles = schedule.iter().filter_map(trouble).collect();
-    // An endpoint is replaced once: a second replacement strikes the other endpoint of each destination.
-    let replaced = experiment.troubles.iter_mut().filter(|trouble| trouble.kind == TroubleKind::Replace);
-    for (nth, trouble) in replaced.enumerate() {
-        trouble.endpoint = Some(1 - nth % 2);
+    // An endpoint can be replaced only once: a second replacement affects the other endpoint of each
+    // destination.
+    let replacements = experiment.troubles.iter_mut().filter(|trouble| trouble.kind == TroubleKind::Replace);
+    for (index, trouble) in replacements.enumerate() {
+        trouble.endpoint = Some(1 - index % 2);
     }
     experiment
 }
 
 fn trouble(planned: &Planned) -> Option<Trouble> {
-    let plain = |kind: TroubleKind, destinations: Option<&str>, share: Option<f64>| Trouble {
+    let plain_trouble = |kind: TroubleKind, destinations: Option<&str>, share: Option<f64>| Trouble {
         kind,
         name: None,
         at: planned.from,
@@ -132,23 +136,26 @@
     };
     Some(match planned.kind {
         SoakKind::Silent => {
-            Trouble { endpoint: Some(0), ..plain(TroubleKind::Silent, Some("large/0"), None) }
+            Trouble { endpoint: Some(0), ..plain_trouble(TroubleKind::Silent, Some("large/0"), None) }
         }
-        SoakKind::AnswerLost => plain(TroubleKind::AnswerLost, Some("small"), Some(0.2)),
-        SoakKind::ResetAfter => plain(TroubleKind::ResetAfter, Some("small"), Some(0.2)),
-        SoakKind::Spoilt => plain(TroubleKind::Spoilt, Some("large/1"), Some(0.3)),
+        SoakKind::AnswerLost => plain_trouble(TroubleKind::AnswerLost, Some("small"), Some(0.2)),
+        SoakKind::ResetAfter => plain_trouble(TroubleKind::ResetAfter, Some("small"), Some(0.2)),
+        SoakKind::Spoilt => plain_trouble(TroubleKind::Spoilt, Some("large/1"), Some(0.3)),
         SoakKind::Replace => Trouble {
             endpoint: Some(1),
             same_address: Some(true),
-            ..plain(TroubleKind::Replace, Some("small"), None)
+            ..plain_trouble(TroubleKind::Replace, Some("small"), None)
         },
-        SoakKind::ListSilent => plain(TroubleKind::ListSilent, None, None),
-        SoakKind::BadClients => Trouble { count: Some(20), ..plain(TroubleKind::BadClients, None, None) },
-        SoakKind::Kill => {
-            Trouble { every: Some(Duration::from_millis(2500)), ..plain(TroubleKind::Kill, None, None) }
+        SoakKind::ListSilent => plain_trouble(TroubleKind::ListSilent, None, None),
+        SoakKind::BadClients => {
+            Trouble { count: Some(20), ..plain_trouble(TroubleKind::BadClients, None, None) }
         }
-        SoakKind::Stop => Trouble { count: Some(4), ..plain(TroubleKind::Roll, None, None) },
-        SoakKind::Reload => plain(TroubleKind::Reload, None, None),
+        SoakKind::Kill => Trouble {
+            every: Some(Duration::from_millis(2500)),
+            ..plain_trouble(TroubleKind::Kill, None, None)
+        },
+        SoakKind::Stop => Trouble { count: Some(4), ..plain_trouble(TroubleKind::Roll, None, None) },
+        SoakKind::Reload => plain_trouble(TroubleKind::Reload, None, None),
         _ => return None,
     })
 }
--- a/crates/sailcart-lab/src/soak/kinds.rs
+++ b/crates/sailcart-lab/src/soak/kinds.rs
@@ -1,50 +1,51 @@
-//! The kinds of trouble that a soak overlaps, and what each is made of.
+//! The kinds of trouble that a soak test combines.
 
 use std::fmt::{self, Display};
 
-/// A kind of trouble. Some strike peers, some the life of a sender's process, some its machine, some a link.
+/// A kind of trouble. It affects peers, the process of a sender, the machine of a sender, or a network link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum SoakKind {
-    /// Endpoints take calls and answer none.
+    /// Endpoints accept calls and never answer.
     Silent,
-    /// Calls run and their answers never come.
+    /// Calls are executed and their answers are lost.
     AnswerLost,
-    /// Connections break behind a call's last byte.
+    /// Connections break after the last byte of a call.
     ResetAfter,
-    /// Answers that cannot be read.
+    /// Answers are malformed.
     Spoilt,
-    /// Endpoints drain, are gone, and others come at their addresses.
+    /// Endpoints drain and are removed, and others start at their addresses.
     Replace,
-    /// Discovery says nothing.
+    /// Discovery does not answer.
     ListSilent,
-    /// Clients that send what cannot be read.
+    /// Clients send malformed input.
     BadClients,
-    /// SIGKILL, again and again.
+    /// Senders get SIGKILL repeatedly.
     Kill,
-    /// SIGTERM, one sender after the other, and SIGHUP in the same instant.
+    /// Senders get SIGTERM, one after the other, and SIGHUP at the same time.
     Stop,
-    /// SIGHUP.
+    /// Senders get SIGHUP, which reloads their configuration.
     Reload,
-    /// SIGSTOP and SIGCONT: a sender is held up for an eighth of a second, again and again.
+    /// Senders get SIGSTOP and SIGCONT: they are stopped for about an eighth of a second, repeatedly.
     Pause,
-    /// Writes, cuts and syncs of the state folder fail in windows.
+    /// Writing, truncating and syncing files of the state folder fails, periodically or without interruption.
     Folder,
-    /// Reads and writes on sockets are cut short, waits are interrupted, broken connections show other numbers.
+    /// Reads and writes on sockets are short, waits are interrupted, and broken connections return other
+    /// error numbers.
     ShortCalls,
-    /// accept, socket and connect fail for a moment.
+    /// accept, socket and connect fail temporarily with local errors.
     OwnFaults,
-    /// The wall clock is stepped, back and forth.
+    /// The wall clock is stepped, and back at the end.
     Clock,
-    /// The link of clients: delayed, trickled, cut, reset, half-closed.
+    /// The link from clients: delayed, sent in small writes, cut, reset or half-closed.
     ClientLink,
-    /// The link to discovery and the receiver of notices: the same, and silent one way.
+    /// The link to discovery and the receiver of notices: the same, or nothing arrives in one direction.
     PlatformLink,
-    /// The link to endpoints: delayed, trickled, calls cut before their last byte.
+    /// The link to endpoints: delayed, sent in small writes, or calls are cut before their last byte.
     EndpointLink,
 }
 
 impl SoakKind {
-    /// Every kind.
+    /// All kinds.
     pub const ALL: [SoakKind; 18] = [
         SoakKind::Silent,
         SoakKind::AnswerLost,
@@ -66,7 +67,7 @@
         SoakKind::EndpointLink,
     ];
 
-    /// Its name in tables and on the command line.
+    /// The name in tables and on the command line.
     pub fn word(self) -> &'static str {
         match self {
             SoakKind::Silent => "silent",
@@ -90,14 +91,14 @@
         }
     }
 
-    /// The kind of this name.
+    /// The kind with this name.
     pub fn named(word: &str) -> Option<SoakKind> {
         SoakKind::ALL.into_iter().find(|kind| kind.word() == word)
     }
 }
 
 impl Display for SoakKind {
-    fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        to.write_str(self.word())
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        formatter.write_str(self.word())
     }
 }
--- a/crates/sailcart-lab/src/soak/machine.rs
+++ b/crates/sailcart-lab/src/soak/machine.rs
@@ -1,4 +1,4 @@
-//! The troubles of a soak that strike a sender's machine or a link, as they are drawn for each sender.
+//! The troubles of a soak test that affect a sender's machine or a network link, drawn for each sender.
 
 use std::time::Duration;
 
@@ -13,12 +13,12 @@
 use super::schedule::Planned;
 use crate::plan::{SenderId, chance};
 
-/// The stream of chance of these draws.
-const STREAM: u64 = 21;
-/// Of the senders, one in so many is left out of a trouble.
-const SPARED: u32 = 4;
+/// The stream of random numbers for these draws.
+const RNG_STREAM: u64 = 21;
+/// A trouble leaves out each sender with a probability of one in this number.
+const UNAFFECTED_ONE_IN: u32 = 4;
 
-/// What happens to one sender, from when until when.
+/// One trouble of one sender, with its period.
 #[derive(Clone, Copy, Debug)]
 pub struct MachineTrouble {
     pub sender: SenderId,
@@ -27,79 +27,75 @@
     pub what: What,
 }
 
-/// What happens.
+/// The effect of a trouble.
 #[derive(Clone, Copy, Debug)]
 pub enum What {
-    /// Held up for this long, again and again.
+    /// The process is stopped for this long, repeatedly.
     Pause(Duration),
-    /// Files fail with this number, in windows of one length in each period of another.
-    Folder {
-        errno: i32,
-        window: Duration,
-        period: Duration,
-    },
-    ShortCalls {
-        broken: i32,
-    },
-    OwnFaults {
-        accept: i32,
-        socket: i32,
-        connect: i32,
-    },
-    /// The wall clock moves by so many milliseconds, and back at the end.
+    /// Operations on files fail with this error number: during `window` in each `period`, or throughout if
+    /// `period` is zero.
+    Folder { errno: i32, window: Duration, period: Duration },
+    /// Socket calls are short or interrupted, and broken connections return this error number.
+    ShortCalls { broken: i32 },
+    /// These system calls fail temporarily with the given error numbers.
+    OwnFaults { accept: i32, socket: i32, connect: i32 },
+    /// The wall clock is stepped by this number of milliseconds, and back at the end.
     Clock(i64),
+    /// A fault on the link from clients.
     ClientLink(Manner),
+    /// A fault on the link to discovery and the receiver of notices.
     PlatformLink(Manner),
+    /// A fault on the links to endpoints.
     EndpointLink(Manner),
 }
 
-/// Whether a schedule needs proxies on the senders' links.
+/// Whether any of the troubles needs proxies on the links of the senders.
 pub fn needs_links(troubles: &[MachineTrouble]) -> bool {
-    let link =
+    let on_link =
         |what: &What| matches!(what, What::ClientLink(_) | What::PlatformLink(_) | What::EndpointLink(_));
-    troubles.iter().any(|trouble| link(&trouble.what))
+    troubles.iter().any(|trouble| on_link(&trouble.what))
 }
 
-/// The machine's and the links' part of a schedule, for each sender that it strikes.
+/// Draws those troubles of the schedule that affect machines and links, for each sender concerned.
 pub fn troubles(schedule: &[Planned], senders: usize, seed: u64) -> Vec<MachineTrouble> {
-    let mut rng = chance(seed, STREAM);
-    let mut all = Vec::new();
+    let mut rng = chance(seed, RNG_STREAM);
+    let mut drawn = Vec::new();
     for planned in schedule {
         for sender in (0..senders).map(SenderId) {
-            let what = what(planned.kind, &mut rng);
-            if rng.random_ratio(1, SPARED) {
+            let what = draw_effect(planned.kind, &mut rng);
+            if rng.random_ratio(1, UNAFFECTED_ONE_IN) {
                 continue;
             }
             let trouble =
                 what.map(|what| MachineTrouble { sender, from: planned.from, until: planned.until, what });
-            all.extend(trouble);
+            drawn.extend(trouble);
         }
     }
-    all
+    drawn
 }
 
-fn what(kind: SoakKind, rng: &mut impl Rng) -> Option<What> {
+fn draw_effect(kind: SoakKind, rng: &mut impl Rng) -> Option<What> {
     let ms = Duration::from_millis;
-    let mut one = |of: &[i32]| of.choose(rng).copied().unwrap_or(EIO);
+    let mut draw_errno = |errnos: &[i32]| errnos.choose(rng).copied().unwrap_or(EIO);
     Some(match kind {
         SoakKind::Pause => What::Pause(ms(120)),
         SoakKind::Folder => {
-            let errno = one(&[ENOSPC, EIO]);
-            // For one sender in three without a break.
+            let errno = draw_errno(&[ENOSPC, EIO]);
+            // For one sender in three, files fail without interruption.
             let period = if rng.random_ratio(1, 3) { ms(0) } else { ms(1500) };
             What::Folder { errno, window: ms(400), period }
         }
-        SoakKind::ShortCalls => What::ShortCalls { broken: one(&[ETIMEDOUT, EHOSTUNREACH]) },
+        SoakKind::ShortCalls => What::ShortCalls { broken: draw_errno(&[ETIMEDOUT, EHOSTUNREACH]) },
         SoakKind::OwnFaults => What::OwnFaults {
-            accept: one(&[ECONNABORTED, ENFILE, ENOBUFS, EMFILE]),
-            socket: one(&[ENFILE, ENOBUFS, EMFILE]),
-            connect: one(&[EADDRNOTAVAIL, ENOBUFS, ENETUNREACH]),
+            accept: draw_errno(&[ECONNABORTED, ENFILE, ENOBUFS, EMFILE]),
+            socket: draw_errno(&[ENFILE, ENOBUFS, EMFILE]),
+            connect: draw_errno(&[EADDRNOTAVAIL, ENOBUFS, ENETUNREACH]),
         },
         SoakKind::Clock => {
             What::Clock(*[-3_600_000, -40_000, -4000, 4000, 40_000, 3_600_000].choose(rng).unwrap_or(&4000))
         }
-        SoakKind::ClientLink => What::ClientLink(manner(rng, false)),
-        SoakKind::PlatformLink => What::PlatformLink(manner(rng, true)),
+        SoakKind::ClientLink => What::ClientLink(draw_link_fault(rng, false)),
+        SoakKind::PlatformLink => What::PlatformLink(draw_link_fault(rng, true)),
         SoakKind::EndpointLink => What::EndpointLink(
             *[Manner::Delay, Manner::Trickle, Manner::Cut].choose(rng).unwrap_or(&Manner::Delay),
         ),
@@ -107,8 +103,8 @@
     })
 }
 
-fn manner(rng: &mut impl Rng, silent: bool) -> Manner {
+fn draw_link_fault(rng: &mut impl Rng, with_silent: bool) -> Manner {
     let all = [Manner::Delay, Manner::Trickle, Manner::Cut, Manner::Reset, Manner::HalfClose, Manner::Silent];
-    let most = if silent { all.len() } else { all.len() - 1 };
-    *all[..most].choose(rng).unwrap_or(&Manner::Delay)
+    let count = if with_silent { all.len() } else { all.len() - 1 };
+    *all[..count].choose(rng).unwrap_or(&Manner::Delay)
 }
--- a/crates/sailcart-lab/src/soak/mod.rs
+++ b/crates/sailcart-lab/src/soak/mod.rs
@@ -1,6 +1,8 @@
-//! A soak: a few dozen sender processes among peers, links and a machine that misbehave together, watched from outside. Each run draws
-//! two groups of three troubles that overlap; over a row of runs every pair of kinds is met. The seed fixes the schedule, not the
-//! interleaving: a run that fails keeps its schedule, logs, events and state folders.
+//! The soak test: runs a few dozen sender processes while peers, network links and the machine fail in
+//! combination, and checks the senders from outside. Each run has two groups of three overlapping troubles; a
+//! sufficient number of runs covers every pair of kinds. The seed determines the schedule of a run but not
+//! the interleaving of its processes, so a run that fails retains its schedule, logs, events and state
+//! folders.
 
 pub mod experiment;
 pub mod kinds;
@@ -23,44 +25,46 @@
 use schedule::{Pair, Planned};
 use verdict::Verdict;
 
-/// How long discovery may be out of reach: what it has to tell is judged a while after that.
-const LONGEST_CUT_OFF: Duration = Duration::from_secs(6);
+/// The longest time for which discovery may be unreachable. The grace period of draining endpoints is a
+/// little longer, so that changes reported after the outage are not judged as late.
+const MAX_DISCOVERY_OUTAGE: Duration = Duration::from_secs(6);
 
-/// What to play.
+/// Options of the soak test.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Options {
-    /// Of the first run; each further one has the next
+    /// Seed of the first run; each further run uses the next seed
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
+    /// Number of runs
     #[arg(long, default_value_t = 1)]
     pub runs: usize,
-    /// Sender processes of a run
+    /// Number of sender processes in each run
     #[arg(long, default_value_t = 24)]
     pub senders: usize,
-    /// Seconds in which troubles strike
+    /// Length of the period with troubles, in seconds
     #[arg(long, default_value_t = 16)]
     pub span: u64,
-    /// Packets a second over all senders
+    /// Packets per second, over all senders
     #[arg(long, default_value_t = 90.0)]
     pub rate: f64,
-    /// No trouble at all: the rig itself
+    /// Run without troubles, to check the test environment itself
     #[arg(long)]
     pub calm: bool,
-    /// Only these kinds of trouble, each over most of the run
+    /// Use only these kinds of trouble, each during most of the run
     #[arg(long, value_delimiter = ',')]
     pub only: Vec<String>,
-    /// Shrink each schedule that fails: drop troubles and senders while it still does, in two of three plays
+    /// Shrink each schedule that fails: remove troubles and senders as long as two of three runs still fail
     #[arg(long)]
     pub shrink: bool,
-    /// Where schedules, logs, events and state folders go; those of a run that holds are removed
+    /// Folder for schedules, logs, events and state folders; those of a run that passes are removed
     #[arg(long, default_value = "lab-results/soak")]
     pub out: PathBuf,
-    /// The sender's program; the one beside this program without it
+    /// Program of the sender [default: the one in the folder of this program]
     #[arg(long)]
     pub sender: Option<PathBuf>,
 }
 
-/// A run as it is played.
+/// The parameters of one run.
 #[derive(Clone, Debug)]
 struct Run {
     seed: u64,
@@ -68,29 +72,32 @@
     schedule: Vec<Planned>,
 }
 
-/// Plays a row of runs. False if one failed.
+/// Executes the runs one after the other and prints their verdicts. Returns whether all passed.
+///
+/// # Errors
+/// An unknown kind of trouble, or a run that could not be executed.
 pub fn run(options: &Options) -> Result<bool, Fault> {
     let span = Duration::from_secs(options.span);
     let schedules = schedules(options, span)?;
-    let (mut met, mut held) = (BTreeMap::<Pair, usize>::new(), true);
+    let (mut covered, mut all_passed) = (BTreeMap::<Pair, usize>::new(), true);
     for (number, schedule) in schedules.into_iter().enumerate() {
         let run = Run { seed: options.seed + number as u64, senders: options.senders, schedule };
-        schedule::pairs(&run.schedule).into_iter().for_each(|pair| *met.entry(pair).or_default() += 1);
+        schedule::pairs(&run.schedule).into_iter().for_each(|pair| *covered.entry(pair).or_default() += 1);
         let folder = options.out.join(format!("seed-{}", run.seed));
-        let verdict = play(options, &run, &folder)?;
-        println!("seed {}: {} [{}]", run.seed, verdict, words(&run.schedule));
-        if verdict.holds() {
+        let verdict = execute(options, &run, &folder)?;
+        println!("seed {}: {} [{}]", run.seed, verdict, format_schedule(&run.schedule));
+        if verdict.passed() {
             let _ = fs::remove_dir_all(&folder);
         } else {
-            held = false;
-            println!("  kept: {}", folder.display());
+            all_passed = false;
+            println!("  files kept in {}", folder.display());
             if options.shrink {
                 shrink(options, &run)?;
             }
         }
     }
-    println!("{}", table(&met));
-    Ok(held)
+    println!("{}", coverage_table(&covered));
+    Ok(all_passed)
 }
 
 fn schedules(options: &Options, span: Duration) -> Result<Vec<Vec<Planned>>, Fault> {
@@ -100,88 +107,91 @@
     if options.only.is_empty() {
         return Ok(schedule::row(options.seed, options.runs, span));
     }
-    let named = |word: &String| {
-        let known = SoakKind::named(word);
-        known.ok_or_else(|| Fault(format!("--only: no kind of trouble is named {word}")))
+    let find_kind = |name: &String| {
+        let found = SoakKind::named(name);
+        found.ok_or_else(|| Fault(format!("--only: unknown kind of trouble {name}")))
     };
-    let kinds: Vec<SoakKind> = options.only.iter().map(named).collect::<Result<_, _>>()?;
-    let all = kinds.iter().map(|kind| {
-        let cut_off = matches!(kind, SoakKind::PlatformLink | SoakKind::ListSilent);
-        let longest = if cut_off { LONGEST_CUT_OFF } else { span };
-        Planned { kind: *kind, from: span / 8, until: (span / 8 + longest).min(span * 7 / 8) }
+    let kinds: Vec<SoakKind> = options.only.iter().map(find_kind).collect::<Result<_, _>>()?;
+    let planned = kinds.iter().map(|kind| {
+        let cuts_off_discovery = matches!(kind, SoakKind::PlatformLink | SoakKind::ListSilent);
+        let max_duration = if cuts_off_discovery { MAX_DISCOVERY_OUTAGE } else { span };
+        Planned { kind: *kind, from: span / 8, until: (span / 8 + max_duration).min(span * 7 / 8) }
     });
-    Ok(vec![all.collect(); options.runs])
+    Ok(vec![planned.collect(); options.runs])
 }
 
-fn words(schedule: &[Planned]) -> String {
-    let one = |planned: &Planned| {
+fn format_schedule(schedule: &[Planned]) -> String {
+    let format_trouble = |planned: &Planned| {
         format!("{} {:.1}-{:.1}", planned.kind, planned.from.as_secs_f64(), planned.until.as_secs_f64())
     };
-    schedule.iter().map(one).collect::<Vec<_>>().join(", ")
+    schedule.iter().map(format_trouble).collect::<Vec<_>>().join(", ")
 }
 
-fn play(options: &Options, run: &Run, folder: &Path) -> Result<Verdict, Fault> {
-    let failed = |e: std::io::Error| Fault(format!("{}: {e}", folder.display()));
+/// Executes one run, writes its files to the folder, and judges it.
+fn execute(options: &Options, run: &Run, folder: &Path) -> Result<Verdict, Fault> {
+    let io_error = |e: std::io::Error| Fault(format!("{}: {e}", folder.display()));
     let _ = fs::remove_dir_all(folder);
-    fs::create_dir_all(folder).map_err(failed)?;
+    fs::create_dir_all(folder).map_err(io_error)?;
     let span = Duration::from_secs(options.span);
     let experiment = experiment::of(&run.schedule, run.senders, span, options.rate);
-    fs::write(folder.join("schedule.txt"), words(&run.schedule)).map_err(failed)?;
+    fs::write(folder.join("schedule.txt"), format_schedule(&run.schedule)).map_err(io_error)?;
     let plan = Plan::new(experiment, run.seed)?;
-    let log = Log::create(folder).map_err(failed)?;
-    let machine = machine::troubles(&run.schedule, run.senders, run.seed);
-    let outcome = sockets::soak(&plan, log, options.sender.as_deref(), folder, &machine)?;
-    outcome.write(folder).map_err(failed)?;
+    let log = Log::create(folder).map_err(io_error)?;
+    let machine_troubles = machine::troubles(&run.schedule, run.senders, run.seed);
+    let outcome = sockets::soak(&plan, log, options.sender.as_deref(), folder, &machine_troubles)?;
+    outcome.write(folder).map_err(io_error)?;
     Ok(Verdict::of(&outcome, folder))
 }
 
-/// Plays of a smaller schedule, of which so many must fail for it to count as failing.
-const PLAYS: usize = 3;
-const FAILING: usize = 2;
+/// Number of runs of each smaller schedule.
+const SHRINK_RUNS: usize = 3;
+/// A smaller schedule counts as failing if at least this number of its runs fail.
+const MIN_FAILED_RUNS: usize = 2;
 
-/// Drops troubles, then senders, while the run still fails, and tells what is left.
+/// Removes troubles, then halves the number of senders, as long as the run still fails, and prints what is
+/// left.
 fn shrink(options: &Options, run: &Run) -> Result<(), Fault> {
     let folder = options.out.join(format!("seed-{}-shrunk", run.seed));
     let fails = |run: &Run| -> Result<bool, Fault> {
-        let mut failed = 0;
-        for _ in 0..PLAYS {
-            failed += usize::from(!play(options, run, &folder)?.holds());
+        let mut failed_runs = 0;
+        for _ in 0..SHRINK_RUNS {
+            failed_runs += usize::from(!execute(options, run, &folder)?.passed());
         }
-        Ok(failed >= FAILING)
+        Ok(failed_runs >= MIN_FAILED_RUNS)
     };
-    let mut least = run.clone();
-    let mut at = 0;
-    while at < least.schedule.len() {
-        let mut smaller = least.clone();
-        smaller.schedule.remove(at);
+    let mut smallest = run.clone();
+    let mut index = 0;
+    while index < smallest.schedule.len() {
+        let mut smaller = smallest.clone();
+        smaller.schedule.remove(index);
         if fails(&smaller)? {
-            least = smaller;
+            smallest = smaller;
         } else {
-            at += 1;
+            index += 1;
         }
     }
-    while least.senders > 2 {
-        let smaller = Run { senders: least.senders / 2, ..least.clone() };
+    while smallest.senders > 2 {
+        let smaller = Run { senders: smallest.senders / 2, ..smallest.clone() };
         if !fails(&smaller)? {
             break;
         }
-        least = smaller;
+        smallest = smaller;
     }
-    println!("  shrunk: {} senders [{}]", least.senders, words(&least.schedule));
+    println!("  shrunk: {} senders [{}]", smallest.senders, format_schedule(&smallest.schedule));
     Ok(())
 }
 
-/// How often each pair of kinds was met.
-fn table(met: &BTreeMap<Pair, usize>) -> String {
+/// The number of pairs of kinds that were covered, the pairs that were not, and those covered more than once.
+fn coverage_table(covered: &BTreeMap<Pair, usize>) -> String {
     let all = schedule::all_pairs();
-    let mut text = format!("{} of {} pairs of kinds met", met.len(), all.len());
+    let mut text = format!("{} of {} pairs of kinds covered", covered.len(), all.len());
     let missing: Vec<String> =
-        all.iter().filter(|pair| !met.contains_key(pair)).map(|(a, b)| format!("{a}+{b}")).collect();
+        all.iter().filter(|pair| !covered.contains_key(pair)).map(|(a, b)| format!("{a}+{b}")).collect();
     if !missing.is_empty() && missing.len() < 40 {
-        text += &format!("; not met: {}", missing.join(" "));
+        text += &format!("; not covered: {}", missing.join(" "));
     }
-    for (a, b) in met.keys().filter(|pair| met[pair] > 1) {
-        text += &format!("\n{a} + {b}: {}", met[&(*a, *b)]);
+    for (a, b) in covered.keys().filter(|pair| covered[pair] > 1) {
+        text += &format!("\n{a} + {b}: {}", covered[&(*a, *b)]);
     }
     text
 }
--- a/crates/sailcart-lab/src/soak/proxy.rs
+++ b/crates/sailcart-lab/src/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy on one link, which hands bytes on until a trouble tells it otherwise.
+//! A TCP proxy for one network link. It forwards bytes unchanged unless a fault is set.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -14,136 +14,149 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Bytes handed on at once, at most.
-const PIECE: usize = 4096;
-/// Bytes of a piece that trickles.
-const DRIP: usize = 16;
-/// Of the pieces, one in so many meets the trouble of a link that cuts.
-const ONE_IN: u32 = 12;
+/// The largest number of bytes that are forwarded at once.
+const MAX_CHUNK_BYTES: usize = 4096;
+/// The smallest write on a link that trickles; a longer chunk is sent in about 16 writes.
+const MIN_TRICKLE_WRITE_BYTES: usize = 16;
+/// On a link that cuts, resets or half-closes, a chunk is affected with a probability of one in this number.
+const FAULT_ONE_IN: u32 = 12;
 
-/// What a link does to what passes.
+/// A fault of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Manner {
-    /// Each piece comes late, by up to 30 ms.
+    /// Each chunk is delayed by up to 30 ms.
     Delay,
-    /// Each piece comes in drips.
+    /// Each chunk is sent in small writes, 1 ms apart.
     Trickle,
-    /// Some pieces are cut somewhere, and both sides closed.
+    /// Some chunks are truncated, and both sides are closed.
     Cut,
-    /// Some pieces end in a reset of both sides.
+    /// At some chunks, both sides are reset.
     Reset,
-    /// Behind some pieces this direction ends, and the other goes on.
+    /// After some chunks, their direction is shut down while the other one continues.
     HalfClose,
-    /// What comes back is held for as long as this stands, then the connection ends.
+    /// Bytes from the target are held back while this fault is set; then the connection is closed.
     Silent,
 }
 
-/// Which direction a piece goes.
+/// The direction of a chunk.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Direction {
-    /// From who connected.
-    Up,
-    Down,
+    /// From the client that connected.
+    ToTarget,
+    ToClient,
 }
 
-/// One link: whoever connects to its address reaches the target.
+/// One link: connections to its address are forwarded to the target.
 pub struct Proxy {
+    /// The address that the proxy listens on.
     pub address: SocketAddr,
     target: SocketAddr,
-    manner: Cell<Option<Manner>>,
-    /// Cuts, resets and ends strike only what goes up: what comes back tells its writer that it was heard.
-    up_only: bool,
+    fault: Cell<Option<Manner>>,
+    /// Cuts, resets and half-closes affect only bytes to the target. The emulated receiver regards an answer
+    /// that it has written as received by the sender, so answers must not be lost.
+    faults_to_target_only: bool,
     rng: RefCell<ChaCha8Rng>,
 }
 
 impl Proxy {
-    /// A link to a target, on an address of its own.
-    pub async fn open(target: SocketAddr, up_only: bool, rng: ChaCha8Rng) -> io::Result<Rc<Proxy>> {
+    /// Opens a link to a target, on a free port of the loopback address.
+    ///
+    /// With `faults_to_target_only`, cuts, resets and half-closes affect only that direction.
+    ///
+    /// # Errors
+    /// The error of binding the listener.
+    pub async fn open(
+        target: SocketAddr,
+        faults_to_target_only: bool,
+        rng: ChaCha8Rng,
+    ) -> io::Result<Rc<Proxy>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let (address, manner) = (listener.local_addr()?, Cell::new(None));
-        let proxy = Rc::new(Proxy { address, target, manner, up_only, rng: RefCell::new(rng) });
+        let (address, fault) = (listener.local_addr()?, Cell::new(None));
+        let proxy = Rc::new(Proxy { address, target, fault, faults_to_target_only, rng: RefCell::new(rng) });
         let own = proxy.clone();
         spawn_local(async move {
             loop {
                 match listener.accept().await {
-                    Ok((stream, _)) => drop(spawn_local(own.clone().link(stream))),
-                    Err(fault) => log::warn!("proxy: code=no_accept {fault}"),
+                    Ok((stream, _)) => drop(spawn_local(own.clone().serve_connection(stream))),
+                    Err(error) => log::warn!("proxy: code=no_accept {error}"),
                 }
             }
         });
         Ok(proxy)
     }
 
-    /// From now on the link does this, or hands on as it is.
-    pub fn set(&self, manner: Option<Manner>) {
-        self.manner.set(manner);
+    /// Sets the fault of the link; `None` forwards unchanged.
+    pub fn set(&self, fault: Option<Manner>) {
+        self.fault.set(fault);
     }
 
-    async fn link(self: Rc<Self>, near: TcpStream) {
-        let Ok(far) = TcpStream::connect(self.target).await else { return reset(&near) };
-        let _ = (near.set_nodelay(true), far.set_nodelay(true));
-        let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
-        let up = self.clone().hand_on(near_in, far_out, Direction::Up);
-        let down = self.hand_on(far_in, near_out, Direction::Down);
-        // A direction that ends well leaves the other one open; one that breaks takes it along.
-        let (mut up, mut down) = (std::pin::pin!(up), std::pin::pin!(down));
+    async fn serve_connection(self: Rc<Self>, client: TcpStream) {
+        let Ok(target) = TcpStream::connect(self.target).await else { return reset(&client) };
+        let _ = (client.set_nodelay(true), target.set_nodelay(true));
+        let ((client_in, client_out), (target_in, target_out)) = (client.into_split(), target.into_split());
+        let to_target = self.clone().forward(client_in, target_out, Direction::ToTarget);
+        let to_client = self.forward(target_in, client_out, Direction::ToClient);
+        // When one direction ends without an error, the other one stays open; an error closes both.
+        let (mut to_target, mut to_client) = (std::pin::pin!(to_target), std::pin::pin!(to_client));
         tokio::select! {
-            ended = &mut up => if ended.is_ok() { let _ = down.await; },
-            ended = &mut down => if ended.is_ok() { let _ = up.await; },
+            result = &mut to_target => if result.is_ok() { let _ = to_client.await; },
+            result = &mut to_client => if result.is_ok() { let _ = to_target.await; },
         }
     }
 
-    fn strikes(&self) -> bool {
-        self.rng.borrow_mut().random_ratio(1, ONE_IN)
+    /// Whether the current chunk is affected by the fault.
+    fn draw_affected(&self) -> bool {
+        self.rng.borrow_mut().random_ratio(1, FAULT_ONE_IN)
     }
 
-    fn below(&self, most: usize) -> usize {
-        self.rng.borrow_mut().random_range(0..most.max(1))
+    fn random_below(&self, limit: usize) -> usize {
+        self.rng.borrow_mut().random_range(0..limit.max(1))
     }
 
-    /// Until the writing side ends. An error is a link that is to break at once.
-    async fn hand_on(
+    /// Forwards one direction until its sending side is closed. An error means that the connection must be
+    /// closed at once, in both directions.
+    async fn forward(
         self: Rc<Self>,
         mut from: OwnedReadHalf,
         mut to: OwnedWriteHalf,
         direction: Direction,
     ) -> io::Result<()> {
-        let mut piece = vec![0; PIECE];
+        let mut chunk = vec![0; MAX_CHUNK_BYTES];
         loop {
-            let length = from.read(&mut piece).await?;
+            let length = from.read(&mut chunk).await?;
             if length == 0 {
                 to.shutdown().await?;
                 return Ok(());
             }
-            let bytes = &piece[..length];
-            let breaks = direction == Direction::Up || !self.up_only;
-            match self.manner.get() {
+            let bytes = &chunk[..length];
+            let may_break = direction == Direction::ToTarget || !self.faults_to_target_only;
+            match self.fault.get() {
                 Some(Manner::Delay) => {
-                    sleep(Duration::from_millis(self.below(30) as u64)).await;
+                    sleep(Duration::from_millis(self.random_below(30) as u64)).await;
                     to.write_all(bytes).await?;
                 }
                 Some(Manner::Trickle) => {
-                    for drip in bytes.chunks(DRIP.max(length / 16)) {
-                        to.write_all(drip).await?;
+                    for part in bytes.chunks(MIN_TRICKLE_WRITE_BYTES.max(length / 16)) {
+                        to.write_all(part).await?;
                         sleep(Duration::from_millis(1)).await;
                     }
                 }
-                Some(Manner::Cut) if breaks && self.strikes() => {
-                    to.write_all(&bytes[..self.below(length)]).await?;
+                Some(Manner::Cut) if may_break && self.draw_affected() => {
+                    to.write_all(&bytes[..self.random_below(length)]).await?;
                     return Err(io::ErrorKind::BrokenPipe.into());
                 }
-                Some(Manner::Reset) if breaks && self.strikes() => {
+                Some(Manner::Reset) if may_break && self.draw_affected() => {
                     reset(to.as_ref());
                     reset(from.as_ref());
                     return Err(io::ErrorKind::ConnectionReset.into());
                 }
-                Some(Manner::HalfClose) if breaks && self.strikes() => {
+                Some(Manner::HalfClose) if may_break && self.draw_affected() => {
                     to.write_all(bytes).await?;
                     to.shutdown().await?;
                     return Ok(());
                 }
-                Some(Manner::Silent) if direction == Direction::Down => {
-                    while self.manner.get() == Some(Manner::Silent) {
+                Some(Manner::Silent) if direction == Direction::ToClient => {
+                    while self.fault.get() == Some(Manner::Silent) {
                         sleep(Duration::from_millis(50)).await;
                     }
                     return Err(io::ErrorKind::TimedOut.into());
@@ -154,8 +167,8 @@
     }
 }
 
-/// The close that follows will be a reset.
+/// Makes the stream send a reset when it is closed.
 fn reset(stream: &TcpStream) {
-    #[allow(deprecated)] // the blocking form of linger, with zero, does not block
+    #[allow(deprecated)] // set_linger may block on close, but not with a duration of zero
     let _ = stream.set_linger(Some(Duration::ZERO));
 }
--- a/crates/sailcart-lab/src/soak/schedule.rs
+++ b/crates/sailcart-lab/src/soak/schedule.rs
@@ -1,5 +1,5 @@
-//! Which troubles a run of a soak overlaps, and when. Pure: a seed and a number give the same schedule, though not the same
-//! interleaving of the processes that meet it.
+//! Draws the schedules of a soak test: which troubles overlap in a run, and when. The schedules are a
+//! function of the seed, the number of runs and their span; the interleaving of the processes is not.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,14 +10,14 @@
 use super::kinds::SoakKind;
 use crate::plan::chance;
 
-/// Troubles that overlap.
-pub const TOGETHER: usize = 3;
-/// Groups of them in a run, one after the other.
-const GROUPS: u32 = 2;
-/// The stream of chance that schedules are drawn from.
-const STREAM: u64 = 20;
+/// The number of troubles in a group; all troubles of a group overlap.
+pub const TROUBLES_PER_GROUP: usize = 3;
+/// The number of groups in a run, one after the other.
+const GROUPS_PER_RUN: u32 = 2;
+/// The stream of random numbers for schedules.
+const RNG_STREAM: u64 = 20;
 
-/// A trouble with its time.
+/// A trouble with its period, relative to the start of the run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Planned {
     pub kind: SoakKind,
@@ -31,67 +31,68 @@
     }
 }
 
-/// A pair of kinds, the lesser first.
+/// Two kinds of trouble, the lesser first.
 pub type Pair = (SoakKind, SoakKind);
 
 fn pair(a: SoakKind, b: SoakKind) -> Pair {
     (a.min(b), a.max(b))
 }
 
-/// The pairs of kinds that share part of their time.
+/// The pairs of kinds whose periods overlap.
 pub fn pairs(schedule: &[Planned]) -> BTreeSet<Pair> {
-    let mut met = BTreeSet::new();
-    for (at, one) in schedule.iter().enumerate() {
-        let others = schedule[at + 1..].iter().filter(|other| one.overlaps(other));
-        met.extend(others.map(|other| pair(one.kind, other.kind)));
+    let mut overlapping = BTreeSet::new();
+    for (index, planned) in schedule.iter().enumerate() {
+        let later = schedule[index + 1..].iter().filter(|other| planned.overlaps(other));
+        overlapping.extend(later.map(|other| pair(planned.kind, other.kind)));
     }
-    met
+    overlapping
 }
 
-/// All pairs of two kinds.
+/// All pairs of two different kinds.
 pub fn all_pairs() -> BTreeSet<Pair> {
     let all = SoakKind::ALL;
-    all.iter().enumerate().flat_map(|(at, a)| all[at + 1..].iter().map(|b| pair(*a, *b))).collect()
+    all.iter().enumerate().flat_map(|(index, a)| all[index + 1..].iter().map(|b| pair(*a, *b))).collect()
 }
 
-/// The schedules of a row of runs over such a span. Each group takes a pair that none before has met, and the third kind that brings the
-/// most such pairs, so that all are met as early as may be; then it begins anew.
+/// Draws the schedules of consecutive runs, each of the given span. Each group takes a pair of kinds that no
+/// earlier group covered and then the kind that adds the most uncovered pairs, so that all pairs are covered
+/// in few runs. Once all are covered, it starts again with all pairs.
 pub fn row(seed: u64, runs: usize, span: Duration) -> Vec<Vec<Planned>> {
-    let mut rng = chance(seed, STREAM);
-    let mut left = all_pairs();
+    let mut rng = chance(seed, RNG_STREAM);
+    let mut uncovered = all_pairs();
     let mut schedules = Vec::new();
     for _ in 0..runs {
         let mut schedule: Vec<Planned> = Vec::new();
-        for group in 0..GROUPS {
-            if left.is_empty() {
-                left = all_pairs();
+        for group in 0..GROUPS_PER_RUN {
+            if uncovered.is_empty() {
+                uncovered = all_pairs();
             }
-            let kinds = group_of(&left, &mut rng);
-            let (begin, length) = (span * group / GROUPS, span / GROUPS);
+            let kinds = draw_group(&uncovered, &mut rng);
+            let (begin, length) = (span * group / GROUPS_PER_RUN, span / GROUPS_PER_RUN);
             for kind in &kinds {
-                // All of a group stand in its middle third.
+                // All troubles of a group are active in its middle third.
                 let from = begin + length.mul_f64(rng.random_range(0.05..0.33));
                 let until = begin + length.mul_f64(rng.random_range(0.67..0.95));
                 schedule.push(Planned { kind: *kind, from, until });
             }
         }
-        left.retain(|pair| !pairs(&schedule).contains(pair));
+        uncovered.retain(|pair| !pairs(&schedule).contains(pair));
         schedules.push(schedule);
     }
     schedules
 }
 
-fn group_of(left: &BTreeSet<Pair>, rng: &mut impl Rng) -> Vec<SoakKind> {
-    let all: Vec<Pair> = left.iter().copied().collect();
-    let Some((a, b)) = all.choose(rng).copied() else { return Vec::new() };
+fn draw_group(uncovered: &BTreeSet<Pair>, rng: &mut impl Rng) -> Vec<SoakKind> {
+    let uncovered_pairs: Vec<Pair> = uncovered.iter().copied().collect();
+    let Some((a, b)) = uncovered_pairs.choose(rng).copied() else { return Vec::new() };
     let mut kinds = vec![a, b];
-    while kinds.len() < TOGETHER {
-        let mut others: Vec<SoakKind> =
+    while kinds.len() < TROUBLES_PER_GROUP {
+        let mut candidates: Vec<SoakKind> =
             SoakKind::ALL.into_iter().filter(|kind| !kinds.contains(kind)).collect();
-        others.shuffle(rng);
-        let fresh =
-            |kind: &SoakKind| kinds.iter().filter(|other| left.contains(&pair(**other, *kind))).count();
-        let Some(best) = others.iter().copied().max_by_key(fresh) else { break };
+        candidates.shuffle(rng);
+        let added_pairs =
+            |kind: &SoakKind| kinds.iter().filter(|other| uncovered.contains(&pair(**other, *kind))).count();
+        let Some(best) = candidates.iter().copied().max_by_key(added_pairs) else { break };
         kinds.push(best);
     }
     kinds
--- a/crates/sailcart-lab/src/soak/story.rs
+++ b/crates/sailcart-lab/src/soak/story.rs
@@ -1,4 +1,4 @@
-//! One packet's whole life, joined from what was seen outside and from the logs of all senders of a run.
+//! Traces one packet through a run: combines the events observed from outside with the logs of all senders.
 
 use std::collections::BTreeSet;
 use std::fs::{self, File};
@@ -7,21 +7,22 @@
 
 use serde_json::Value;
 
-/// Everything that a kept run's folder has of a packet, by its number: what an outsider saw, then each sender's lines.
+/// Collects all records of a packet, given by its number, from the folder of a run: the events observed from
+/// outside, then the log lines of each sender.
 ///
 /// # Errors
-/// Where the folder or its events cannot be read.
+/// The error of reading the folder, its events or its logs.
 pub fn story(folder: &Path, packet: u64) -> io::Result<String> {
-    let mut text = seen(folder, packet)?;
+    let mut text = observed_events(folder, packet)?;
     let mut logs: Vec<_> = fs::read_dir(folder)?
         .flatten()
         .map(|file| file.path())
-        .filter(|path| path.extension().is_some_and(|ending| ending == "log"))
+        .filter(|path| path.extension().is_some_and(|extension| extension == "log"))
         .collect();
     logs.sort();
     for log in logs {
-        let written = fs::read_to_string(&log)?;
-        let lines = lines_of(&written, packet);
+        let log_text = fs::read_to_string(&log)?;
+        let lines = log_lines(&log_text, packet);
         if !lines.is_empty() {
             let name = log.file_stem().map(|name| name.to_string_lossy().into_owned()).unwrap_or_default();
             text +=
@@ -31,41 +32,42 @@
     Ok(text)
 }
 
-/// The events about a packet, and about the calls that had it with them.
-fn seen(folder: &Path, packet: u64) -> io::Result<String> {
+/// The events about a packet, and about the calls that contained it.
+fn observed_events(folder: &Path, packet: u64) -> io::Result<String> {
     let events = BufReader::new(zstd::Decoder::new(File::open(folder.join("events.jsonl.zst"))?)?);
     let mut calls = BTreeSet::new();
-    let mut text = "seen from outside\n".to_owned();
+    let mut text = "observed from outside\n".to_owned();
     for line in events.lines() {
         let line = line?;
         let Ok(event) = serde_json::from_str::<Value>(&line) else { continue };
         let call = event.get("call").and_then(Value::as_u64);
-        let with = event.get("packets").and_then(Value::as_array);
-        if with.is_some_and(|all| all.iter().any(|one| one.as_u64() == Some(packet))) {
+        let packets = event.get("packets").and_then(Value::as_array);
+        if packets.is_some_and(|packets| packets.iter().any(|number| number.as_u64() == Some(packet))) {
             calls.extend(call);
         }
-        let own = event.get("packet").and_then(Value::as_u64) == Some(packet);
-        if own || call.is_some_and(|call| calls.contains(&call)) {
+        let is_about_packet = event.get("packet").and_then(Value::as_u64) == Some(packet);
+        if is_about_packet || call.is_some_and(|call| calls.contains(&call)) {
             text += &format!("  {line}\n");
         }
     }
     Ok(text)
 }
 
-/// The lines of a sender's log about a packet, by its id and by the number that this sender gave it.
-fn lines_of(log: &str, packet: u64) -> Vec<&str> {
+/// The lines of a sender's log about a packet. They name it by its id or by the number that this sender gave
+/// it. Lines about the start and the stop of the sender are included once the packet has been accepted.
+fn log_lines(log: &str, packet: u64) -> Vec<&str> {
     let id = format!("{packet:016x}");
     let mut number = None;
     let mut lines = Vec::new();
     for line in log.lines() {
-        let lives =
+        let start_or_stop =
             line.contains(" listens on ") || line.contains("recovery: ") || line.contains("code=sigterm");
         if line.contains(&id) {
-            let told = line.split("taken as ").nth(1).and_then(|rest| rest.split(',').next());
-            number = told.map(str::to_owned).or(number);
+            let accepted_as = line.split("taken as ").nth(1).and_then(|rest| rest.split(',').next());
+            number = accepted_as.map(str::to_owned).or(number);
             lines.push(line);
         } else if let Some(number) = &number
-            && (lives || is_about(line, number))
+            && (start_or_stop || is_about(line, number))
         {
             lines.push(line);
         }
@@ -74,9 +76,9 @@
 }
 
 fn is_about(line: &str, number: &str) -> bool {
-    let told = || {
+    let in_acknowledged_notices = || {
         let list = line.split("notices: told [").nth(1)?.split(']').next()?;
-        Some(list.split(", ").any(|one| one == number))
+        Some(list.split(", ").any(|listed| listed == number))
     };
-    line.contains(&format!("packet {number}: ")) || told().unwrap_or(false)
+    line.contains(&format!("packet {number}: ")) || in_acknowledged_notices().unwrap_or(false)
 }
--- a/crates/sailcart-lab/src/soak/verdict.rs
+++ b/crates/sailcart-lab/src/soak/verdict.rs
@@ -1,4 +1,5 @@
-//! What became of a run: rules as the watcher saw them from outside, crashes, and what the senders count of themselves.
+//! The verdict on a run: rules broken according to the watcher, crashes, unanswered clients, and invariant
+//! violations that senders logged.
 
 use std::fmt::{self, Display};
 use std::fs;
@@ -6,47 +7,51 @@
 
 use crate::results::Outcome;
 
-/// The judgement of one run.
+/// The verdict on one run, with its most important counts.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
-    /// Rules broken, each with how often.
-    pub broken: Vec<String>,
+    /// The rules that were broken, each followed by the number of its breaches.
+    pub broken_rules: Vec<String>,
+    /// Sender processes that ended although nobody stopped them.
     pub crashes: u64,
-    /// Bad clients that heard nothing within their time.
+    /// Clients with malformed input that got no reply in time.
     pub ignored: u64,
-    /// Lines with which senders tell of an invariant that did not hold, and of a panic.
+    /// Log lines of senders that report a violated invariant or a panic.
     pub violations: usize,
-    pub handed_in: u64,
+    /// Packets submitted, resubmissions included.
+    pub submitted: u64,
     pub delivered: u64,
+    /// Sender processes that were killed or stopped on purpose.
     pub kills: u64,
 }
 
 impl Verdict {
-    /// Judges a run by its outcome and the logs in its folder.
+    /// Judges a run by its outcome and by the logs in its folder.
     pub fn of(outcome: &Outcome, folder: &Path) -> Verdict {
-        let broken = outcome.rules.iter().filter(|line| line.broken > 0);
+        let broken_rules = outcome.rules.iter().filter(|line| line.broken > 0);
         let figure = |name: &str| outcome.figure(name) as u64;
         Verdict {
-            broken: broken.map(|line| format!("{:?} {}", line.rule, line.broken)).collect(),
+            broken_rules: broken_rules.map(|line| format!("{:?} {}", line.rule, line.broken)).collect(),
             crashes: figure("crashes"),
             ignored: figure("ignored"),
-            violations: complaints(folder),
-            handed_in: figure("handed_in"),
+            violations: count_violations(folder),
+            submitted: figure("handed_in"),
             delivered: figure("delivered"),
             kills: figure("kills"),
         }
     }
 
-    /// No rule broken, no crash, nobody ignored, nothing counted that should never be.
-    pub fn holds(&self) -> bool {
-        self.broken.is_empty() && self.crashes == 0 && self.ignored == 0 && self.violations == 0
+    /// Whether the run passed: no rule broken, no crash, no client ignored, no violation logged.
+    pub fn passed(&self) -> bool {
+        self.broken_rules.is_empty() && self.crashes == 0 && self.ignored == 0 && self.violations == 0
     }
 }
 
-/// Lines of all logs in which a sender tells that it is wrong.
-fn complaints(folder: &Path) -> usize {
+/// Counts the log lines in the folder that report a violated invariant or a panic.
+fn count_violations(folder: &Path) -> usize {
     let Ok(files) = fs::read_dir(folder) else { return 0 };
-    let logs = files.flatten().filter(|file| file.path().extension().is_some_and(|ending| ending == "log"));
+    let logs =
+        files.flatten().filter(|file| file.path().extension().is_some_and(|extension| extension == "log"));
     let texts = logs.filter_map(|log| fs::read_to_string(log.path()).ok());
     texts
         .map(|text| {
@@ -56,25 +61,25 @@
 }
 
 impl Display for Verdict {
-    fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         write!(
-            to,
-            "{}, {} packets, {} delivered, {} lives ended",
-            if self.holds() { "held" } else { "FAILED" },
-            self.handed_in,
+            formatter,
+            "{}, {} packets, {} delivered, {} processes killed or stopped",
+            if self.passed() { "held" } else { "FAILED" },
+            self.submitted,
             self.delivered,
             self.kills
         )?;
-        if !self.broken.is_empty() {
-            write!(to, "; rules broken: {}", self.broken.join(", "))?;
+        if !self.broken_rules.is_empty() {
+            write!(formatter, "; rules broken: {}", self.broken_rules.join(", "))?;
         }
-        for (count, what) in [
+        for (count, label) in [
             (self.crashes as usize, "crashes"),
             (self.ignored as usize, "ignored"),
             (self.violations, "violations"),
         ] {
             if count > 0 {
-                write!(to, "; {count} {what}")?;
+                write!(formatter, "; {count} {label}")?;
             }
         }
         Ok(())
