--- /dev/null
+++ b/crates/sailcart-lab/src/watcher/backpressure.rs
@@ -0,0 +1,125 @@
+//! Checks rules 3, 4 and 6: draining endpoints get no calls, recovering destinations are not overloaded,
+//! requested waits are observed.
+
+use std::collections::{BTreeSet, HashMap, VecDeque};
+use std::time::Duration;
+
+use sailcart::EndpointId;
+
+use super::{GateId, Heard, ObservedCall, Rule, RunState, format_ms};
+use crate::plan::SenderId;
+
+/// A collapse breaks rule 4 only if at least this share of the calls before it came from senders that had
+/// seen the outage.
+const MIN_INFORMED_SHARE: f64 = 2.0 / 3.0;
+
+#[derive(Default)]
+pub struct BackpressureCheck {
+    /// When discovery first reported to a sender that an endpoint drains.
+    drains: HashMap<(SenderId, EndpointId), Duration>,
+    /// For each sender and gate, when the longest wait was requested, and until when.
+    waits: HashMap<(SenderId, GateId), (Duration, Duration)>,
+    /// For each gate with an outage, the senders that saw a call or connection fail or be rejected since it
+    /// began.
+    informed_senders: HashMap<GateId, BTreeSet<SenderId>>,
+    /// Calls received within the period [`crate::experiment::Rules::fall`], by gate.
+    recent_calls: HashMap<GateId, VecDeque<(Duration, SenderId)>>,
+}
+
+impl BackpressureCheck {
+    pub fn endpoint_draining(&mut self, state: &RunState, sender: SenderId, endpoint: EndpointId) {
+        self.drains.entry((sender, endpoint)).or_insert(state.now);
+    }
+
+    pub fn endpoint_ready(&mut self, sender: SenderId, endpoint: EndpointId) {
+        self.drains.remove(&(sender, endpoint));
+    }
+
+    pub fn outage_started(&mut self, gate: GateId) {
+        self.informed_senders.insert(gate, BTreeSet::new());
+    }
+
+    /// A call or a connection attempt of a sender failed or was rejected.
+    pub fn call_failed(&mut self, sender: SenderId, gate: GateId) {
+        if let Some(senders) = self.informed_senders.get_mut(&gate) {
+            senders.insert(sender);
+        }
+    }
+
+    /// A sender went down. Its next process knows neither the waits that were requested nor the failures seen
+    /// before.
+    pub fn sender_down(&mut self, sender: SenderId) {
+        self.waits.retain(|(owner, _), _| *owner != sender);
+        for senders in self.informed_senders.values_mut() {
+            senders.remove(&sender);
+        }
+    }
+
+    pub fn call_received(&mut self, state: &mut RunState, call: &ObservedCall) {
+        let (now, grace, crossing) = (state.now, state.rules.drain_grace, state.rules.crossing);
+        if let Some(reported_at) = self.drains.get(&(call.sender, call.endpoint)).copied()
+            && now > reported_at + grace + crossing
+        {
+            let events = vec![
+                format!(
+                    "{}: sender {} was told that endpoint {} drains",
+                    format_ms(reported_at),
+                    call.sender.0,
+                    call.endpoint.0
+                ),
+                format!("{}: the grace was over", format_ms(reported_at + grace)),
+                format!("{}: a call came from it", format_ms(now)),
+            ];
+            state.record_breach(Rule::Drains, call.packets.first().copied(), events);
+        }
+        if let Some((requested_at, until)) = self.waits.get(&(call.sender, call.gate)).copied()
+            && now > requested_at + crossing
+            && now + Duration::from_millis(1) < until
+        {
+            let events = vec![
+                format!("{}: sender {} was told to wait", format_ms(requested_at), call.sender.0),
+                format!("the wait ends at {}", format_ms(until)),
+                format!("{}: a call came from it to endpoint {}", format_ms(now), call.endpoint.0),
+            ];
+            state.record_breach(Rule::Waits, call.packets.first().copied(), events);
+        }
+        let recent = self.recent_calls.entry(call.gate).or_default();
+        while recent.front().is_some_and(|(at, _)| *at + state.rules.fall < now) {
+            recent.pop_front();
+        }
+        recent.push_back((now, call.sender));
+    }
+
+    pub fn call_completed(&mut self, state: &RunState, call: &ObservedCall, result: Heard) {
+        if result != Heard::Done {
+            self.call_failed(call.sender, call.gate);
+        }
+        if let Heard::Full(Some(wait)) = result {
+            let until = state.now + wait;
+            let is_longest =
+                self.waits.get(&(call.sender, call.gate)).is_none_or(|(_, other)| *other < until);
+            if is_longest {
+                self.waits.insert((call.sender, call.gate), (state.now, until));
+            }
+        }
+    }
+
+    /// The capacity behind a gate collapsed under load. This breaks rule 4 if most of the recent calls came
+    /// from senders that knew of the outage.
+    pub fn gate_collapsed(&mut self, state: &mut RunState, gate: GateId) {
+        let no_senders = BTreeSet::new();
+        let informed = self.informed_senders.get(&gate).unwrap_or(&no_senders);
+        let recent = self.recent_calls.get(&gate).into_iter().flatten();
+        let calls: Vec<(Duration, SenderId)> = recent.copied().collect();
+        let from_informed = calls.iter().filter(|(_, sender)| informed.contains(sender)).count();
+        if calls.is_empty() || (from_informed as f64) < MIN_INFORMED_SHARE * calls.len() as f64 {
+            return;
+        }
+        let events = vec![
+            format!("an outage was seen by {} senders", informed.len()),
+            format!("{} of {} calls within the span came from them", from_informed, calls.len()),
+            format!("{}: what the endpoints share (gate {}) fell over", format_ms(state.now), gate.0),
+        ];
+        state.record_breach(Rule::Return, None, events);
+    }
+}
