--- a/crates/sailcart-lab/src/capacity/hollow.rs
+++ b/crates/sailcart-lab/src/capacity/decision_module.rs
@@ -8,9 +8,9 @@
     Repeat, Return, Sender, Terms,
 };
 
+use super::scaling::Counted;
+use super::scaling::{Driven, Listed};
 use super::series::{Gathered, Quantity};
-use super::shape::Counted;
-use super::shape::{Driven, Listed};
 use super::sizes::Sizes;
 use crate::experiment::Fault;
 
--- a/crates/sailcart-lab/src/capacity/mod.rs
+++ b/crates/sailcart-lab/src/capacity/mod.rs
@@ -1,17 +1,17 @@
 //! Capacity: what senders cost as the directory, the backlog and the fleet grow, measured and carried on by a model
-//! to the size that is planned for. [`real`] measures sender processes, [`hollow`] the decision module alone, [`fit`]
+//! to the size that is planned for. [`processes`] measures sender processes, [`decision_module`] the decision module alone, [`fit`]
 //! turns points into slopes, [`model`] multiplies them with the named inputs, and [`page`] writes
-//! `docs/CAPACITY.md`. [`shape`] is the check of shape that runs with the tests.
+//! `docs/CAPACITY.md`. [`scaling`] is the check of shape that runs with the tests.
 
+pub mod decision_module;
 pub mod fit;
-pub mod hollow;
 pub mod model;
 pub mod page;
-pub mod real;
+pub mod processes;
 pub mod report;
 pub mod run;
+pub mod scaling;
 pub mod series;
-pub mod shape;
 pub mod sizes;
 pub mod unit;
 
--- a/crates/sailcart-lab/src/capacity/model/mod.rs
+++ b/crates/sailcart-lab/src/capacity/model/mod.rs
@@ -4,11 +4,11 @@
 mod backlog;
 mod control;
 mod directory;
+mod failures;
 mod inputs;
 mod learning;
 mod network;
 mod row;
-mod troubles;
 
 pub use inputs::{Inputs, Named, Source};
 pub use row::{Area, Mechanism, Resource, Role, Row};
@@ -31,7 +31,7 @@
         backlog::rows(&model),
         control::rows(&model),
         network::rows(&model),
-        troubles::rows(&model),
+        failures::rows(&model),
     ];
     let mut rows: Vec<Row> = areas.into_iter().flatten().collect();
     rows.sort_by(|a, b| b.factor.unwrap_or(-1.0).total_cmp(&a.factor.unwrap_or(-1.0)));
--- a/crates/sailcart-lab/src/capacity/real/client.rs
+++ b/crates/sailcart-lab/src/capacity/processes/client.rs
@@ -9,8 +9,8 @@
 
 use hdrhistogram::Histogram;
 
-use super::directory::Listed;
-use super::process::CATEGORY;
+use super::discovery::Listed;
+use super::sender_process::CATEGORY;
 use crate::experiment::Fault;
 
 /// Longer than any pause that is still one.
--- a/crates/sailcart-lab/src/capacity/real/list.rs
+++ b/crates/sailcart-lab/src/capacity/processes/list.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, Instant};
 
 use super::client::{Pauses, Pinger};
-use super::directory::{Directory, Listed, Places, Reading};
-use super::process::SenderProcess;
+use super::discovery::{Directory, Listed, Places, Reading};
+use super::sender_process::SenderProcess;
 use crate::capacity::series::{Gathered, Quantity};
 use crate::capacity::sizes::Sizes;
 use crate::experiment::Fault;
--- a/crates/sailcart-lab/src/capacity/real/mod.rs
+++ b/crates/sailcart-lab/src/capacity/processes/mod.rs
@@ -2,12 +2,12 @@
 
 pub mod client;
 mod connections;
-pub mod directory;
+pub mod discovery;
 mod endpoint;
 mod http;
 mod list;
 mod packets;
-pub mod process;
+pub mod sender_process;
 
 use std::path::Path;
 
--- a/crates/sailcart-lab/src/capacity/real/packets.rs
+++ b/crates/sailcart-lab/src/capacity/processes/packets.rs
@@ -4,9 +4,9 @@
 use std::time::{Duration, Instant};
 
 use super::client::{Client, Put};
-use super::directory::{Directory, Listed, Places};
+use super::discovery::{Directory, Listed, Places};
 use super::endpoint::Endpoint;
-use super::process::SenderProcess;
+use super::sender_process::SenderProcess;
 use crate::capacity::series::{Gathered, Quantity};
 use crate::capacity::sizes::Sizes;
 use crate::experiment::Fault;
--- a/crates/sailcart-lab/src/capacity/run.rs
+++ b/crates/sailcart-lab/src/capacity/run.rs
@@ -8,7 +8,7 @@
 use super::report::{Measured, Report};
 use super::series::Gathered;
 use super::sizes::Sizes;
-use super::{hollow, page, real};
+use super::{decision_module, page, processes};
 use crate::experiment::Fault;
 
 /// The words of the command line.
@@ -80,9 +80,9 @@
     if !options.hollow_only {
         let path = find(options.sender.as_deref())?;
         program = version(&path)?;
-        real::measure(&path, &sizes, &mut gathered)?;
+        processes::measure(&path, &sizes, &mut gathered)?;
     }
-    hollow::measure(&sizes, &mut gathered)?;
+    decision_module::measure(&sizes, &mut gathered)?;
     let series = gathered.series(&command, &date);
     Ok(Measured { date, command, program, machine, series })
 }
--- a/crates/sailcart-lab/tests/capacity.rs
+++ b/crates/sailcart-lab/tests/capacity.rs
@@ -8,14 +8,14 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
+use sailcart_lab::capacity::decision_module::Hollow;
 use sailcart_lab::capacity::fit::{Fit, Point};
-use sailcart_lab::capacity::hollow::Hollow;
 use sailcart_lab::capacity::model::{self, Inputs, Row};
 use sailcart_lab::capacity::page;
-use sailcart_lab::capacity::real::directory::{Directory, Listed as Line, Places};
+use sailcart_lab::capacity::processes::discovery::{Directory, Listed as Line, Places};
 use sailcart_lab::capacity::report::{Measured, Report};
+use sailcart_lab::capacity::scaling::{self, ByteBound, Counted, Driven, Grows, Listed, Work};
 use sailcart_lab::capacity::series::{Basis, Quantity, Series};
-use sailcart_lab::capacity::shape::{self, ByteBound, Counted, Driven, Grows, Listed, Work};
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
 
 #[global_allocator]
@@ -40,8 +40,8 @@
 }
 
 fn growth<D: Counted>(make: impl Fn() -> D) -> Vec<Grows> {
-    let [small, large] = [SMALL, LARGE].map(|destinations| shape::work(&mut make(), destinations));
-    shape::grows(&small, &large)
+    let [small, large] = [SMALL, LARGE].map(|destinations| scaling::work(&mut make(), destinations));
+    scaling::grows(&small, &large)
 }
 
 fn fat<D: Driven>(make: impl Fn() -> D, bound: ByteBound) -> Option<Grows> {
@@ -50,7 +50,7 @@
         driven.whole(LARGE);
         driven
     });
-    shape::too_large(bytes, LARGE, bound)
+    scaling::too_large(bytes, LARGE, bound)
 }
 
 /// A small table that does only what it must.
@@ -188,7 +188,7 @@
     fn twice_the_work_is_let_pass_and_more_is_not() {
         let small = Work { destinations: SMALL, change: 10, empty_round: 10, busy_round: 10 };
         let large = Work { destinations: LARGE, change: 20, empty_round: 21, busy_round: 20 };
-        assert_eq!(shape::grows(&small, &large), [Grows::EmptyRound]);
+        assert_eq!(scaling::grows(&small, &large), [Grows::EmptyRound]);
     }
 }
 
