--- a/crates/sailcart-lab/src/capacity/decision_module.rs
+++ b/crates/sailcart-lab/src/capacity/decision_module.rs
@@ -1,5 +1,6 @@
-//! Hollow senders: the decision module alone, with a made-up clock and a host that carries nothing out. Many fit into
-//! one process, so that bytes and times of the module are measured apart from sockets and journal.
+//! Measures the decision module alone, with a simulated clock and a host that executes nothing. Many
+//! instances fit into one process, so the module's memory and times are measured apart from sockets and
+//! journal.
 
 use std::time::{Duration, Instant};
 
@@ -8,35 +9,37 @@
     Repeat, Return, Sender, Terms,
 };
 
-use super::scaling::Counted;
-use super::scaling::{Driven, Listed};
-use super::series::{Gathered, Quantity};
+use super::scaling::CountsVisits;
+use super::scaling::{DestinationIndex, ScalingSubject};
+use super::series::{Measurements, Quantity};
 use super::sizes::Sizes;
 use crate::experiment::Fault;
 
-/// The fleet that the module is told of.
-const SENDERS: usize = 2600;
-/// Of one sender at the planned size.
+/// Number of senders that the module's settings state.
+const FLEET_SENDERS: usize = 2600;
+/// Packets a second of one sender at the planned size.
 const PACKETS_PER_SECOND: u64 = 123;
-const ANSWER: Duration = Duration::from_millis(20);
-/// Changes and rounds over which times are averaged.
-const REPEATS: usize = 200;
-/// At most so long for them.
-const MOST_REPEATING: Duration = Duration::from_secs(2);
-/// Destinations of all hollow senders that stand at once for one size, about.
-const ALL_DESTINATIONS: usize = 10_000;
-/// Hollow senders that stand at once for one size.
-const MOST_SENDERS: usize = 500;
-/// A step that meets all destinations in an order without a pattern: prime, so it divides no size here.
-const STRIDE: u64 = 7_368_787;
-
-/// Gathers what one round dispatches; its other orders are dropped.
+/// Simulated duration of a call, and the step of the simulated clock.
+const CALL_DURATION: Duration = Duration::from_millis(20);
+/// Maximum number of changes or rounds over which a time is averaged.
+const MAX_REPETITIONS: usize = 200;
+/// Maximum time for these repetitions.
+const MAX_REPETITION_TIME: Duration = Duration::from_secs(2);
+/// Approximate number of destinations in all modules that exist at the same time for one size.
+const TOTAL_DESTINATIONS: usize = 10_000;
+/// Maximum number of modules that exist at the same time for one size.
+const MAX_MODULES: usize = 500;
+/// Step from one destination to the next, which visits all of them in an order without a pattern. It is
+/// prime, so it has no factor in common with any of the sizes.
+const DESTINATION_STRIDE: u64 = 7_368_787;
+
+/// Records the dispatches of one round and discards all other requests of the module.
 #[derive(Default)]
-struct Round {
+struct RecordingHost {
     dispatched: Vec<PacketId>,
 }
 
-impl Host for Round {
+impl Host for RecordingHost {
     fn dispatch(&mut self, packet: PacketId, _: EndpointId, _: Duration) {
         self.dispatched.push(packet);
     }
@@ -54,12 +57,12 @@
     fn wake(&mut self, _: Duration) {}
 }
 
-/// One module with a made-up clock.
-pub struct Hollow {
+/// One decision module with a simulated clock.
+pub struct DecisionModule {
     sender: Sender,
-    round: Round,
+    host: RecordingHost,
     now: Duration,
-    next: u64,
+    next_packet_id: u64,
 }
 
 fn terms() -> Terms {
@@ -72,7 +75,7 @@
         late_share: 0.5,
     };
     Terms {
-        senders: SENDERS,
+        senders: FLEET_SENDERS,
         slots: 64,
         hold: 100_000,
         dispatches: 6,
@@ -86,34 +89,34 @@
     }
 }
 
-fn listing(number: u64, live: bool) -> Listing {
+fn listing(index: u64, live: bool) -> Listing {
     Listing {
-        endpoint: EndpointId(number as u32),
-        destination: DestinationId(number),
+        endpoint: EndpointId(index as u32),
+        destination: DestinationId(index),
         kind: KindId(0),
         live,
         rate: 1.0,
     }
 }
 
-impl Default for Hollow {
+impl Default for DecisionModule {
     fn default() -> Self {
-        let (sender, round) = (Sender::new(terms(), 1), Round::default());
-        Hollow { sender, round, now: Duration::ZERO, next: 0 }
+        let (sender, host) = (Sender::new(terms(), 1), RecordingHost::default());
+        DecisionModule { sender, host, now: Duration::ZERO, next_packet_id: 0 }
     }
 }
 
-impl Hollow {
-    fn step(&mut self, span: Duration) {
+impl DecisionModule {
+    fn advance(&mut self, span: Duration) {
         self.now += span;
     }
 
-    fn take(&mut self, listed: Listed) {
-        let id = PacketId(self.next);
-        self.next += 1;
+    fn accept_packet(&mut self, destination: DestinationIndex) {
+        let id = PacketId(self.next_packet_id);
+        self.next_packet_id += 1;
         let packet = Packet {
             id,
-            destination: DestinationId(listed.0),
+            destination: DestinationId(destination.0),
             category: CategoryId(0),
             customer: None,
             key: None,
@@ -125,119 +128,124 @@
         self.sender.take(self.now, packet);
     }
 
-    /// All calls that are out come back with success.
-    fn answer(&mut self) {
-        for id in std::mem::take(&mut self.round.dispatched) {
-            self.sender.outcome(self.now, id, ANSWER, Outcome::Done, true);
+    /// Completes all calls in flight successfully.
+    fn complete_calls(&mut self) {
+        for id in std::mem::take(&mut self.host.dispatched) {
+            self.sender.outcome(self.now, id, CALL_DURATION, Outcome::Done, true);
         }
     }
 
     fn decide(&mut self) {
-        self.sender.decide(self.now, &mut self.round);
+        self.sender.decide(self.now, &mut self.host);
     }
 
-    /// Takes a list that was drawn up before.
-    fn list(&mut self, lines: &[Listing]) {
-        self.sender.list(self.now, true, lines);
+    /// Applies a full list that was built beforehand.
+    fn apply_list(&mut self, entries: &[Listing]) {
+        self.sender.list(self.now, true, entries);
     }
 }
 
-impl Driven for Hollow {
-    fn whole(&mut self, destinations: u64) {
-        let lines: Vec<Listing> = (0..destinations).map(|number| listing(number, true)).collect();
-        self.list(&lines);
+impl ScalingSubject for DecisionModule {
+    fn apply_full_list(&mut self, destinations: u64) {
+        let entries: Vec<Listing> = (0..destinations).map(|index| listing(index, true)).collect();
+        self.apply_list(&entries);
     }
 
-    fn change(&mut self, listed: Listed, live: bool) {
-        self.sender.list(self.now, false, &[listing(listed.0, live)]);
+    fn apply_change(&mut self, destination: DestinationIndex, live: bool) {
+        self.sender.list(self.now, false, &[listing(destination.0, live)]);
     }
 
-    fn round(&mut self, busy: &[Listed]) {
-        self.step(ANSWER);
-        busy.iter().for_each(|listed| self.take(*listed));
+    fn run_round(&mut self, busy: &[DestinationIndex]) {
+        self.advance(CALL_DURATION);
+        busy.iter().for_each(|destination| self.accept_packet(*destination));
         self.decide();
-        self.step(ANSWER);
-        self.answer();
+        self.advance(CALL_DURATION);
+        self.complete_calls();
     }
 }
 
-impl Counted for Hollow {
-    fn visited(&self) -> u64 {
+impl CountsVisits for DecisionModule {
+    fn entries_visited(&self) -> u64 {
         self.sender.visited()
     }
 }
 
-/// Measures hollow senders at every size. All stand until the last is measured, so that memory that is given back is
-/// not counted for another.
-pub fn measure(sizes: &Sizes, gathered: &mut Gathered) -> Result<(), Fault> {
-    let mut standing = Vec::new();
-    for size in sizes.hollow_destinations.iter().copied() {
-        standing.push(measure_one(size, sizes, gathered)?);
+/// Measures the module at every size. The modules of all sizes exist until the last one is measured, so that
+/// memory freed by one size is not reused, and thereby missed, at another.
+pub fn measure(sizes: &Sizes, measurements: &mut Measurements) -> Result<(), Fault> {
+    let mut retained = Vec::new();
+    for size in sizes.module_destinations.iter().copied() {
+        retained.push(measure_size(size, sizes, measurements)?);
     }
     Ok(())
 }
 
-fn resident() -> Result<f64, Fault> {
-    let own = procfs::process::Process::myself().and_then(|own| own.status());
-    let status = own.map_err(|error| Fault(format!("procfs: {error}")))?;
+fn resident_bytes() -> Result<f64, Fault> {
+    let status = procfs::process::Process::myself().and_then(|process| process.status());
+    let status = status.map_err(|error| Fault(format!("procfs: {error}")))?;
     Ok(status.vmrss.unwrap_or(0) as f64 * 1024.0)
 }
 
-fn measure_one(size: usize, sizes: &Sizes, gathered: &mut Gathered) -> Result<Vec<Hollow>, Fault> {
-    let lines: Vec<Listing> = (0..size as u64).map(|number| listing(number, true)).collect();
-    let count = (ALL_DESTINATIONS / size.max(1)).clamp(1, MOST_SENDERS);
-    let before = resident()?;
-    let mut all: Vec<Hollow> = (0..count).map(|_| Hollow::default()).collect();
-    all.iter_mut().for_each(|hollow| hollow.list(&lines));
-    gathered.add(Quantity::HollowMemory, size, (resident()? - before) / count as f64);
-    let Some(hollow) = all.first_mut() else { return Ok(all) };
-
-    let visited = hollow.visited();
+fn measure_size(
+    size: usize,
+    sizes: &Sizes,
+    measurements: &mut Measurements,
+) -> Result<Vec<DecisionModule>, Fault> {
+    let entries: Vec<Listing> = (0..size as u64).map(|index| listing(index, true)).collect();
+    let count = (TOTAL_DESTINATIONS / size.max(1)).clamp(1, MAX_MODULES);
+    let bytes_before = resident_bytes()?;
+    let mut modules: Vec<DecisionModule> = (0..count).map(|_| DecisionModule::default()).collect();
+    modules.iter_mut().for_each(|module| module.apply_list(&entries));
+    measurements.record(Quantity::ModuleMemory, size, (resident_bytes()? - bytes_before) / count as f64);
+    let Some(module) = modules.first_mut() else { return Ok(modules) };
+
+    let visited_before = module.entries_visited();
     let mut changes = 0;
-    let took = mean_time(|nth| {
-        hollow.step(ANSWER);
-        let listed = Listed(nth as u64 / 2 * STRIDE % size as u64);
-        hollow.change(listed, nth % 2 == 1);
+    let seconds = mean_seconds(|index| {
+        module.advance(CALL_DURATION);
+        let destination = DestinationIndex(index as u64 / 2 * DESTINATION_STRIDE % size as u64);
+        module.apply_change(destination, index % 2 == 1);
         changes += 1;
     });
-    gathered.add(Quantity::HollowChange, size, took);
-    gathered.add(
-        Quantity::HollowVisitsPerChange,
+    measurements.record(Quantity::ModuleChange, size, seconds);
+    measurements.record(
+        Quantity::ModuleVisitsPerChange,
         size,
-        (hollow.visited() - visited) as f64 / f64::from(changes),
+        (module.entries_visited() - visited_before) as f64 / f64::from(changes),
     );
-    let took = mean_time(|_| {
-        hollow.step(ANSWER);
-        hollow.decide();
+    let seconds = mean_seconds(|_| {
+        module.advance(CALL_DURATION);
+        module.decide();
     });
-    gathered.add(Quantity::HollowEmptyRound, size, took);
-    let before = resident()?;
-    gathered.add(Quantity::HollowPacket, size, packets(hollow, size as u64, sizes));
-    let grown = (resident()? - before).max(0.0);
-    let listed = gathered.last(Quantity::HollowMemory).unwrap_or_default();
-    gathered.add(Quantity::HollowMemoryAfterPackets, size, listed + grown);
-    Ok(all)
+    measurements.record(Quantity::ModuleEmptyRound, size, seconds);
+    let bytes_before = resident_bytes()?;
+    measurements.record(Quantity::ModulePacket, size, mean_packet_seconds(module, size as u64, sizes));
+    let added_bytes = (resident_bytes()? - bytes_before).max(0.0);
+    let list_bytes = measurements.last_value(Quantity::ModuleMemory).unwrap_or_default();
+    measurements.record(Quantity::ModuleMemoryAfterPackets, size, list_bytes + added_bytes);
+    Ok(modules)
 }
 
-fn mean_time(mut act: impl FnMut(usize)) -> f64 {
-    let (began, mut done) = (Instant::now(), 0);
-    while done < REPEATS && began.elapsed() < MOST_REPEATING {
-        act(done);
-        done += 1;
+fn mean_seconds(mut operation: impl FnMut(usize)) -> f64 {
+    let (start, mut completed) = (Instant::now(), 0);
+    while completed < MAX_REPETITIONS && start.elapsed() < MAX_REPETITION_TIME {
+        operation(completed);
+        completed += 1;
     }
-    began.elapsed().as_secs_f64() / done.max(1) as f64
+    start.elapsed().as_secs_f64() / completed.max(1) as f64
 }
 
-/// Packets over all destinations in turn, one step of the clock each; the mean real time of one.
-fn packets(hollow: &mut Hollow, size: u64, sizes: &Sizes) -> f64 {
-    let all = PACKETS_PER_SECOND * sizes.hollow_span.as_secs();
-    let (began, mut done) = (Instant::now(), 0);
-    while done < all && began.elapsed() < sizes.hollow_limit {
-        hollow.step(Duration::from_secs(1) / PACKETS_PER_SECOND as u32);
-        hollow.answer();
-        hollow.take(Listed(done * STRIDE % size));
-        hollow.decide();
-        done += 1;
-    }
-    began.elapsed().as_secs_f64() / done.max(1) as f64
+/// Sends packets to all destinations in turn, with one clock step for each packet. Returns the mean real time
+/// of a packet in seconds.
+fn mean_packet_seconds(module: &mut DecisionModule, size: u64, sizes: &Sizes) -> f64 {
+    let packets = PACKETS_PER_SECOND * sizes.module_span.as_secs();
+    let (start, mut completed) = (Instant::now(), 0);
+    while completed < packets && start.elapsed() < sizes.max_module_time {
+        module.advance(Duration::from_secs(1) / PACKETS_PER_SECOND as u32);
+        module.complete_calls();
+        module.accept_packet(DestinationIndex(completed * DESTINATION_STRIDE % size));
+        module.decide();
+        completed += 1;
+    }
+    start.elapsed().as_secs_f64() / completed.max(1) as f64
 }
--- a/crates/sailcart-lab/src/capacity/mod.rs
+++ b/crates/sailcart-lab/src/capacity/mod.rs
@@ -1,7 +1,9 @@
-//! Capacity: what senders cost as the directory, the backlog and the fleet grow, measured and carried on by a model
-//! to the size that is planned for. [`processes`] measures sender processes, [`decision_module`] the decision module alone, [`fit`]
-//! turns points into slopes, [`model`] multiplies them with the named inputs, and [`page`] writes
-//! `docs/CAPACITY.md`. [`scaling`] is the check of shape that runs with the tests.
+//! Capacity measurements: what a sender costs as the directory, the backlog and the fleet grow, extrapolated
+//! by a model to the planned size.
+//!
+//! [`processes`] measures sender processes and [`decision_module`] the decision module alone. [`fit`] turns
+//! the points into slopes, [`model`] multiplies the slopes by the named inputs, and [`page`] writes
+//! `docs/CAPACITY.md`. [`scaling`] is the check of how work grows with the list; it runs with the tests.
 
 pub mod decision_module;
 pub mod fit;
--- a/crates/sailcart-lab/src/capacity/model/backlog.rs
+++ b/crates/sailcart-lab/src/capacity/model/backlog.rs
@@ -1,36 +1,38 @@
-//! Held packets, and ids of those that are over.
+//! Rows for held packets and for the remembered ids of completed packets.
 
-use super::row::{Area, Mechanism, Resource, Role, Row, Subject};
+use super::row::{Area, Mechanism, Resource, Role, Row, RowLabel};
 use super::{Model, assumed, computed, sum};
 use crate::capacity::series::Quantity;
 use crate::capacity::unit::Unit;
 
-const LEDGER: &str = "crates/sailcart-sender/src/memory/ledger.rs";
+const LEDGER_FILE: &str = "crates/sailcart-sender/src/memory/ledger.rs";
 
 pub fn rows(model: &Model) -> Vec<Row> {
     [held(model), remembered(model)].concat()
 }
 
 fn held(model: &Model) -> Vec<Row> {
-    let (inputs, held) = (model.inputs, model.inputs.held());
-    let about = |area, role, resource, what, unit| Subject { area, role, resource, what, unit };
-    let sender = |resource, what, unit| about(Area::Backlog, Role::Sender, resource, what, unit);
-    let recovery = model.added(Quantity::HeldRecovery, held);
-    let list = model.at(Quantity::ListStartToReady, inputs.destinations);
+    let (inputs, held_packets) = (model.inputs, model.inputs.held_per_sender());
+    let label =
+        |area, role, resource, description, unit| RowLabel { area, role, resource, description, unit };
+    let sender_backlog =
+        |resource, description, unit| label(Area::Backlog, Role::Sender, resource, description, unit);
+    let recovery_seconds = model.increment(Quantity::HeldRecovery, held_packets);
+    let list_seconds = model.estimate_at(Quantity::ListStartToReady, inputs.destinations);
     vec![
-        sender(Resource::Memory, "its part of the backlog", Unit::Bytes).row(
-            model.at(Quantity::HeldMemory, held),
+        sender_backlog(Resource::Memory, "its part of the backlog", Unit::Bytes).row(
+            model.estimate_at(Quantity::HeldMemory, held_packets),
             inputs.sender_memory_bytes,
             Mechanism::missing("held packets that stand on the disk alone"),
             "held-memory at backlog_events / senders; sender_memory_bytes",
         ),
-        sender(Resource::Disk, "its part of the backlog", Unit::Bytes).row(
-            model.at(Quantity::HeldJournal, held),
+        sender_backlog(Resource::Disk, "its part of the backlog", Unit::Bytes).row(
+            model.estimate_at(Quantity::HeldJournal, held_packets),
             inputs.sender_disk_bytes,
-            Mechanism::exists(LEDGER),
+            Mechanism::exists(LEDGER_FILE),
             "held-journal at backlog_events / senders; sender_disk_bytes",
         ),
-        about(
+        label(
             Area::Start,
             Role::Sender,
             Resource::Time,
@@ -38,12 +40,12 @@
             Unit::Seconds,
         )
         .row(
-            recovery,
+            recovery_seconds,
             inputs.ready_s,
             Mechanism::missing("clients let in before all that is held is read"),
             "held-recovery's slope x backlog_events / senders; ready_s",
         ),
-        about(
+        label(
             Area::Start,
             Role::Sender,
             Resource::Time,
@@ -51,12 +53,12 @@
             Unit::Seconds,
         )
         .row(
-            sum(recovery, list),
+            sum(recovery_seconds, list_seconds),
             inputs.ready_s,
             Mechanism::missing("clients let in before all that is held is read"),
             "the same and list-start-to-ready; ready_s",
         ),
-        about(Area::Backlog, Role::Fleet, Resource::Time, "until the backlog is worked off", Unit::Seconds)
+        label(Area::Backlog, Role::Fleet, Resource::Time, "until the backlog is worked off", Unit::Seconds)
             .row(
                 assumed(inputs.backlog_events / (inputs.events_per_s * inputs.spare_share)),
                 inputs.drain_within_s,
@@ -68,38 +70,38 @@
 
 fn remembered(model: &Model) -> Vec<Row> {
     let inputs = model.inputs;
-    let ids = inputs.sender_rate() * inputs.duplicates_window_s;
-    let about = |resource, what, unit| Subject {
+    let remembered_ids = inputs.events_per_s_per_sender() * inputs.duplicates_window_s;
+    let label = |resource, description, unit| RowLabel {
         area: Area::Deduplication,
         role: Role::Sender,
         resource,
-        what,
+        description,
         unit,
     };
-    let elsewhere = Mechanism::missing("an id that comes again at another sender is not known there");
+    let not_shared = Mechanism::missing("an id that comes again at another sender is not known there");
     vec![
-        about(Resource::State, "ids remembered, by default memory", Unit::Count).row(
-            assumed(ids),
+        label(Resource::State, "ids remembered, by default memory", Unit::Count).row(
+            assumed(remembered_ids),
             inputs.sender_default_bytes / inputs.remembered_id_bytes,
-            Mechanism::exists(LEDGER),
+            Mechanism::exists(LEDGER_FILE),
             "events_per_s / senders x duplicates_window_s; sender_default_bytes / remembered_id_bytes",
         ),
-        about(Resource::Memory, "ids remembered", Unit::Bytes).row(
-            model.added(Quantity::EndedMemory, ids),
+        label(Resource::Memory, "ids remembered", Unit::Bytes).row(
+            model.increment(Quantity::CompletedMemory, remembered_ids),
             inputs.sender_control_bytes,
-            Mechanism::exists(LEDGER),
+            Mechanism::exists(LEDGER_FILE),
             "ended-memory's slope x events_per_s / senders x duplicates_window_s; sender_control_bytes",
         ),
-        about(Resource::Disk, "ids remembered", Unit::Bytes).row(
-            model.added(Quantity::EndedJournal, ids),
+        label(Resource::Disk, "ids remembered", Unit::Bytes).row(
+            model.increment(Quantity::CompletedJournal, remembered_ids),
             inputs.sender_disk_bytes,
-            Mechanism::exists(LEDGER),
+            Mechanism::exists(LEDGER_FILE),
             "ended-journal's slope x the same; sender_disk_bytes",
         ),
-        about(Resource::State, "senders that should know an id; one does", Unit::Count).row(
+        label(Resource::State, "senders that should know an id; one does", Unit::Count).row(
             computed(inputs.senders),
             1.0,
-            elsewhere,
+            not_shared,
             "senders",
         ),
     ]
--- a/crates/sailcart-lab/src/capacity/model/inputs.rs
+++ b/crates/sailcart-lab/src/capacity/model/inputs.rs
@@ -1,5 +1,5 @@
-//! The named inputs of the model. Their defaults are the size planned for two years from now; a TOML file may change
-//! any of them.
+//! The named inputs of the model. The defaults describe the size planned for two years from now; a TOML file
+//! can change any of them.
 
 use std::path::Path;
 
@@ -7,19 +7,20 @@
 
 use crate::experiment::Fault;
 
-/// Where an input's default comes from.
+/// How the default of an input was determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// The size that is planned for.
+    /// Part of the planned size.
     Planned,
     /// A default or constant of this project.
     Project,
-    /// A guess that nobody measured.
+    /// An estimate that nobody measured.
     Assumed,
 }
 
 impl Source {
-    pub fn word(self) -> &'static str {
+    /// The name on the page.
+    pub fn page_name(self) -> &'static str {
         match self {
             Source::Planned => "planned",
             Source::Project => "this project",
@@ -28,22 +29,22 @@
     }
 }
 
-/// An input as it is printed.
+/// An input as it appears on the page.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Named {
+pub struct NamedInput {
     pub name: &'static str,
     pub value: f64,
     pub source: Source,
-    pub about: &'static str,
+    pub description: &'static str,
 }
 
 macro_rules! inputs {
-    ($($name:ident: $default:expr, $source:ident, $about:literal;)*) => {
-        /// Every input; seconds, bytes, cores or plain numbers as each says.
+    ($($name:ident: $default:expr, $source:ident, $description:literal;)*) => {
+        /// All inputs, each in the unit that its description states: seconds, bytes, cores or a number.
         #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
         #[serde(default, deny_unknown_fields)]
         pub struct Inputs {
-            $(#[doc = $about] pub $name: f64,)*
+            $(#[doc = $description] pub $name: f64,)*
         }
 
         impl Default for Inputs {
@@ -53,12 +54,13 @@
         }
 
         impl Inputs {
-            pub fn named(&self) -> Vec<Named> {
-                vec![$(Named {
+            /// All inputs in the order of the page.
+            pub fn named_inputs(&self) -> Vec<NamedInput> {
+                vec![$(NamedInput {
                     name: stringify!($name),
                     value: self.$name,
                     source: Source::$source,
-                    about: $about,
+                    description: $description,
                 },)*]
             }
         }
@@ -116,35 +118,38 @@
 }
 
 impl Inputs {
+    /// Reads a TOML file of inputs; those that it does not name keep their defaults. The error names the
+    /// file, and the input if it is unknown.
     pub fn read(path: &Path) -> Result<Self, Fault> {
         let text = std::fs::read_to_string(path);
         let text = text.map_err(|error| Fault(format!("{}: {error}", path.display())))?;
         toml::from_str(&text).map_err(|error| Fault(format!("{}: {error}", path.display())))
     }
 
-    /// Events a second of one sender.
-    pub fn sender_rate(&self) -> f64 {
+    /// Events per second of one sender.
+    pub fn events_per_s_per_sender(&self) -> f64 {
         self.events_per_s / self.senders
     }
 
-    /// Changes of the list a second: as many go down as come back.
+    /// Changes of the list per second: each outage is one change at its start and one at its end.
     pub fn list_changes_per_s(&self) -> f64 {
         2.0 * self.destinations * self.down_share / self.outage_s
     }
 
-    /// Events that a sender holds.
-    pub fn held(&self) -> f64 {
+    /// Events held by one sender.
+    pub fn held_per_sender(&self) -> f64 {
         self.backlog_events / self.senders
     }
 
-    pub fn zone_senders(&self) -> f64 {
+    /// Senders in one zone, rounded down.
+    pub fn senders_per_zone(&self) -> f64 {
         (self.senders / self.zones).floor()
     }
 
-    /// Events a second of the destination of a rank, counted from 1.
-    pub fn rate_of_rank(&self, rank: f64) -> f64 {
+    /// Events per second of the destination with this rank by traffic, from 1.
+    pub fn events_per_s_of_rank(&self, rank: f64) -> f64 {
         let weight = |rank: f64| rank.powf(-self.zipf);
-        let all: f64 = (1..=self.destinations as u64).map(|rank| weight(rank as f64)).sum();
-        self.events_per_s * weight(rank) / all
+        let total_weight: f64 = (1..=self.destinations as u64).map(|rank| weight(rank as f64)).sum();
+        self.events_per_s * weight(rank) / total_weight
     }
 }
--- a/crates/sailcart-lab/src/capacity/model/row.rs
+++ b/crates/sailcart-lab/src/capacity/model/row.rs
@@ -1,11 +1,12 @@
-//! One line of the table: what is needed, what there is, and what carries it.
+//! One row of the model: the need, the budget, and the mechanism that meets the need.
 
 use serde::{Deserialize, Serialize};
 
-use crate::capacity::fit::rounded;
+use crate::capacity::fit::round_to_six_digits;
 use crate::capacity::series::{Basis, Estimate};
 use crate::capacity::unit::Unit;
 
+/// The part of the system that a row is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Area {
@@ -24,7 +25,8 @@
 }
 
 impl Area {
-    pub fn word(self) -> &'static str {
+    /// The name on the page.
+    pub fn page_name(self) -> &'static str {
         match self {
             Area::Directory => "directory",
             Area::Learning => "health and limits",
@@ -42,19 +44,22 @@
     }
 }
 
+/// Who has to meet the need.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
     Sender,
-    /// One of the machines set aside for control.
+    /// One of the machines reserved for control.
     Control,
     /// A receiver of packets.
     Endpoint,
+    /// All senders together.
     Fleet,
 }
 
 impl Role {
-    pub fn word(self) -> &'static str {
+    /// The name on the page.
+    pub fn page_name(self) -> &'static str {
         match self {
             Role::Sender => "sender",
             Role::Control => "control machine",
@@ -64,6 +69,7 @@
     }
 }
 
+/// The resource that is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Resource {
@@ -77,7 +83,8 @@
 }
 
 impl Resource {
-    pub fn word(self) -> &'static str {
+    /// The name on the page.
+    pub fn page_name(self) -> &'static str {
         match self {
             Resource::Memory => "memory",
             Resource::Processor => "processor",
@@ -90,74 +97,84 @@
     }
 }
 
-/// What carries the need today.
+/// The mechanism that meets the need in the current version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Mechanism {
-    /// The file that has it.
+    /// Implemented in this file.
     Exists(String),
-    /// What would have to be built.
+    /// Not implemented; describes what would be required.
     Missing(String),
 }
 
 impl Mechanism {
+    /// A mechanism that is implemented in a file.
     pub fn exists(file: &str) -> Self {
         Mechanism::Exists(file.to_owned())
     }
 
-    pub fn missing(what: &str) -> Self {
-        Mechanism::Missing(what.to_owned())
+    /// A mechanism that is not implemented.
+    pub fn missing(description: &str) -> Self {
+        Mechanism::Missing(description.to_owned())
     }
 }
 
+/// A need at the planned size, compared with its budget.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
     pub area: Area,
     pub role: Role,
     pub resource: Resource,
-    pub what: String,
+    /// What the resource is needed for.
+    #[serde(rename = "what")]
+    pub description: String,
+    /// Unit of need and budget.
     pub unit: Unit,
+    /// `None` if a quantity it depends on was not measured.
     pub need: Option<f64>,
     pub budget: f64,
-    /// Need over budget: kept up to 1.
+    /// Need divided by budget; the budget is met up to 1.
     pub factor: Option<f64>,
     pub basis: Basis,
     pub mechanism: Mechanism,
-    /// Which slopes and inputs it comes from.
-    pub from: String,
+    /// The quantities and inputs that need and budget are computed from.
+    #[serde(rename = "from")]
+    pub derivation: String,
 }
 
-/// What a row says before its figures.
-pub struct Subject {
+/// The part of a row that identifies it, without its figures.
+pub struct RowLabel {
     pub area: Area,
     pub role: Role,
     pub resource: Resource,
-    pub what: &'static str,
+    pub description: &'static str,
     pub unit: Unit,
 }
 
-impl Subject {
-    pub fn row(self, need: Option<Estimate>, budget: f64, mechanism: Mechanism, from: &str) -> Row {
-        let Subject { area, role, resource, what, unit } = self;
-        let value = need.map(|need| rounded(need.value));
+impl RowLabel {
+    /// Completes the row with its figures.
+    pub fn row(self, need: Option<Estimate>, budget: f64, mechanism: Mechanism, derivation: &str) -> Row {
+        let RowLabel { area, role, resource, description, unit } = self;
+        let value = need.map(|need| round_to_six_digits(need.value));
         Row {
             area,
             role,
             resource,
-            what: what.to_owned(),
+            description: description.to_owned(),
             unit,
             need: value,
-            budget: rounded(budget),
-            factor: value.map(|value| rounded(value / budget)),
+            budget: round_to_six_digits(budget),
+            factor: value.map(|value| round_to_six_digits(value / budget)),
             basis: need.map_or(Basis::NotMeasured, |need| need.basis),
             mechanism,
-            from: from.to_owned(),
+            derivation: derivation.to_owned(),
         }
     }
 }
 
 impl Row {
-    pub fn kept(&self) -> Option<bool> {
+    /// Whether the need is within the budget; `None` without a need.
+    pub fn within_budget(&self) -> Option<bool> {
         self.factor.map(|factor| factor <= 1.0)
     }
 }
--- a/crates/sailcart-lab/src/capacity/processes/connections.rs
+++ b/crates/sailcart-lab/src/capacity/processes/connections.rs
@@ -1,49 +1,59 @@
-//! What connections cost one sender, from clients and to endpoints.
+//! Measures what connections cost a sender, from clients and to endpoints.
 
 use std::path::Path;
 
-use super::client::{Client, Put};
-use super::discovery::{Directory, Listed, Places};
-use super::endpoint::Endpoint;
-use super::packets::{fault, wait_answered};
+use super::client::{Client, PutCommand};
+use super::discovery::{DestinationIndex, DiscoveryStub, EndpointAddresses};
+use super::endpoint::EndpointStub;
+use super::packets::{io_fault, wait_for_calls};
 use super::sender_process::SenderProcess;
-use crate::capacity::series::{Gathered, Quantity};
+use crate::capacity::series::{Measurements, Quantity};
 use crate::capacity::sizes::Sizes;
 use crate::experiment::Fault;
 
 const DESTINATIONS: usize = 20;
 
-/// Idle connections from clients, each after one `PING`.
-pub fn clients(program: &Path, sizes: &Sizes, gathered: &mut Gathered) -> Result<(), Fault> {
-    let directory = Directory::open(DESTINATIONS, Places::Nowhere).map_err(fault("discovery"))?;
-    let sender = SenderProcess::start(program, directory.address)?;
-    let mut open = Vec::new();
-    for size in sizes.clients.iter().copied() {
-        while open.len() < size {
-            let mut client = Client::connect(sender.listen).map_err(fault("client"))?;
-            client.ping().map_err(fault("client"))?;
-            open.push(client);
+/// Measures memory with idle connections from clients, each after one `PING`.
+pub fn measure_clients(program: &Path, sizes: &Sizes, measurements: &mut Measurements) -> Result<(), Fault> {
+    let discovery =
+        DiscoveryStub::open(DESTINATIONS, EndpointAddresses::Unreachable).map_err(io_fault("discovery"))?;
+    let sender = SenderProcess::start(program, discovery.address)?;
+    let mut open_clients = Vec::new();
+    for size in sizes.client_connections.iter().copied() {
+        while open_clients.len() < size {
+            let mut client = Client::connect(sender.listen_address).map_err(io_fault("client"))?;
+            client.ping().map_err(io_fault("client"))?;
+            open_clients.push(client);
         }
-        gathered.add(Quantity::ClientMemory, size, sender.resident()?);
+        measurements.record(Quantity::ClientMemory, size, sender.resident_bytes()?);
     }
     Ok(())
 }
 
-/// Idle connections to endpoints, each after one packet.
-pub fn endpoints(program: &Path, sizes: &Sizes, gathered: &mut Gathered) -> Result<(), Fault> {
-    let endpoint = Endpoint::open().map_err(fault("endpoint"))?;
-    let most = sizes.endpoints.iter().copied().max().unwrap_or(1);
-    let directory = Directory::open(most, Places::At(endpoint.address)).map_err(fault("discovery"))?;
-    let sender = SenderProcess::start(program, directory.address)?;
-    let mut client = Client::connect(sender.listen).map_err(fault("client"))?;
-    let mut taken = 0;
-    for size in sizes.endpoints.iter().copied() {
-        let put = |number: usize| Put { id: number as u64 + 1, destination: Listed(number), body: 16 };
-        let packets: Vec<Put> = (taken..size).map(put).collect();
-        client.put_all(&packets).map_err(fault("packets"))?;
-        taken = size;
-        wait_answered(&endpoint, taken)?;
-        gathered.add(Quantity::EndpointMemory, endpoint.connections(), sender.resident()?);
+/// Measures memory with idle connections to endpoints, each after one packet.
+pub fn measure_endpoints(
+    program: &Path,
+    sizes: &Sizes,
+    measurements: &mut Measurements,
+) -> Result<(), Fault> {
+    let endpoint = EndpointStub::open().map_err(io_fault("endpoint"))?;
+    let max_size = sizes.endpoint_connections.iter().copied().max().unwrap_or(1);
+    let discovery = DiscoveryStub::open(max_size, EndpointAddresses::Shared(endpoint.address))
+        .map_err(io_fault("discovery"))?;
+    let sender = SenderProcess::start(program, discovery.address)?;
+    let mut client = Client::connect(sender.listen_address).map_err(io_fault("client"))?;
+    let mut submitted = 0;
+    for size in sizes.endpoint_connections.iter().copied() {
+        let command = |index: usize| PutCommand {
+            id: index as u64 + 1,
+            destination: DestinationIndex(index),
+            body_bytes: 16,
+        };
+        let packets: Vec<PutCommand> = (submitted..size).map(command).collect();
+        client.submit_all(&packets).map_err(io_fault("packets"))?;
+        submitted = size;
+        wait_for_calls(&endpoint, submitted)?;
+        measurements.record(Quantity::EndpointMemory, endpoint.open_connections(), sender.resident_bytes()?);
     }
     Ok(())
 }
--- a/crates/sailcart-lab/src/capacity/processes/discovery.rs
+++ b/crates/sailcart-lab/src/capacity/processes/discovery.rs
@@ -1,5 +1,6 @@
-//! A stand-in for discovery: one large list, told whole or by changes, on threads of its own so that building and
-//! sending it takes nothing from the clients that measure pauses. The protocol is that of `docs/protocol.md`.
+//! A stub of discovery that serves one large list, in full or as changes. It has its own threads, so that
+//! building and sending the list does not delay the clients that measure pauses. The protocol is described in
+//! `docs/protocol.md`.
 
 use std::fmt::Write as _;
 use std::io::{self, BufReader, Write};
@@ -9,185 +10,208 @@
 
 use super::http;
 
-/// A number of a destination in the stand-in's list, from 0.
+/// Index of a destination in the stub's list, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Listed(pub usize);
+pub struct DestinationIndex(pub usize);
 
-/// Where the endpoints of a list are.
+/// The addresses and lifecycle of a list's endpoints.
 #[derive(Clone, Copy, Debug)]
-pub enum Places {
-    /// Each at an address of its own, where nobody listens: nothing is delivered.
-    Nowhere,
-    /// All at one address.
-    At(SocketAddr),
-    /// All draining: packets for them are held.
+pub enum EndpointAddresses {
+    /// Each endpoint has its own address, at which nothing listens: nothing is delivered.
+    Unreachable,
+    /// All endpoints have the same address.
+    Shared(SocketAddr),
+    /// All endpoints are draining: packets for them are held.
     Draining,
 }
 
-/// The port of endpoints that nobody listens at.
-const NO_PORT: u16 = 9;
+/// The port of endpoints at which nothing listens (discard).
+const CLOSED_PORT: u16 = 9;
 
-/// One answer as it was told.
+/// A response that contains a list.
 #[derive(Clone, Copy, Debug)]
-pub struct Told {
+pub struct ListResponse {
     pub version: u64,
-    pub whole: bool,
-    /// Bytes of request and answer.
+    /// Whether it contains the full list, not only changes.
+    pub full: bool,
+    /// Bytes of request and response.
     pub bytes: usize,
-    /// Before its first byte was written.
-    pub began: Instant,
+    /// When writing of the response started.
+    pub started_at: Instant,
 }
 
-/// Answers that told changes, all together.
+/// Totals of the responses that contained changes.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ToldChanges {
-    pub answers: usize,
-    /// Bytes of requests and answers.
+pub struct ChangeTotals {
+    pub responses: usize,
+    /// Bytes of requests and responses.
     pub bytes: usize,
 }
 
-/// A call for the list as it came.
+/// A request for the list.
 #[derive(Clone, Copy, Debug)]
-struct Asked {
-    at: Instant,
-    from: Option<u64>,
+struct ListRequest {
+    received_at: Instant,
+    /// The version that the sender has, if any.
+    from_version: Option<u64>,
 }
 
-/// How a whole list fared.
+/// Whether the sender read a full list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reading {
-    /// Taken: from its first byte to the next call, which names its version.
+pub enum ListRead {
+    /// The list was read: the time from the first byte of the response to the next request, which names its
+    /// version.
     Read(Duration),
+    /// The sender did not accept the list.
     Refused,
 }
 
 #[derive(Default)]
 struct State {
     version: u64,
-    /// The version of the last whole list; changes since then follow it.
-    base: u64,
-    /// Lines of changes after `base`, one version each.
+    /// The version of the last full list, which `changes` are based on.
+    full_version: u64,
+    /// Entries of the changes after `full_version`, one for each version.
     changes: Vec<String>,
-    told: Vec<Told>,
-    asked: Vec<Asked>,
+    responses: Vec<ListResponse>,
+    requests: Vec<ListRequest>,
 }
 
 struct Shared {
-    places: Places,
-    /// The lines of the whole list, joined.
-    lines: String,
+    addresses: EndpointAddresses,
+    /// The entries of the full list, joined with commas.
+    entries: String,
     state: Mutex<State>,
-    turned: Condvar,
+    state_changed: Condvar,
 }
 
-pub struct Directory {
+/// The stub; its threads run until the process exits.
+pub struct DiscoveryStub {
     shared: Arc<Shared>,
     pub address: SocketAddr,
 }
 
-fn line(places: Places, listed: Listed, ready: bool) -> String {
-    let number = listed.0;
-    let address = match places {
-        Places::At(address) => address,
-        Places::Nowhere | Places::Draining => {
-            let [_, a, b, c] = (number as u32 + 1).to_be_bytes();
-            SocketAddr::from((Ipv4Addr::new(127, a, b, c), NO_PORT))
+fn entry(addresses: EndpointAddresses, destination: DestinationIndex, ready: bool) -> String {
+    let index = destination.0;
+    let address = match addresses {
+        EndpointAddresses::Shared(address) => address,
+        EndpointAddresses::Unreachable | EndpointAddresses::Draining => {
+            let [_, a, b, c] = (index as u32 + 1).to_be_bytes();
+            SocketAddr::from((Ipv4Addr::new(127, a, b, c), CLOSED_PORT))
         }
     };
-    let lifecycle = match places {
-        Places::Draining => "Terminating",
+    let lifecycle = match addresses {
+        EndpointAddresses::Draining => "Terminating",
         _ if ready => "Ready",
         _ => "Gone",
     };
     format!(
-        "{{\"cell\":{number},\"hostPort\":\"{address}\",\"instanceId\":\"e-{number}\",\
+        "{{\"cell\":{index},\"hostPort\":\"{address}\",\"instanceId\":\"e-{index}\",\
          \"lifecycle\":\"{lifecycle}\",\"machineType\":\"k0\",\"startedAtMs\":0,\"weight\":1.0,\"zone\":\"z\"}}"
     )
 }
 
-impl Directory {
-    /// Opens one for so many destinations, with version 1.
-    pub fn open(destinations: usize, places: Places) -> io::Result<Self> {
-        let mut lines = String::new();
-        for number in 0..destinations {
-            let comma = if number == 0 { "" } else { "," };
-            let _ = write!(lines, "{comma}{}", line(places, Listed(number), true));
+impl DiscoveryStub {
+    /// Opens a stub with version 1 of a list of this many destinations.
+    pub fn open(destinations: usize, addresses: EndpointAddresses) -> io::Result<Self> {
+        let mut entries = String::new();
+        for index in 0..destinations {
+            let comma = if index == 0 { "" } else { "," };
+            let _ = write!(entries, "{comma}{}", entry(addresses, DestinationIndex(index), true));
         }
-        let state = State { version: 1, base: 1, ..State::default() };
-        let shared = Arc::new(Shared { places, lines, state: Mutex::new(state), turned: Condvar::new() });
+        let state = State { version: 1, full_version: 1, ..State::default() };
+        let shared =
+            Arc::new(Shared { addresses, entries, state: Mutex::new(state), state_changed: Condvar::new() });
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let address = listener.local_addr()?;
-        let accepting = shared.clone();
+        let listener_shared = shared.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let shared = accepting.clone();
-                std::thread::spawn(move || shared.converse(stream));
+                let shared = listener_shared.clone();
+                std::thread::spawn(move || shared.serve_connection(stream));
             }
         });
-        Ok(Directory { shared, address })
+        Ok(DiscoveryStub { shared, address })
     }
 
-    /// One destination goes, or comes back.
-    pub fn change(&self, listed: Listed, ready: bool) {
+    /// Publishes a change: one destination becomes ready, or is removed.
+    pub fn publish_change(&self, destination: DestinationIndex, ready: bool) {
         let mut state = self.shared.state();
         state.version += 1;
-        state.changes.push(line(self.shared.places, listed, ready));
-        self.shared.turned.notify_all();
+        state.changes.push(entry(self.shared.addresses, destination, ready));
+        self.shared.state_changed.notify_all();
     }
 
-    /// Tells the whole list anew.
-    pub fn whole(&self) {
+    /// Publishes the full list as a new version.
+    pub fn publish_full_list(&self) {
         let mut state = self.shared.state();
         state.version += 1;
-        state.base = state.version;
+        state.full_version = state.version;
         state.changes.clear();
-        self.shared.turned.notify_all();
+        self.shared.state_changed.notify_all();
     }
 
+    /// The current version of the list.
     pub fn version(&self) -> u64 {
         self.shared.state().version
     }
 
-    /// Bytes of the last whole list.
-    pub fn whole_bytes(&self) -> Option<usize> {
-        self.shared.state().told.iter().rev().find(|told| told.whole).map(|told| told.bytes)
+    /// Bytes of the last full list that was sent, with its request.
+    pub fn full_list_bytes(&self) -> Option<usize> {
+        self.shared
+            .state()
+            .responses
+            .iter()
+            .rev()
+            .find(|response| response.full)
+            .map(|response| response.bytes)
     }
 
-    /// What was told after a version by changes.
-    pub fn told_since(&self, version: u64) -> ToldChanges {
+    /// Totals of the responses that contained changes after a version.
+    pub fn changes_after(&self, version: u64) -> ChangeTotals {
         let state = self.shared.state();
-        let since = state.told.iter().filter(|told| !told.whole && told.version > version);
-        let mut changes = ToldChanges::default();
-        for told in since {
-            changes.answers += 1;
-            changes.bytes += told.bytes;
+        let responses =
+            state.responses.iter().filter(|response| !response.full && response.version > version);
+        let mut totals = ChangeTotals::default();
+        for response in responses {
+            totals.responses += 1;
+            totals.bytes += response.bytes;
         }
-        changes
+        totals
     }
 
-    /// Waits until the sender asks for what is newer than the present version.
-    pub fn wait_known(&self, within: Duration) -> bool {
+    /// Waits until the sender has the current version, that is, requests the versions after it.
+    pub fn wait_current(&self, timeout: Duration) -> bool {
         let version = self.version();
-        let known = |state: &State| state.asked.iter().any(|asked| asked.from == Some(version));
-        self.shared.wait(within, known)
+        let is_current =
+            |state: &State| state.requests.iter().any(|request| request.from_version == Some(version));
+        self.shared.wait(timeout, is_current)
     }
 
-    /// Waits until the present version, told as a whole list, was read or refused. A list that is told several times
-    /// without being taken is refused.
-    pub fn wait_read(&self, within: Duration) -> Reading {
-        const TRIES: usize = 3;
+    /// Waits until the current version, sent as a full list, was read or refused. A list that was sent
+    /// several times without being accepted counts as refused.
+    pub fn wait_full_list_read(&self, timeout: Duration) -> ListRead {
+        const MAX_ATTEMPTS: usize = 3;
         let version = self.version();
-        let of_it = |told: &&Told| told.whole && told.version == version;
-        let known = |state: &State| state.asked.iter().any(|asked| asked.from == Some(version));
-        let done = |state: &State| known(state) || state.told.iter().filter(of_it).count() >= TRIES;
-        self.shared.wait(within, done);
+        let of_version = |response: &&ListResponse| response.full && response.version == version;
+        let is_current =
+            |state: &State| state.requests.iter().any(|request| request.from_version == Some(version));
+        let finished = |state: &State| {
+            is_current(state) || state.responses.iter().filter(of_version).count() >= MAX_ATTEMPTS
+        };
+        self.shared.wait(timeout, finished);
         let state = self.shared.state();
-        let next = state.asked.iter().find(|asked| asked.from == Some(version));
-        let read = next.and_then(|next| {
-            let told = state.told.iter().rev().filter(of_it).find(|told| told.began < next.at)?;
-            Some(next.at - told.began)
+        let next_request = state.requests.iter().find(|request| request.from_version == Some(version));
+        let read_time = next_request.and_then(|next| {
+            let response = state
+                .responses
+                .iter()
+                .rev()
+                .filter(of_version)
+                .find(|response| response.started_at < next.received_at)?;
+            Some(next.received_at - response.started_at)
         });
-        read.map_or(Reading::Refused, Reading::Read)
+        read_time.map_or(ListRead::Refused, ListRead::Read)
     }
 }
 
@@ -196,59 +220,59 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn wait(&self, within: Duration, met: impl Fn(&State) -> bool) -> bool {
-        let waited = self.turned.wait_timeout_while(self.state(), within, |state| !met(state));
+    fn wait(&self, timeout: Duration, condition: impl Fn(&State) -> bool) -> bool {
+        let waited = self.state_changed.wait_timeout_while(self.state(), timeout, |state| !condition(state));
         let (state, _) = waited.unwrap_or_else(PoisonError::into_inner);
-        met(&state)
+        condition(&state)
     }
 
-    /// Answers one connection until either side ends it.
-    fn converse(&self, stream: TcpStream) {
-        let _ = self.answer_all(stream);
+    /// Serves one connection until either side closes it.
+    fn serve_connection(&self, stream: TcpStream) {
+        let _ = self.serve_requests(stream);
     }
 
-    fn answer_all(&self, stream: TcpStream) -> io::Result<()> {
+    fn serve_requests(&self, stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
         let mut writer = stream.try_clone()?;
         let mut reader = BufReader::new(stream);
-        while let Some(request) = http::read(&mut reader)? {
+        while let Some(request) = http::read_request(&mut reader)? {
             if request.method == "POST" {
                 writer.write_all(http::NO_CONTENT)?;
             } else {
-                self.tell(&request, &mut writer)?;
+                self.send_list(&request, &mut writer)?;
             }
         }
         Ok(())
     }
 
-    fn tell(&self, request: &http::Request, writer: &mut TcpStream) -> io::Result<()> {
-        let (at, from) = (Instant::now(), request.number("from"));
-        self.state().asked.push(Asked { at, from });
-        self.turned.notify_all();
-        let hold = Duration::from_millis(request.number("hold_ms").unwrap_or(0));
-        if let Some(from) = from {
-            self.wait(hold, |state| state.version != from);
+    fn send_list(&self, request: &http::Request, writer: &mut TcpStream) -> io::Result<()> {
+        let (received_at, from_version) = (Instant::now(), request.query_number("from"));
+        self.state().requests.push(ListRequest { received_at, from_version });
+        self.state_changed.notify_all();
+        let hold = Duration::from_millis(request.query_number("hold_ms").unwrap_or(0));
+        if let Some(from_version) = from_version {
+            self.wait(hold, |state| state.version != from_version);
         }
         let (version, changes) = {
             let state = self.state();
-            let known = from.filter(|from| (state.base..=state.version).contains(from));
-            let changes = known.map(|known| state.changes[(known - state.base) as usize..].join(","));
+            let base = from_version.filter(|from| (state.full_version..=state.version).contains(from));
+            let changes = base.map(|base| state.changes[(base - state.full_version) as usize..].join(","));
             (state.version, changes)
         };
-        let whole = changes.is_none();
-        let lines = changes.as_deref().unwrap_or(&self.lines);
-        let open = format!("{{\"generation\":{version},\"reset\":{whole},\"instances\":[");
+        let full = changes.is_none();
+        let entries = changes.as_deref().unwrap_or(&self.entries);
+        let open = format!("{{\"generation\":{version},\"reset\":{full},\"instances\":[");
         let close = "]}";
-        let head = http::head(open.len() + lines.len() + close.len());
-        let bytes = request.bytes + head.len() + open.len() + lines.len() + close.len();
-        self.state().told.push(Told { version, whole, bytes, began: Instant::now() });
-        self.turned.notify_all();
-        if whole {
-            for part in [&*head, &*open, lines, close] {
+        let head = http::response_head(open.len() + entries.len() + close.len());
+        let bytes = request.bytes + head.len() + open.len() + entries.len() + close.len();
+        self.state().responses.push(ListResponse { version, full, bytes, started_at: Instant::now() });
+        self.state_changed.notify_all();
+        if full {
+            for part in [&*head, &*open, entries, close] {
                 writer.write_all(part.as_bytes())?;
             }
             return Ok(());
         }
-        writer.write_all([&*head, &*open, lines, close].concat().as_bytes())
+        writer.write_all([&*head, &*open, entries, close].concat().as_bytes())
     }
 }
--- a/crates/sailcart-lab/src/capacity/processes/endpoint.rs
+++ b/crates/sailcart-lab/src/capacity/processes/endpoint.rs
@@ -1,4 +1,4 @@
-//! A stand-in for all endpoints: one address that answers every call with success at once.
+//! A stub of all endpoints: one address that answers every call with success at once.
 
 use std::io::{self, BufReader, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -7,56 +7,59 @@
 
 use super::http;
 
+/// Counters shared with the threads of the connections.
 #[derive(Clone, Default)]
 pub struct Counts {
-    answered: Arc<AtomicUsize>,
-    open: Arc<AtomicUsize>,
+    answered_calls: Arc<AtomicUsize>,
+    open_connections: Arc<AtomicUsize>,
 }
 
-pub struct Endpoint {
+/// The stub; its threads run until the process exits.
+pub struct EndpointStub {
     pub address: SocketAddr,
     counts: Counts,
 }
 
-/// Threads that wait for the next call need little.
-const STACK: usize = 64 * 1024;
+/// Stack of a connection's thread, which needs little because it only waits for the next call.
+const THREAD_STACK_BYTES: usize = 64 * 1024;
 
-impl Endpoint {
+impl EndpointStub {
+    /// Listens at a free port of the loopback address.
     pub fn open() -> io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let (address, counts) = (listener.local_addr()?, Counts::default());
-        let accepting = counts.clone();
+        let listener_counts = counts.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let counts = accepting.clone();
-                let _ = std::thread::Builder::new().stack_size(STACK).spawn(move || {
-                    counts.open.fetch_add(1, Ordering::Relaxed);
-                    let _ = answer_all(stream, &counts);
-                    counts.open.fetch_sub(1, Ordering::Relaxed);
+                let counts = listener_counts.clone();
+                let _ = std::thread::Builder::new().stack_size(THREAD_STACK_BYTES).spawn(move || {
+                    counts.open_connections.fetch_add(1, Ordering::Relaxed);
+                    let _ = serve_calls(stream, &counts);
+                    counts.open_connections.fetch_sub(1, Ordering::Relaxed);
                 });
             }
         });
-        Ok(Endpoint { address, counts })
+        Ok(EndpointStub { address, counts })
     }
 
     /// Calls answered so far.
-    pub fn answered(&self) -> usize {
-        self.counts.answered.load(Ordering::Relaxed)
+    pub fn answered_calls(&self) -> usize {
+        self.counts.answered_calls.load(Ordering::Relaxed)
     }
 
-    /// Connections that stand.
-    pub fn connections(&self) -> usize {
-        self.counts.open.load(Ordering::Relaxed)
+    /// Connections that are open now.
+    pub fn open_connections(&self) -> usize {
+        self.counts.open_connections.load(Ordering::Relaxed)
     }
 }
 
-fn answer_all(stream: TcpStream, counts: &Counts) -> io::Result<()> {
+fn serve_calls(stream: TcpStream, counts: &Counts) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut writer = stream.try_clone()?;
     let mut reader = BufReader::with_capacity(2048, stream);
-    while http::read(&mut reader)?.is_some() {
+    while http::read_request(&mut reader)?.is_some() {
         writer.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")?;
-        counts.answered.fetch_add(1, Ordering::Relaxed);
+        counts.answered_calls.fetch_add(1, Ordering::Relaxed);
     }
     Ok(())
 }
--- a/crates/sailcart-lab/src/capacity/processes/http.rs
+++ b/crates/sailcart-lab/src/capacity/processes/http.rs
@@ -1,11 +1,14 @@
-//! Requests of a sender as the stand-ins read them: a head within bounds, and a body by its length.
+//! Reads a sender's HTTP requests for the stubs: a head with lines of bounded length, and a body of the
+//! length that `Content-Length` states.
 
 use std::io::{self, BufRead, Read};
 
-const MOST_HEAD: u64 = 16 * 1024;
-const MOST_BODY: u64 = 4 * 1024 * 1024;
+/// Maximum length of one line of the head.
+const MAX_HEAD_LINE_BYTES: u64 = 16 * 1024;
+/// Maximum length of a body.
+const MAX_BODY_BYTES: u64 = 4 * 1024 * 1024;
 
-/// One request; its body is read and dropped.
+/// A request; its body is read and discarded.
 pub struct Request {
     pub method: String,
     pub path: String,
@@ -13,46 +16,49 @@
     pub bytes: usize,
 }
 
-/// The next request on a connection; `None` where the peer ended it between two.
-pub fn read(from: &mut impl BufRead) -> io::Result<Option<Request>> {
-    let (mut first, mut bytes, mut length) = (String::new(), 0, 0);
+/// Reads the next request of a connection. `None` if the peer closed the connection; an error of kind
+/// `InvalidData` if `Content-Length` is not a number.
+pub fn read_request(reader: &mut impl BufRead) -> io::Result<Option<Request>> {
+    let (mut request_line, mut head_bytes, mut content_length) = (String::new(), 0, 0);
     loop {
         let mut line = String::new();
-        let count = from.by_ref().take(MOST_HEAD).read_line(&mut line)?;
+        let count = reader.by_ref().take(MAX_HEAD_LINE_BYTES).read_line(&mut line)?;
         if count == 0 {
             return Ok(None);
         }
-        bytes += count;
+        head_bytes += count;
         let line = line.trim_end();
         if line.is_empty() {
             break;
         }
-        if first.is_empty() {
-            first = line.to_owned();
+        if request_line.is_empty() {
+            request_line = line.to_owned();
         } else if let Some((name, value)) = line.split_once(':')
             && name.eq_ignore_ascii_case("content-length")
         {
-            length = value.trim().parse().map_err(|_| io::Error::from(io::ErrorKind::InvalidData))?;
+            content_length = value.trim().parse().map_err(|_| io::Error::from(io::ErrorKind::InvalidData))?;
         }
     }
-    let dropped = io::copy(&mut from.by_ref().take(u64::min(length, MOST_BODY)), &mut io::sink())?;
-    let mut words = first.split(' ').map(str::to_owned);
+    let body_bytes =
+        io::copy(&mut reader.by_ref().take(u64::min(content_length, MAX_BODY_BYTES)), &mut io::sink())?;
+    let mut words = request_line.split(' ').map(str::to_owned);
     let (method, path) = (words.next().unwrap_or_default(), words.next().unwrap_or_default());
-    Ok(Some(Request { method, path, bytes: bytes + dropped as usize }))
+    Ok(Some(Request { method, path, bytes: head_bytes + body_bytes as usize }))
 }
 
 impl Request {
-    /// A number in the query.
-    pub fn number(&self, name: &str) -> Option<u64> {
+    /// The value of a query parameter, if it is present and a number.
+    pub fn query_number(&self, name: &str) -> Option<u64> {
         let (_, query) = self.path.split_once('?')?;
         let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
         pairs.find(|(key, _)| *key == name)?.1.parse().ok()
     }
 }
 
-/// The head of an answer with a JSON body of a length.
-pub fn head(length: usize) -> String {
-    format!("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {length}\r\n\r\n")
+/// The head of a successful response with a JSON body of this many bytes.
+pub fn response_head(body_bytes: usize) -> String {
+    format!("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {body_bytes}\r\n\r\n")
 }
 
+/// A response without a body.
 pub const NO_CONTENT: &[u8] = b"HTTP/1.1 204 No Content\r\n\r\n";
--- a/crates/sailcart-lab/src/capacity/processes/mod.rs
+++ b/crates/sailcart-lab/src/capacity/processes/mod.rs
@@ -11,18 +11,18 @@
 
 use std::path::Path;
 
-use super::series::Gathered;
+use super::series::Measurements;
 use super::sizes::Sizes;
 use crate::experiment::Fault;
 
-/// Measures everything that needs sender processes; one process at a time.
-pub fn measure(program: &Path, sizes: &Sizes, gathered: &mut Gathered) -> Result<(), Fault> {
+/// Takes all measurements that need sender processes, one process at a time.
+pub fn measure(program: &Path, sizes: &Sizes, measurements: &mut Measurements) -> Result<(), Fault> {
     for destinations in &sizes.destinations {
-        list::measure(program, *destinations, sizes, gathered)?;
+        list::measure(program, *destinations, sizes, measurements)?;
     }
-    packets::held(program, sizes, gathered)?;
-    packets::delivered(program, sizes, gathered)?;
-    packets::ended(program, sizes, gathered)?;
-    connections::clients(program, sizes, gathered)?;
-    connections::endpoints(program, sizes, gathered)
+    packets::measure_held(program, sizes, measurements)?;
+    packets::measure_delivery(program, sizes, measurements)?;
+    packets::measure_completed(program, sizes, measurements)?;
+    connections::measure_clients(program, sizes, measurements)?;
+    connections::measure_endpoints(program, sizes, measurements)
 }
--- a/crates/sailcart-lab/src/capacity/processes/packets.rs
+++ b/crates/sailcart-lab/src/capacity/processes/packets.rs
@@ -1,111 +1,129 @@
-//! What packets cost one sender: held, brought back by a new start, delivered, and remembered once they are over.
+//! Measures what packets cost a sender: held, recovered at a restart, delivered, and remembered after
+//! completion.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use super::client::{Client, Put};
-use super::discovery::{Directory, Listed, Places};
-use super::endpoint::Endpoint;
+use super::client::{Client, PutCommand};
+use super::discovery::{DestinationIndex, DiscoveryStub, EndpointAddresses};
+use super::endpoint::EndpointStub;
 use super::sender_process::SenderProcess;
-use crate::capacity::series::{Gathered, Quantity};
+use crate::capacity::series::{Measurements, Quantity};
 use crate::capacity::sizes::Sizes;
 use crate::experiment::Fault;
 
-/// Bytes of a packet's body; the model's `event_bytes` has to be near it.
-pub const BODY: usize = 1024;
+/// Bytes of a packet's body. The model's input `event_bytes` must be close to it.
+pub const BODY_BYTES: usize = 1024;
 const DESTINATIONS: usize = 20;
-const LOOK: Duration = Duration::from_millis(5);
-const DELIVERED: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Maximum time until the last submitted packet is delivered.
+const DELIVERY_TIMEOUT: Duration = Duration::from_secs(30);
 
-pub fn fault(what: &str) -> impl Fn(std::io::Error) -> Fault {
-    move |error| Fault(format!("{what}: {error}"))
+/// Converts an I/O error into a [`Fault`] that names the part that failed.
+pub fn io_fault(part: &str) -> impl Fn(std::io::Error) -> Fault {
+    move |error| Fault(format!("{part}: {error}"))
 }
 
-fn puts(ids: std::ops::Range<usize>, body: usize) -> Vec<Put> {
-    let put = |id: usize| Put { id: id as u64 + 1, destination: Listed(id % DESTINATIONS), body };
-    ids.map(put).collect()
+fn put_commands(ids: std::ops::Range<usize>, body_bytes: usize) -> Vec<PutCommand> {
+    let command = |id: usize| PutCommand {
+        id: id as u64 + 1,
+        destination: DestinationIndex(id % DESTINATIONS),
+        body_bytes,
+    };
+    ids.map(command).collect()
 }
 
-/// Waits until the endpoint has answered so many calls.
-pub fn wait_answered(endpoint: &Endpoint, count: usize) -> Result<(), Fault> {
-    let began = Instant::now();
-    while endpoint.answered() < count {
-        if began.elapsed() > DELIVERED {
-            return Err(Fault(format!("{} of {count} packets delivered", endpoint.answered())));
+/// Waits until the endpoint has answered this many calls. The error states how many it did answer in time.
+pub fn wait_for_calls(endpoint: &EndpointStub, count: usize) -> Result<(), Fault> {
+    let start = Instant::now();
+    while endpoint.answered_calls() < count {
+        if start.elapsed() > DELIVERY_TIMEOUT {
+            return Err(Fault(format!("{} of {count} packets delivered", endpoint.answered_calls())));
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
     Ok(())
 }
 
-/// A sender whose destinations share one endpoint, and a client of it.
-struct Delivering {
-    endpoint: Endpoint,
-    /// Stands as long as the sender follows it.
-    _directory: Directory,
+/// A sender whose destinations share one endpoint, with a client.
+struct DeliveryHarness {
+    endpoint: EndpointStub,
+    /// Open for as long as the sender requests lists from it.
+    _discovery: DiscoveryStub,
     sender: SenderProcess,
     client: Client,
 }
 
-impl Delivering {
+impl DeliveryHarness {
     fn start(program: &Path) -> Result<Self, Fault> {
-        let endpoint = Endpoint::open().map_err(fault("endpoint"))?;
-        let places = Places::At(endpoint.address);
-        let directory = Directory::open(DESTINATIONS, places).map_err(fault("discovery"))?;
-        let sender = SenderProcess::start(program, directory.address)?;
-        let client = Client::connect(sender.listen).map_err(fault("client"))?;
-        Ok(Delivering { endpoint, _directory: directory, sender, client })
+        let endpoint = EndpointStub::open().map_err(io_fault("endpoint"))?;
+        let addresses = EndpointAddresses::Shared(endpoint.address);
+        let discovery = DiscoveryStub::open(DESTINATIONS, addresses).map_err(io_fault("discovery"))?;
+        let sender = SenderProcess::start(program, discovery.address)?;
+        let client = Client::connect(sender.listen_address).map_err(io_fault("client"))?;
+        Ok(DeliveryHarness { endpoint, _discovery: discovery, sender, client })
     }
 }
 
-/// Packets held for destinations without a live endpoint, then a kill and a new start.
-pub fn held(program: &Path, sizes: &Sizes, gathered: &mut Gathered) -> Result<(), Fault> {
-    let directory = Directory::open(DESTINATIONS, Places::Draining).map_err(fault("discovery"))?;
-    let mut sender = SenderProcess::start(program, directory.address)?;
-    let mut taken = 0;
-    for size in sizes.held.iter().copied() {
-        let mut client = Client::connect(sender.listen).map_err(fault("client"))?;
-        client.put_all(&puts(taken..size, BODY)).map_err(fault("held packets"))?;
-        taken = size;
-        gathered.add(Quantity::HeldJournal, size, sender.journal());
-        gathered.add(Quantity::HeldMemory, size, sender.resident()?);
+/// Measures packets held for destinations without a live endpoint, then kills the sender and measures the
+/// restart.
+pub fn measure_held(program: &Path, sizes: &Sizes, measurements: &mut Measurements) -> Result<(), Fault> {
+    let discovery =
+        DiscoveryStub::open(DESTINATIONS, EndpointAddresses::Draining).map_err(io_fault("discovery"))?;
+    let mut sender = SenderProcess::start(program, discovery.address)?;
+    let mut submitted = 0;
+    for size in sizes.held_packets.iter().copied() {
+        let mut client = Client::connect(sender.listen_address).map_err(io_fault("client"))?;
+        client.submit_all(&put_commands(submitted..size, BODY_BYTES)).map_err(io_fault("held packets"))?;
+        submitted = size;
+        measurements.record(Quantity::HeldJournal, size, sender.journal_bytes());
+        measurements.record(Quantity::HeldMemory, size, sender.resident_bytes()?);
         sender.restart()?;
-        gathered.add(Quantity::HeldRecovery, size, sender.ready.as_secs_f64());
+        measurements.record(Quantity::HeldRecovery, size, sender.start_to_ready.as_secs_f64());
     }
     Ok(())
 }
 
-/// Processor at several rates of delivered packets.
-pub fn delivered(program: &Path, sizes: &Sizes, gathered: &mut Gathered) -> Result<(), Fault> {
-    let Delivering { endpoint, _directory, sender, mut client } = Delivering::start(program)?;
-    let mut taken = 0;
-    for rate in sizes.rates.iter().copied() {
-        let (before, began) = (sender.processor()?, Instant::now());
-        let first = taken;
-        while began.elapsed() < sizes.delivery {
-            let due = first + (began.elapsed().as_secs_f64() * rate as f64) as usize;
-            client.put_all(&puts(taken..due, BODY)).map_err(fault("packets"))?;
-            taken = due.max(taken);
-            std::thread::sleep(LOOK);
+/// Measures processor use while packets are delivered, at several rates.
+pub fn measure_delivery(program: &Path, sizes: &Sizes, measurements: &mut Measurements) -> Result<(), Fault> {
+    let DeliveryHarness { endpoint, _discovery, sender, mut client } = DeliveryHarness::start(program)?;
+    let mut submitted = 0;
+    for rate in sizes.packets_per_second.iter().copied() {
+        let (seconds_before, start) = (sender.processor_seconds()?, Instant::now());
+        let first = submitted;
+        while start.elapsed() < sizes.delivery_span {
+            let due = first + (start.elapsed().as_secs_f64() * rate as f64) as usize;
+            client.submit_all(&put_commands(submitted..due, BODY_BYTES)).map_err(io_fault("packets"))?;
+            submitted = due.max(submitted);
+            std::thread::sleep(POLL_INTERVAL);
         }
-        wait_answered(&endpoint, taken)?;
-        let (span, spent) = (began.elapsed().as_secs_f64(), sender.processor()? - before);
-        let done = (taken - first) as f64 / span;
-        gathered.add(Quantity::DeliveryProcessor, done.round() as usize, spent / span);
+        wait_for_calls(&endpoint, submitted)?;
+        let (span, processor_seconds) =
+            (start.elapsed().as_secs_f64(), sender.processor_seconds()? - seconds_before);
+        let measured_rate = (submitted - first) as f64 / span;
+        measurements.record(
+            Quantity::DeliveryProcessor,
+            measured_rate.round() as usize,
+            processor_seconds / span,
+        );
     }
     Ok(())
 }
 
-/// Packets that are over, and whose ids are remembered.
-pub fn ended(program: &Path, sizes: &Sizes, gathered: &mut Gathered) -> Result<(), Fault> {
-    let Delivering { endpoint, _directory, sender, mut client } = Delivering::start(program)?;
-    let mut taken = 0;
-    for size in sizes.ended.iter().copied() {
-        client.put_all(&puts(taken..size, 16)).map_err(fault("ended packets"))?;
-        taken = size;
-        wait_answered(&endpoint, taken)?;
-        gathered.add(Quantity::EndedMemory, size, sender.resident()?);
-        gathered.add(Quantity::EndedJournal, size, sender.journal());
+/// Measures completed packets, whose ids the sender remembers.
+pub fn measure_completed(
+    program: &Path,
+    sizes: &Sizes,
+    measurements: &mut Measurements,
+) -> Result<(), Fault> {
+    let DeliveryHarness { endpoint, _discovery, sender, mut client } = DeliveryHarness::start(program)?;
+    let mut submitted = 0;
+    for size in sizes.completed_packets.iter().copied() {
+        client.submit_all(&put_commands(submitted..size, 16)).map_err(io_fault("completed packets"))?;
+        submitted = size;
+        wait_for_calls(&endpoint, submitted)?;
+        measurements.record(Quantity::CompletedMemory, size, sender.resident_bytes()?);
+        measurements.record(Quantity::CompletedJournal, size, sender.journal_bytes());
     }
     Ok(())
 }
--- a/crates/sailcart-lab/src/capacity/processes/sender_process.rs
+++ b/crates/sailcart-lab/src/capacity/processes/sender_process.rs
@@ -1,4 +1,5 @@
-//! One sender process: configured, started, killed, started again, and read through procfs.
+//! A sender process: writes its configuration, starts, kills and restarts it, and reads its costs from
+//! procfs.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -14,39 +15,42 @@
 use super::client::Client;
 use crate::experiment::Fault;
 
-/// Of the configuration under which everything is measured: far above the defaults, so that no limit is met.
-pub const MEMORY_MB: u64 = 4096;
-const DISK_MB: u64 = 1024;
-const SOCKETS: u64 = 16_000;
-/// The fleet that the settings tell of.
-const SENDERS: u64 = 2600;
-/// The word on the command line by which the lab starts itself as a sender's keeper.
-const KEEP: &str = "keep";
-const READY: Duration = Duration::from_secs(60);
-const LOOK: Duration = Duration::from_millis(2);
-/// The one category of every measurement, whose packets wait for a day.
+/// `limits.memory_mb` of every measurement. This limit and the next two are far above the defaults, so that
+/// the sender meets none of them.
+pub const MEMORY_LIMIT_MB: u64 = 4096;
+const DISK_LIMIT_MB: u64 = 1024;
+const SOCKET_LIMIT: u64 = 16_000;
+/// Number of senders that the settings state.
+const FLEET_SENDERS: u64 = 2600;
+/// Subcommand with which the lab starts itself as the supervisor of a sender.
+const KEEP_COMMAND: &str = "keep";
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// The only category of every measurement; its packets wait for a day.
 pub const CATEGORY: &str = "c0";
 const DAY_MS: u64 = 24 * 3600 * 1000;
 
+/// A sender process with a temporary folder for its configuration, log and state. It is killed on drop.
 pub struct SenderProcess {
     program: PathBuf,
     config: PathBuf,
     child: Child,
-    pub listen: SocketAddr,
-    /// From the last start to the first `PONG`.
-    pub ready: Duration,
+    /// The address at which it listens for clients.
+    pub listen_address: SocketAddr,
+    /// Time from the last start to the first `PONG`.
+    pub start_to_ready: Duration,
     folder: TempDir,
-    /// Seconds of processor time of each thread of this life, as last seen.
-    spent: RefCell<BTreeMap<i32, f64>>,
+    /// Processor seconds of each thread of the current process, as last read.
+    thread_seconds: RefCell<BTreeMap<i32, f64>>,
 }
 
-fn fault(what: &str) -> impl Fn(std::io::Error) -> Fault {
-    move |error| Fault(format!("{what}: {error}"))
+fn io_fault(part: &str) -> impl Fn(std::io::Error) -> Fault {
+    move |error| Fault(format!("{part}: {error}"))
 }
 
 fn settings() -> Value {
     json!({
-        "balancers": SENDERS, "period_ms": 5.0, "weights": "none", "over_share_worth": 1.0,
+        "balancers": FLEET_SENDERS, "period_ms": 5.0, "weights": "none", "over_share_worth": 1.0,
         "kinds": ["k0"], "customers": [],
         "lanes": [{
             "name": CATEGORY, "repeat": "retryable", "group": "all", "dedup_window_ms": 0.0,
@@ -63,54 +67,64 @@
 }
 
 impl SenderProcess {
-    /// Starts one with a folder of its own and waits until it answers `PING`.
+    /// Starts a sender in a new temporary folder and waits until it answers `PING`. The error contains the
+    /// end of the sender's log if it exits or is not ready in time.
     pub fn start(program: &Path, discovery: SocketAddr) -> Result<Self, Fault> {
         let folder = tempfile::Builder::new().prefix("sailcart-capacity").tempdir();
-        let folder = folder.map_err(fault("folder"))?;
-        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).map_err(fault("listen"))?;
-        let listen = listener.local_addr().map_err(fault("listen"))?;
+        let folder = folder.map_err(io_fault("folder"))?;
+        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).map_err(io_fault("listen"))?;
+        let listen_address = listener.local_addr().map_err(io_fault("listen"))?;
         drop(listener);
         let state = folder.path().join("state");
-        std::fs::create_dir(&state).map_err(fault("folder"))?;
+        std::fs::create_dir(&state).map_err(io_fault("folder"))?;
         let config = folder.path().join("config.json");
         let text = json!({
-            "name": "measured", "listen": listen.to_string(), "discovery": discovery.to_string(),
+            "name": "measured", "listen": listen_address.to_string(), "discovery": discovery.to_string(),
             "state": state, "seed": "1", "settings": settings(),
-            "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": SOCKETS, "disk_mb": DISK_MB},
+            "limits": {
+                "cores": 1.0, "memory_mb": MEMORY_LIMIT_MB, "sockets": SOCKET_LIMIT, "disk_mb": DISK_LIMIT_MB
+            },
         });
-        std::fs::write(&config, text.to_string()).map_err(fault("folder"))?;
+        std::fs::write(&config, text.to_string()).map_err(io_fault("folder"))?;
         let child = spawn(program, &config)?;
-        let (program, ready) = (program.to_owned(), Duration::ZERO);
-        let mut sender =
-            SenderProcess { program, config, child, listen, ready, folder, spent: RefCell::default() };
+        let (program, start_to_ready) = (program.to_owned(), Duration::ZERO);
+        let mut sender = SenderProcess {
+            program,
+            config,
+            child,
+            listen_address,
+            start_to_ready,
+            folder,
+            thread_seconds: RefCell::default(),
+        };
         sender.wait_ready(Instant::now())?;
         Ok(sender)
     }
 
-    /// Kills the process without warning and starts it again on its folder.
+    /// Kills the process with SIGKILL and starts it again in the same folder.
     pub fn restart(&mut self) -> Result<(), Fault> {
-        self.end();
-        self.spent.take();
-        let began = Instant::now();
+        self.kill();
+        self.thread_seconds.take();
+        let started_at = Instant::now();
         self.child = spawn(&self.program, &self.config)?;
-        self.wait_ready(began)
+        self.wait_ready(started_at)
     }
 
-    fn wait_ready(&mut self, began: Instant) -> Result<(), Fault> {
-        while began.elapsed() < READY {
-            if Client::connect(self.listen).and_then(|mut client| client.ping()).is_ok() {
-                self.ready = began.elapsed();
+    fn wait_ready(&mut self, started_at: Instant) -> Result<(), Fault> {
+        while started_at.elapsed() < READY_TIMEOUT {
+            if Client::connect(self.listen_address).and_then(|mut client| client.ping()).is_ok() {
+                self.start_to_ready = started_at.elapsed();
                 return Ok(());
             }
             if let Ok(Some(status)) = self.child.try_wait() {
-                return Err(Fault(format!("the sender ended with {status}: {}", self.last_words())));
+                return Err(Fault(format!("the sender exited with {status}: {}", self.log_tail())));
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
-        Err(Fault(format!("the sender was not ready in {READY:?}: {}", self.last_words())))
+        Err(Fault(format!("the sender was not ready within {READY_TIMEOUT:?}: {}", self.log_tail())))
     }
 
-    fn last_words(&self) -> String {
+    fn log_tail(&self) -> String {
         let log = std::fs::read_to_string(self.config.with_extension("log")).unwrap_or_default();
         log.lines().rev().take(3).collect::<Vec<_>>().join(" / ")
     }
@@ -120,12 +134,12 @@
     }
 
     /// Resident memory in bytes.
-    pub fn resident(&self) -> Result<f64, Fault> {
+    pub fn resident_bytes(&self) -> Result<f64, Fault> {
         Ok(self.status()?.vmrss.unwrap_or(0) as f64 * 1024.0)
     }
 
-    /// The most that resident memory has been, in bytes.
-    pub fn peak(&self) -> Result<f64, Fault> {
+    /// Peak resident memory since the start, in bytes.
+    pub fn peak_resident_bytes(&self) -> Result<f64, Fault> {
         Ok(self.status()?.vmhwm.unwrap_or(0) as f64 * 1024.0)
     }
 
@@ -133,33 +147,34 @@
         self.process()?.status().map_err(|error| Fault(format!("procfs: {error}")))
     }
 
-    /// Seconds of processor time since the start, by the scheduler's account of each thread. What a thread spends after
-    /// the last look before its end is not seen; where there is no such account, user and system time in ticks.
-    pub fn processor(&self) -> Result<f64, Fault> {
+    /// Processor time since the start in seconds, as the scheduler accounts it to each thread. The time that
+    /// a thread uses between the last read and its exit is missed. Without the scheduler's accounts, user and
+    /// system time with the resolution of clock ticks.
+    pub fn processor_seconds(&self) -> Result<f64, Fault> {
         let process = self.process()?;
         let tasks = process.tasks().map_err(|error| Fault(format!("procfs: {error}")))?;
-        let mut spent = self.spent.borrow_mut();
+        let mut thread_seconds = self.thread_seconds.borrow_mut();
         for task in tasks.flatten() {
             let path = format!("/proc/{}/task/{}/schedstat", task.pid, task.tid);
             let text = std::fs::read_to_string(path).unwrap_or_default();
             let nanoseconds = text.split(' ').next().and_then(|first| first.parse::<f64>().ok());
-            spent.extend(nanoseconds.map(|nanoseconds| (task.tid, nanoseconds / 1e9)));
+            thread_seconds.extend(nanoseconds.map(|nanoseconds| (task.tid, nanoseconds / 1e9)));
         }
-        if spent.is_empty() {
+        if thread_seconds.is_empty() {
             let stat = process.stat().map_err(|error| Fault(format!("procfs: {error}")))?;
             return Ok((stat.utime + stat.stime) as f64 / procfs::ticks_per_second() as f64);
         }
-        Ok(spent.values().sum())
+        Ok(thread_seconds.values().sum())
     }
 
-    /// Bytes of the files in the state folder.
-    pub fn journal(&self) -> f64 {
+    /// Total bytes of the files in the state folder.
+    pub fn journal_bytes(&self) -> f64 {
         let files = std::fs::read_dir(self.folder.path().join("state"));
-        let lengths = files.into_iter().flatten().flatten().filter_map(|file| file.metadata().ok());
-        lengths.map(|file| file.len() as f64).sum()
+        let metadata = files.into_iter().flatten().flatten().filter_map(|file| file.metadata().ok());
+        metadata.map(|file| file.len() as f64).sum()
     }
 
-    fn end(&mut self) {
+    fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -167,17 +182,17 @@
 
 impl Drop for SenderProcess {
     fn drop(&mut self) {
-        self.end();
+        self.kill();
     }
 }
 
-/// Starts the sender through this program, so that it ends with it.
+/// Starts the sender through this program as its supervisor, so that it ends when this program ends.
 fn spawn(program: &Path, config: &Path) -> Result<Child, Fault> {
-    let lab = std::env::current_exe().map_err(fault("keep"))?;
+    let lab = std::env::current_exe().map_err(io_fault("keep"))?;
     let log = config.with_extension("log");
-    let log = std::fs::OpenOptions::new().create(true).append(true).open(log).map_err(fault("log"))?;
+    let log = std::fs::OpenOptions::new().create(true).append(true).open(log).map_err(io_fault("log"))?;
     let child = Command::new(lab)
-        .arg(KEEP)
+        .arg(KEEP_COMMAND)
         .arg(std::process::id().to_string())
         .arg(program)
         .args(["serve".as_ref(), "--config".as_ref(), config.as_os_str()])
@@ -186,5 +201,5 @@
         .stdout(Stdio::null())
         .stderr(log)
         .spawn();
-    child.map_err(fault("sender"))
+    child.map_err(io_fault("sender"))
 }
--- a/crates/sailcart-lab/src/capacity/report.rs
+++ b/crates/sailcart-lab/src/capacity/report.rs
@@ -1,4 +1,4 @@
-//! What a run of `capacity` leaves: series, the model's inputs and rows, as JSON.
+//! The result of a run of `sailcart-lab capacity` as JSON: measured series, the model's inputs, and its rows.
 
 use std::path::Path;
 
@@ -8,42 +8,50 @@
 use super::series::{Quantity, Series};
 use crate::experiment::Fault;
 
-/// What was measured with one sender's program.
+/// The measurements of one run with one sender program.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Measured {
-    /// When the run began, UTC.
+pub struct MeasurementRun {
+    /// When the run started, in UTC.
     pub date: String,
+    /// The command line of the run.
     pub command: String,
-    /// As `sailcart version` tells.
+    /// Output of `sailcart version`.
     pub program: String,
-    /// Cores of the machine, and its load when the run began.
+    /// Number of cores of the machine, and its load when the run started.
     pub machine: String,
+    /// The measured points of each quantity.
     pub series: Vec<Series>,
 }
 
-impl Measured {
+impl MeasurementRun {
+    /// The series of a quantity; `None` if the run did not measure it.
     pub fn series(&self, quantity: Quantity) -> Option<&Series> {
         self.series.iter().find(|series| series.quantity == quantity)
     }
 }
 
-/// All of a run, and perhaps what an older program measured.
+/// A run, and optionally the measurements of an older program to compare with.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    pub measured: Measured,
+    pub measured: MeasurementRun,
+    /// Inputs of the model.
     pub inputs: Inputs,
+    /// Results of the model.
     pub rows: Vec<Row>,
-    pub before: Option<Measured>,
+    /// Measurements of an older program.
+    pub before: Option<MeasurementRun>,
 }
 
 impl Report {
+    /// Reads a report from its JSON file. The error names the file.
     pub fn read(path: &Path) -> Result<Self, Fault> {
         let text = std::fs::read_to_string(path);
         let text = text.map_err(|error| Fault(format!("{}: {error}", path.display())))?;
         serde_json::from_str(&text).map_err(|error| Fault(format!("{}: {error}", path.display())))
     }
 
-    pub fn text(&self) -> Result<String, Fault> {
+    /// The contents of the JSON file.
+    pub fn to_json(&self) -> Result<String, Fault> {
         let text = serde_json::to_string_pretty(self).map_err(|error| Fault(format!("JSON: {error}")))?;
         Ok(text + "\n")
     }
--- a/crates/sailcart-lab/src/capacity/run.rs
+++ b/crates/sailcart-lab/src/capacity/run.rs
@@ -1,52 +1,53 @@
-//! One run of `sailcart-lab capacity`: measures or reads, computes, prints and writes.
+//! One run of `sailcart-lab capacity`: measures or reads an earlier run, computes the model, and writes the
+//! results.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::time::SystemTime;
 
 use super::model::{self, Inputs};
-use super::report::{Measured, Report};
-use super::series::Gathered;
+use super::report::{MeasurementRun, Report};
+use super::series::Measurements;
 use super::sizes::Sizes;
 use super::{decision_module, page, processes};
 use crate::experiment::Fault;
 
-/// The words of the command line.
+/// Options of `sailcart-lab capacity`
 #[derive(Clone, Debug, Default, clap::Args)]
 pub struct Options {
-    /// Fewer and smaller sizes
+    /// Measure fewer and smaller sizes
     #[arg(long)]
     pub quick: bool,
-    /// The sender's program; the one beside this program without it
+    /// Path of the sender program [default: `sailcart` in the folder of this program]
     #[arg(long)]
     pub sender: Option<PathBuf>,
-    /// Destinations in the lists of sender processes, in place of the usual sizes
+    /// Destinations in the lists of sender processes, in place of the default sizes
     #[arg(long, value_delimiter = ',')]
     pub sizes: Vec<usize>,
-    /// Inputs of the model, in place of those of the planned size
+    /// TOML file with inputs of the model, in place of those of the planned size
     #[arg(long, value_name = "FILE")]
     pub inputs: Option<PathBuf>,
-    /// Where capacity.json and CAPACITY.md go, unless named
+    /// Folder for capacity.json and CAPACITY.md
     #[arg(long, default_value = "lab-results")]
     pub out: PathBuf,
-    /// The JSON, in place of capacity.json in the folder of results
+    /// Path of the JSON file, in place of capacity.json in the results folder
     #[arg(long, value_name = "FILE")]
     pub json: Option<PathBuf>,
-    /// The page, in place of CAPACITY.md in the folder of results
+    /// Path of the page, in place of CAPACITY.md in the results folder
     #[arg(long, value_name = "FILE")]
     pub page: Option<PathBuf>,
-    /// Measure nothing: use the JSON of an earlier run
+    /// Use the JSON file of an earlier run instead of measuring
     #[arg(long, value_name = "FILE")]
     pub from: Option<PathBuf>,
-    /// The JSON of a run with an older program, to compare with
+    /// JSON file of a run with an older program, to compare with
     #[arg(long, value_name = "FILE")]
     pub before: Option<PathBuf>,
-    /// Hollow senders only: no processes
-    #[arg(long)]
-    pub hollow_only: bool,
+    /// Measure only the decision module, without sender processes
+    #[arg(long = "hollow-only")]
+    pub module_only: bool,
 }
 
-/// Runs; the table that it returns is for people.
+/// Runs the command and returns the table of rows to print.
 pub fn run(options: &Options) -> Result<String, Fault> {
     let inputs = options.inputs.as_deref().map(Inputs::read).transpose()?;
     let (measured, earlier) = match &options.from {
@@ -64,71 +65,70 @@
     };
     let rows = model::rows(&measured, &inputs);
     let report = Report { measured, inputs, rows, before };
-    write(options, &report)?;
+    write_results(options, &report)?;
     Ok(page::table(&report.rows))
 }
 
-fn measure(options: &Options) -> Result<Measured, Fault> {
+fn measure(options: &Options) -> Result<MeasurementRun, Fault> {
     let mut sizes = if options.quick { Sizes::quick() } else { Sizes::full() };
     if !options.sizes.is_empty() {
         sizes.destinations.clone_from(&options.sizes);
     }
-    let (date, command) = (now(), command());
-    let machine = machine();
-    let mut gathered = Gathered::default();
+    let (date, command) = (utc_now(), command_line());
+    let machine = describe_machine();
+    let mut measurements = Measurements::default();
     let mut program = "no process measured".to_owned();
-    if !options.hollow_only {
-        let path = find(options.sender.as_deref())?;
-        program = version(&path)?;
-        processes::measure(&path, &sizes, &mut gathered)?;
+    if !options.module_only {
+        let path = find_sender_program(options.sender.as_deref())?;
+        program = sender_version(&path)?;
+        processes::measure(&path, &sizes, &mut measurements)?;
     }
-    decision_module::measure(&sizes, &mut gathered)?;
-    let series = gathered.series(&command, &date);
-    Ok(Measured { date, command, program, machine, series })
+    decision_module::measure(&sizes, &mut measurements)?;
+    let series = measurements.to_series(&command, &date);
+    Ok(MeasurementRun { date, command, program, machine, series })
 }
 
-/// The sender's program.
-fn find(given: Option<&Path>) -> Result<PathBuf, Fault> {
-    let beside = || Some(std::env::current_exe().ok()?.with_file_name("sailcart"));
-    let path = given.map(Path::to_path_buf).or_else(beside).filter(|path| path.is_file());
-    path.ok_or_else(|| Fault("--sender: no sender's program".to_owned()))
+fn find_sender_program(given: Option<&Path>) -> Result<PathBuf, Fault> {
+    let default = || Some(std::env::current_exe().ok()?.with_file_name("sailcart"));
+    let path = given.map(Path::to_path_buf).or_else(default).filter(|path| path.is_file());
+    path.ok_or_else(|| Fault("--sender: sender program not found".to_owned()))
 }
 
-fn version(program: &Path) -> Result<String, Fault> {
+fn sender_version(program: &Path) -> Result<String, Fault> {
     let output = Command::new(program).arg("version").output();
     let output = output.map_err(|error| Fault(format!("{}: {error}", program.display())))?;
     Ok(String::from_utf8_lossy(&output.stdout).trim().to_owned())
 }
 
-fn now() -> String {
+fn utc_now() -> String {
     humantime::format_rfc3339_seconds(SystemTime::now()).to_string()
 }
 
-/// The command line without folders, which mean nothing elsewhere.
-fn command() -> String {
-    let word = |word: String| match word.rsplit_once('/') {
+/// The command line with file names in place of paths, because folders mean nothing on another machine.
+fn command_line() -> String {
+    let without_folder = |word: String| match word.rsplit_once('/') {
         Some((_, name)) => name.to_owned(),
         None => word,
     };
-    std::env::args().map(word).collect::<Vec<_>>().join(" ")
+    std::env::args().map(without_folder).collect::<Vec<_>>().join(" ")
 }
 
-fn machine() -> String {
+fn describe_machine() -> String {
     let cores = std::thread::available_parallelism().map_or(0, usize::from);
     let load = std::fs::read_to_string("/proc/loadavg").unwrap_or_default();
     let load = load.split(' ').next().unwrap_or_default().to_owned();
     format!("{cores} cores, load {load} at the start")
 }
 
-/// The page is made of the JSON as it is read again, so that it says what the file says.
-fn write(options: &Options, report: &Report) -> Result<(), Fault> {
+/// Writes the JSON file, and the page from the JSON file as read back, so that both state the same values.
+fn write_results(options: &Options, report: &Report) -> Result<(), Fault> {
     let json = options.json.clone().unwrap_or_else(|| options.out.join("capacity.json"));
     let page = options.page.clone().unwrap_or_else(|| options.out.join("CAPACITY.md"));
-    put(&json, &report.text()?)?;
-    put(&page, &page::page(&Report::read(&json)?))
+    write_file(&json, &report.to_json()?)?;
+    write_file(&page, &page::render(&Report::read(&json)?))
 }
 
-fn put(path: &Path, text: &str) -> Result<(), Fault> {
+fn write_file(path: &Path, text: &str) -> Result<(), Fault> {
     let folder = path.parent().unwrap_or(Path::new("."));
     let written = std::fs::create_dir_all(folder).and_then(|()| std::fs::write(path, text));
     written.map_err(|error| Fault(format!("{}: {error}", path.display())))
--- a/crates/sailcart-lab/src/capacity/scaling.rs
+++ b/crates/sailcart-lab/src/capacity/scaling.rs
@@ -1,104 +1,123 @@
-//! The check of shape: how the work of a sender grows with its list, by counts and bytes, never by seconds.
+//! Checks how a sender's work grows with its list, in table entries visited and bytes, never in seconds.
 //!
-//! A change or a round must cost the same however much is listed, and a listed destination a bounded number of bytes.
-//! What is checked is generic over [`Counted`], so that variants that are wrong on purpose can be shown to be caught.
+//! A change and a round must cost the same however many destinations are listed, and a listed destination
+//! must stay within a fixed number of bytes. The check is generic over [`CountsVisits`], so that tests can
+//! show that it detects subjects that are wrong on purpose.
 
 use std::fmt;
 
-/// A number of a destination, from 0.
+/// Index of a destination in the list, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Listed(pub u64);
+pub struct DestinationIndex(pub u64);
 
-/// What is driven: a sender's decisions with a list, changes of it, and rounds.
-pub trait Driven {
-    /// Takes a whole list of so many destinations, one endpoint each.
-    fn whole(&mut self, destinations: u64);
-    /// Takes news of one destination of the list.
-    fn change(&mut self, listed: Listed, live: bool);
-    /// A packet for each of these, and the round after it; all are over when this returns.
-    fn round(&mut self, busy: &[Listed]);
+/// The subject of a check: a sender's decisions with a list, changes of the list, and rounds.
+pub trait ScalingSubject {
+    /// Applies a full list of this many destinations, with one endpoint each.
+    fn apply_full_list(&mut self, destinations: u64);
+    /// Applies an incremental update of one listed destination.
+    fn apply_change(&mut self, destination: DestinationIndex, live: bool);
+    /// Accepts one packet for each of these destinations and runs the next round. All packets are completed
+    /// when this returns.
+    fn run_round(&mut self, busy: &[DestinationIndex]);
 }
 
-/// One that tells how many entries of its tables it has looked at since its start.
-pub trait Counted: Driven {
-    fn visited(&self) -> u64;
+/// A subject that counts the entries of its tables that it has visited since it was created.
+pub trait CountsVisits: ScalingSubject {
+    /// Table entries visited so far.
+    fn entries_visited(&self) -> u64;
 }
 
-/// Entries looked at, by what was done.
+/// Mean number of table entries visited, by operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Work {
+    /// Destinations in the list at which the work was measured.
     pub destinations: u64,
+    /// Entries visited for a change of one destination.
     pub change: u64,
+    /// Entries visited in a round without packets.
     pub empty_round: u64,
+    /// Entries visited in a round with packets for ten destinations.
     pub busy_round: u64,
 }
 
-const BUSY: u64 = 10;
+/// Destinations with a packet in a busy round.
+const BUSY_DESTINATIONS: u64 = 10;
 /// Changes and rounds over which work is averaged.
-const REPEATS: u64 = 16;
-/// The work at the larger size may be this much of that at the smaller one.
-const MOST_GROWTH: u64 = 2;
-/// Below so many entries, growth is by chance.
-const FEW: u64 = 8;
+const REPETITIONS: u64 = 16;
+/// Maximum ratio of the work at the larger size to that at the smaller one.
+const MAX_GROWTH_FACTOR: u64 = 2;
+/// Work below this many entries counts as this many, because growth of so little work is random.
+const MIN_COMPARED_ENTRIES: u64 = 8;
 
-/// Which work grows with the list.
+/// A cost that grows with the list more than allowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Grows {
+pub enum ScalingViolation {
+    /// The work of a change.
     Change,
+    /// The work of a round without packets.
     EmptyRound,
+    /// The work of a round with packets.
     BusyRound,
-    /// Bytes of a listed destination are over their bound.
+    /// The bytes of a listed destination exceed their bound.
     Bytes,
 }
 
-impl fmt::Display for Grows {
-    fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        to.write_str(match self {
-            Grows::Change => "the work of a change grows with the list",
-            Grows::EmptyRound => "the work of a round with nothing to do grows with the list",
-            Grows::BusyRound => "the work of a round with ten busy destinations grows with the list",
-            Grows::Bytes => "a listed destination takes more bytes than its bound",
+impl fmt::Display for ScalingViolation {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        formatter.write_str(match self {
+            ScalingViolation::Change => "the work of a change grows with the list",
+            ScalingViolation::EmptyRound => "the work of a round without packets grows with the list",
+            ScalingViolation::BusyRound => "the work of a round with ten packets grows with the list",
+            ScalingViolation::Bytes => "a listed destination uses more bytes than its bound",
         })
     }
 }
 
-/// Drives one with a list of so many destinations and counts.
-pub fn work(driven: &mut impl Counted, destinations: u64) -> Work {
-    driven.whole(destinations);
-    let step = (destinations / BUSY).max(1);
-    let busy: Vec<Listed> = (0..BUSY).map(|nth| Listed(nth * step % destinations)).collect();
-    driven.round(&busy); // the first meets tables that are still empty
-    let change = mean(driven, |driven, nth| {
-        driven.change(Listed(nth / 2 * step % destinations), nth % 2 == 1);
+/// Applies a list of this many destinations to the subject and measures the work of each operation.
+pub fn measure_work(subject: &mut impl CountsVisits, destinations: u64) -> Work {
+    subject.apply_full_list(destinations);
+    let step = (destinations / BUSY_DESTINATIONS).max(1);
+    let busy: Vec<DestinationIndex> =
+        (0..BUSY_DESTINATIONS).map(|index| DestinationIndex(index * step % destinations)).collect();
+    subject.run_round(&busy); // not measured: in the first round the tables are still empty
+    let change = mean_visits(subject, |subject, index| {
+        subject.apply_change(DestinationIndex(index / 2 * step % destinations), index % 2 == 1);
     });
-    driven.round(&[]);
-    let empty_round = mean(driven, |driven, _| driven.round(&[]));
-    let busy_round = mean(driven, |driven, _| driven.round(&busy));
+    subject.run_round(&[]);
+    let empty_round = mean_visits(subject, |subject, _| subject.run_round(&[]));
+    let busy_round = mean_visits(subject, |subject, _| subject.run_round(&busy));
     Work { destinations, change, empty_round, busy_round }
 }
 
-fn mean<Subject: Counted>(driven: &mut Subject, mut act: impl FnMut(&mut Subject, u64)) -> u64 {
-    let before = driven.visited();
-    (0..REPEATS).for_each(|nth| act(driven, nth));
-    (driven.visited() - before).div_ceil(REPEATS)
+fn mean_visits<Subject: CountsVisits>(
+    subject: &mut Subject,
+    mut operation: impl FnMut(&mut Subject, u64),
+) -> u64 {
+    let before = subject.entries_visited();
+    (0..REPETITIONS).for_each(|index| operation(subject, index));
+    (subject.entries_visited() - before).div_ceil(REPETITIONS)
 }
 
-/// Which work is more at the larger list than it may be.
-pub fn grows(small: &Work, large: &Work) -> Vec<Grows> {
-    let over = |small: u64, large: u64| large > small.max(FEW) * MOST_GROWTH;
-    let each = [
-        (Grows::Change, over(small.change, large.change)),
-        (Grows::EmptyRound, over(small.empty_round, large.empty_round)),
-        (Grows::BusyRound, over(small.busy_round, large.busy_round)),
+/// The operations whose work at the larger list exceeds the allowed growth.
+pub fn work_violations(small: &Work, large: &Work) -> Vec<ScalingViolation> {
+    let exceeds = |small: u64, large: u64| large > small.max(MIN_COMPARED_ENTRIES) * MAX_GROWTH_FACTOR;
+    let checks = [
+        (ScalingViolation::Change, exceeds(small.change, large.change)),
+        (ScalingViolation::EmptyRound, exceeds(small.empty_round, large.empty_round)),
+        (ScalingViolation::BusyRound, exceeds(small.busy_round, large.busy_round)),
     ];
-    each.into_iter().filter(|(_, over)| *over).map(|(what, _)| what).collect()
+    checks.into_iter().filter(|(_, exceeded)| *exceeded).map(|(violation, _)| violation).collect()
 }
 
-/// Bytes that a listed destination may take in the module's tables.
+/// Maximum bytes of a listed destination in the module's tables.
 #[derive(Clone, Copy, Debug)]
-pub struct ByteBound(pub u64);
+pub struct MaxBytesPerDestination(pub u64);
 
-/// Whether a list of so many destinations takes more than its bound; `taken` is what the allocator counted.
-pub fn too_large(taken: u64, destinations: u64, bound: ByteBound) -> Option<Grows> {
-    (taken / destinations.max(1) > bound.0).then_some(Grows::Bytes)
+/// Checks the bytes of a list of this many destinations, as counted by the allocator, against the bound.
+pub fn byte_violation(
+    allocated_bytes: u64,
+    destinations: u64,
+    bound: MaxBytesPerDestination,
+) -> Option<ScalingViolation> {
+    (allocated_bytes / destinations.max(1) > bound.0).then_some(ScalingViolation::Bytes)
 }
--- a/crates/sailcart-lab/tests/capacity.rs
+++ b/crates/sailcart-lab/tests/capacity.rs
@@ -1,4 +1,5 @@
-//! Capacity: the shape of a sender's work as its list grows, by counts and bytes; the model; the page in `docs`.
+//! Capacity measurements: how a sender's work grows with its list, in table entries and bytes; the model; the
+//! discovery stub; and the page in `docs`.
 
 use std::alloc::System;
 use std::collections::BTreeMap;
@@ -8,224 +9,246 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use sailcart_lab::capacity::decision_module::Hollow;
+use sailcart_lab::capacity::decision_module::DecisionModule;
 use sailcart_lab::capacity::fit::{Fit, Point};
 use sailcart_lab::capacity::model::{self, Inputs, Row};
 use sailcart_lab::capacity::page;
-use sailcart_lab::capacity::processes::discovery::{Directory, Listed as Line, Places};
-use sailcart_lab::capacity::report::{Measured, Report};
-use sailcart_lab::capacity::scaling::{self, ByteBound, Counted, Driven, Grows, Listed, Work};
+use sailcart_lab::capacity::processes::discovery::{
+    DestinationIndex as StubIndex, DiscoveryStub, EndpointAddresses,
+};
+use sailcart_lab::capacity::report::{MeasurementRun, Report};
+use sailcart_lab::capacity::scaling::{
+    self, CountsVisits, DestinationIndex, MaxBytesPerDestination, ScalingSubject, ScalingViolation, Work,
+};
 use sailcart_lab::capacity::series::{Basis, Quantity, Series};
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
 
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// Every test here holds it: the allocator counts for the whole process.
-static ALONE: Mutex<()> = Mutex::new(());
+/// Held by the tests that measure allocations and by those that allocate much beside them, because the
+/// allocator counts for the whole process.
+static ALLOCATOR_LOCK: Mutex<()> = Mutex::new(());
 
-fn alone() -> MutexGuard<'static, ()> {
-    ALONE.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock_allocator() -> MutexGuard<'static, ()> {
+    ALLOCATOR_LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-const SMALL: u64 = 20;
-const LARGE: u64 = 20_000;
+const FEW_DESTINATIONS: u64 = 20;
+const MANY_DESTINATIONS: u64 = 20_000;
 
-/// Bytes that stand after an act and did not before.
-fn bytes_kept<T>(act: impl FnOnce() -> T) -> (T, u64) {
+/// Runs an operation and returns its value with the bytes that are still allocated afterwards.
+fn retained_bytes<T>(operation: impl FnOnce() -> T) -> (T, u64) {
     let region = Region::new(ALLOCATOR);
-    let kept = act();
+    let value = operation();
     let change = region.change();
-    (kept, change.bytes_allocated.saturating_sub(change.bytes_deallocated) as u64)
+    (value, change.bytes_allocated.saturating_sub(change.bytes_deallocated) as u64)
 }
 
-fn growth<D: Counted>(make: impl Fn() -> D) -> Vec<Grows> {
-    let [small, large] = [SMALL, LARGE].map(|destinations| scaling::work(&mut make(), destinations));
-    scaling::grows(&small, &large)
+fn work_violations<D: CountsVisits>(new_subject: impl Fn() -> D) -> Vec<ScalingViolation> {
+    let [small, large] = [FEW_DESTINATIONS, MANY_DESTINATIONS]
+        .map(|destinations| scaling::measure_work(&mut new_subject(), destinations));
+    scaling::work_violations(&small, &large)
 }
 
-fn fat<D: Driven>(make: impl Fn() -> D, bound: ByteBound) -> Option<Grows> {
-    let (_kept, bytes) = bytes_kept(|| {
-        let mut driven = make();
-        driven.whole(LARGE);
-        driven
+fn byte_violation<D: ScalingSubject>(
+    new_subject: impl Fn() -> D,
+    bound: MaxBytesPerDestination,
+) -> Option<ScalingViolation> {
+    let (_subject, bytes) = retained_bytes(|| {
+        let mut subject = new_subject();
+        subject.apply_full_list(MANY_DESTINATIONS);
+        subject
     });
-    scaling::too_large(bytes, LARGE, bound)
+    scaling::byte_violation(bytes, MANY_DESTINATIONS, bound)
 }
 
-/// A small table that does only what it must.
+/// A table that does only the necessary work.
 #[derive(Default)]
-struct Table {
+struct MinimalTable {
     live: BTreeMap<u64, bool>,
     visited: u64,
 }
 
-impl Driven for Table {
-    fn whole(&mut self, destinations: u64) {
+impl ScalingSubject for MinimalTable {
+    fn apply_full_list(&mut self, destinations: u64) {
         self.live = (0..destinations).map(|number| (number, true)).collect();
         self.visited += destinations;
     }
 
-    fn change(&mut self, listed: Listed, live: bool) {
-        self.live.insert(listed.0, live);
+    fn apply_change(&mut self, destination: DestinationIndex, live: bool) {
+        self.live.insert(destination.0, live);
         self.visited += 1;
     }
 
-    fn round(&mut self, busy: &[Listed]) {
+    fn run_round(&mut self, busy: &[DestinationIndex]) {
         self.visited += busy.len() as u64;
     }
 }
 
-impl Counted for Table {
-    fn visited(&self) -> u64 {
+impl CountsVisits for MinimalTable {
+    fn entries_visited(&self) -> u64 {
         self.visited
     }
 }
 
-/// Wrong on purpose: hands the whole list in at every change.
-struct WholeAtEachChange<D>(D, u64);
+/// Wrong on purpose: applies the full list at every change.
+struct FullListAtEachChange<D>(D, u64);
 
-impl<D: Driven> Driven for WholeAtEachChange<D> {
-    fn whole(&mut self, destinations: u64) {
+impl<D: ScalingSubject> ScalingSubject for FullListAtEachChange<D> {
+    fn apply_full_list(&mut self, destinations: u64) {
         self.1 = destinations;
-        self.0.whole(destinations);
+        self.0.apply_full_list(destinations);
     }
 
-    fn change(&mut self, listed: Listed, live: bool) {
-        self.0.whole(self.1);
-        self.0.change(listed, live);
+    fn apply_change(&mut self, destination: DestinationIndex, live: bool) {
+        self.0.apply_full_list(self.1);
+        self.0.apply_change(destination, live);
     }
 
-    fn round(&mut self, busy: &[Listed]) {
-        self.0.round(busy);
+    fn run_round(&mut self, busy: &[DestinationIndex]) {
+        self.0.run_round(busy);
     }
 }
 
-impl<D: Counted> Counted for WholeAtEachChange<D> {
-    fn visited(&self) -> u64 {
-        self.0.visited()
+impl<D: CountsVisits> CountsVisits for FullListAtEachChange<D> {
+    fn entries_visited(&self) -> u64 {
+        self.0.entries_visited()
     }
 }
 
-/// Wrong on purpose: asks every destination in every round whether there is something to do.
-struct AllAtEachRound<D>(D, u64);
+/// Wrong on purpose: visits every destination in every round.
+struct AllDestinationsAtEachRound<D>(D, u64);
 
-impl<D: Driven> Driven for AllAtEachRound<D> {
-    fn whole(&mut self, destinations: u64) {
+impl<D: ScalingSubject> ScalingSubject for AllDestinationsAtEachRound<D> {
+    fn apply_full_list(&mut self, destinations: u64) {
         self.1 = destinations;
-        self.0.whole(destinations);
+        self.0.apply_full_list(destinations);
     }
 
-    fn change(&mut self, listed: Listed, live: bool) {
-        self.0.change(listed, live);
+    fn apply_change(&mut self, destination: DestinationIndex, live: bool) {
+        self.0.apply_change(destination, live);
     }
 
-    fn round(&mut self, busy: &[Listed]) {
+    fn run_round(&mut self, busy: &[DestinationIndex]) {
         for number in 0..self.1 {
-            self.0.change(Listed(number), true);
+            self.0.apply_change(DestinationIndex(number), true);
         }
-        self.0.round(busy);
+        self.0.run_round(busy);
     }
 }
 
-impl<D: Counted> Counted for AllAtEachRound<D> {
-    fn visited(&self) -> u64 {
-        self.0.visited()
+impl<D: CountsVisits> CountsVisits for AllDestinationsAtEachRound<D> {
+    fn entries_visited(&self) -> u64 {
+        self.0.entries_visited()
     }
 }
 
-/// Wrong on purpose: keeps a record of fixed size for each destination, as if each had traffic.
-struct FatEntries<D>(D, Vec<[u8; 2048]>);
+/// Wrong on purpose: allocates a large record for each destination, as if each had traffic.
+struct LargeEntries<D>(D, Vec<[u8; 2048]>);
 
-impl<D: Driven> Driven for FatEntries<D> {
-    fn whole(&mut self, destinations: u64) {
-        self.0.whole(destinations);
+impl<D: ScalingSubject> ScalingSubject for LargeEntries<D> {
+    fn apply_full_list(&mut self, destinations: u64) {
+        self.0.apply_full_list(destinations);
         self.1 = (0..destinations).map(|_| [0; 2048]).collect();
     }
 
-    fn change(&mut self, listed: Listed, live: bool) {
-        self.0.change(listed, live);
+    fn apply_change(&mut self, destination: DestinationIndex, live: bool) {
+        self.0.apply_change(destination, live);
     }
 
-    fn round(&mut self, busy: &[Listed]) {
-        self.0.round(busy);
+    fn run_round(&mut self, busy: &[DestinationIndex]) {
+        self.0.run_round(busy);
     }
 }
 
-mod shape_of_a_small_table {
+mod scaling_of_a_minimal_table {
     use super::*;
 
-    /// A number and whether it is live, in a tree.
-    const BOUND: ByteBound = ByteBound(64);
+    /// Enough for an index and a flag in a tree.
+    const MAX_BYTES: MaxBytesPerDestination = MaxBytesPerDestination(64);
 
     #[test]
-    fn one_that_does_only_what_it_must_passes() {
-        let _alone = alone();
-        assert_eq!(growth(Table::default), []);
-        assert_eq!(fat(Table::default, BOUND), None);
+    fn minimal_work_is_accepted() {
+        let _guard = lock_allocator();
+        assert_eq!(work_violations(MinimalTable::default), []);
+        assert_eq!(byte_violation(MinimalTable::default, MAX_BYTES), None);
     }
 
     #[test]
-    fn one_that_takes_the_whole_list_at_each_change_is_caught() {
-        let _alone = alone();
-        assert_eq!(growth(|| WholeAtEachChange(Table::default(), 0)), [Grows::Change]);
+    fn applying_the_full_list_at_each_change_is_detected() {
+        let _guard = lock_allocator();
+        assert_eq!(
+            work_violations(|| FullListAtEachChange(MinimalTable::default(), 0)),
+            [ScalingViolation::Change]
+        );
     }
 
     #[test]
-    fn one_that_asks_all_at_each_round_is_caught() {
-        let _alone = alone();
-        let found = growth(|| AllAtEachRound(Table::default(), 0));
-        assert_eq!(found, [Grows::EmptyRound, Grows::BusyRound]);
+    fn visiting_all_destinations_in_each_round_is_detected() {
+        let _guard = lock_allocator();
+        let violations = work_violations(|| AllDestinationsAtEachRound(MinimalTable::default(), 0));
+        assert_eq!(violations, [ScalingViolation::EmptyRound, ScalingViolation::BusyRound]);
     }
 
     #[test]
-    fn one_that_keeps_a_fat_entry_is_caught() {
-        let _alone = alone();
-        assert_eq!(fat(|| FatEntries(Table::default(), Vec::new()), BOUND), Some(Grows::Bytes));
+    fn oversized_entries_are_detected() {
+        let _guard = lock_allocator();
+        assert_eq!(
+            byte_violation(|| LargeEntries(MinimalTable::default(), Vec::new()), MAX_BYTES),
+            Some(ScalingViolation::Bytes)
+        );
     }
 
     #[test]
-    fn twice_the_work_is_let_pass_and_more_is_not() {
-        let small = Work { destinations: SMALL, change: 10, empty_round: 10, busy_round: 10 };
-        let large = Work { destinations: LARGE, change: 20, empty_round: 21, busy_round: 20 };
-        assert_eq!(scaling::grows(&small, &large), [Grows::EmptyRound]);
+    fn work_may_double_but_not_more() {
+        let small = Work { destinations: FEW_DESTINATIONS, change: 10, empty_round: 10, busy_round: 10 };
+        let large = Work { destinations: MANY_DESTINATIONS, change: 20, empty_round: 21, busy_round: 20 };
+        assert_eq!(scaling::work_violations(&small, &large), [ScalingViolation::EmptyRound]);
     }
 }
 
-/// The decision module itself.
-mod shape_of_the_sender {
+/// The decision module under the same checks.
+mod scaling_of_the_decision_module {
     use super::*;
 
-    /// The allocator counts between 60 and 70 for 20,000 destinations of one endpoint each, listed in ascending order. What is
-    /// planned for leaves 290 to the whole sender: 128 MB for 440,000.
-    const BOUND: ByteBound = ByteBound(70);
+    /// The allocator counts between 60 and 70 bytes for each of 20,000 destinations with one endpoint each,
+    /// listed in ascending order. The planned size allows 290 bytes for the whole sender: 128 MB for 440,000
+    /// destinations.
+    const MAX_BYTES: MaxBytesPerDestination = MaxBytesPerDestination(70);
 
     #[test]
-    fn a_listed_destination_takes_no_more_bytes_than_its_bound() {
-        let _alone = alone();
-        assert_eq!(fat(Hollow::default, BOUND), None);
+    fn a_listed_destination_stays_within_its_byte_bound() {
+        let _guard = lock_allocator();
+        assert_eq!(byte_violation(DecisionModule::default, MAX_BYTES), None);
     }
 
     #[test]
-    fn a_fat_entry_beside_it_is_caught() {
-        let _alone = alone();
-        assert_eq!(fat(|| FatEntries(Hollow::default(), Vec::new()), BOUND), Some(Grows::Bytes));
+    fn oversized_entries_beside_the_module_are_detected() {
+        let _guard = lock_allocator();
+        assert_eq!(
+            byte_violation(|| LargeEntries(DecisionModule::default(), Vec::new()), MAX_BYTES),
+            Some(ScalingViolation::Bytes)
+        );
     }
 
     #[test]
-    fn a_change_and_a_round_look_at_as_much_whether_20_or_20_000_are_listed() {
-        let _alone = alone();
-        assert_eq!(growth(Hollow::default), []);
+    fn work_is_the_same_for_20_and_20_000_destinations() {
+        let _guard = lock_allocator();
+        assert_eq!(work_violations(DecisionModule::default), []);
     }
 
     #[test]
-    fn the_whole_list_at_each_change_is_caught() {
-        let _alone = alone();
-        assert_eq!(growth(|| WholeAtEachChange(Hollow::default(), 0)), [Grows::Change]);
+    fn applying_the_full_list_to_the_module_at_each_change_is_detected() {
+        let _guard = lock_allocator();
+        assert_eq!(
+            work_violations(|| FullListAtEachChange(DecisionModule::default(), 0)),
+            [ScalingViolation::Change]
+        );
     }
 }
 
-mod slopes {
+mod line_fit {
     use super::*;
 
     fn point(size: f64, value: Option<f64>) -> Point {
@@ -233,110 +256,110 @@
     }
 
     #[test]
-    fn a_line_is_found_and_what_was_refused_is_passed_over() {
+    fn refused_sizes_are_ignored() {
         let points =
             [point(0.0, Some(5.0)), point(10.0, Some(25.0)), point(20.0, Some(45.0)), point(40.0, None)];
-        let fit = Fit::of(&points).expect("three points");
+        let fit = Fit::least_squares(&points).expect("three points");
         assert!((fit.slope - 2.0).abs() < 1e-9 && (fit.intercept - 5.0).abs() < 1e-9);
         assert!(fit.largest_residual < 1e-9);
     }
 
     #[test]
-    fn the_largest_residual_is_told() {
+    fn the_largest_residual_is_reported() {
         let points = [point(0.0, Some(0.0)), point(1.0, Some(3.0)), point(2.0, Some(0.0))];
-        assert!((Fit::of(&points).expect("three points").largest_residual - 2.0).abs() < 1e-9);
+        assert!((Fit::least_squares(&points).expect("three points").largest_residual - 2.0).abs() < 1e-9);
     }
 
     #[test]
-    fn one_size_is_no_line() {
-        assert_eq!(Fit::of(&[point(5.0, Some(1.0)), point(5.0, Some(2.0))]), None);
-        assert_eq!(Fit::of(&[]), None);
+    fn one_size_gives_no_line() {
+        assert_eq!(Fit::least_squares(&[point(5.0, Some(1.0)), point(5.0, Some(2.0))]), None);
+        assert_eq!(Fit::least_squares(&[]), None);
     }
 }
 
-mod planned_size {
+mod model_at_the_planned_size {
     use super::*;
 
     fn series(quantity: Quantity, points: &[(f64, f64)]) -> Series {
         let points: Vec<Point> =
             points.iter().map(|(size, value)| Point { size: *size, value: Some(*value) }).collect();
-        let fit = Fit::of(&points);
+        let fit = Fit::least_squares(&points);
         Series { quantity, command: String::new(), date: String::new(), points, fit }
     }
 
-    fn measured(series: Vec<Series>) -> Measured {
-        let text = String::new;
-        Measured { date: text(), command: text(), program: text(), machine: text(), series }
+    fn run_with(series: Vec<Series>) -> MeasurementRun {
+        let empty = String::new;
+        MeasurementRun { date: empty(), command: empty(), program: empty(), machine: empty(), series }
     }
 
-    fn find<'a>(rows: &'a [Row], what: &str) -> &'a Row {
-        rows.iter().find(|row| row.what == what).expect("the row is there")
+    fn find_row<'a>(rows: &'a [Row], description: &str) -> &'a Row {
+        rows.iter().find(|row| row.description == description).expect("a row with this description")
     }
 
     #[test]
-    fn a_slope_is_carried_on_beyond_the_largest_size_and_called_so() {
-        let list = series(Quantity::ListMemory, &[(0.0, 4e6), (100_000.0, 68e6)]);
-        let rows = model::rows(&measured(vec![list]), &Inputs::default());
-        let row = find(&rows, "resident with the list");
+    fn values_beyond_the_largest_size_are_marked_extrapolated() {
+        let list_memory = series(Quantity::ListMemory, &[(0.0, 4e6), (100_000.0, 68e6)]);
+        let rows = model::rows(&run_with(vec![list_memory]), &Inputs::default());
+        let row = find_row(&rows, "resident with the list");
         assert_eq!(row.basis, Basis::Extrapolated);
-        assert!((row.need.expect("a figure") - (4e6 + 440_000.0 * 640.0)).abs() < 1.0);
-        assert!(row.kept() == Some(false), "285.6 MB are not within 128 MB");
+        assert!((row.need.expect("a need") - (4e6 + 440_000.0 * 640.0)).abs() < 1.0);
+        assert!(row.within_budget() == Some(false), "285.6 MB exceed 128 MB");
     }
 
     #[test]
-    fn a_measured_point_at_the_size_goes_before_the_line() {
-        let list = series(Quantity::ListMemory, &[(0.0, 4e6), (100_000.0, 68e6), (440_000.0, 100e6)]);
-        let rows = model::rows(&measured(vec![list]), &Inputs::default());
-        let row = find(&rows, "resident with the list");
-        assert_eq!((row.basis, row.need, row.kept()), (Basis::Measured, Some(100e6), Some(true)));
+    fn a_measured_point_is_preferred_to_the_line() {
+        let list_memory = series(Quantity::ListMemory, &[(0.0, 4e6), (100_000.0, 68e6), (440_000.0, 100e6)]);
+        let rows = model::rows(&run_with(vec![list_memory]), &Inputs::default());
+        let row = find_row(&rows, "resident with the list");
+        assert_eq!((row.basis, row.need, row.within_budget()), (Basis::Measured, Some(100e6), Some(true)));
     }
 
     #[test]
-    fn without_a_slope_there_is_no_figure_and_it_is_said() {
-        let rows = model::rows(&measured(Vec::new()), &Inputs::default());
-        let row = find(&rows, "resident with the list");
+    fn rows_without_measurements_have_no_need() {
+        let rows = model::rows(&run_with(Vec::new()), &Inputs::default());
+        let row = find_row(&rows, "resident with the list");
         assert_eq!((row.basis, row.need, row.factor), (Basis::NotMeasured, None, None));
     }
 
     #[test]
-    fn what_passes_its_budget_comes_first() {
-        let rows = model::rows(&measured(Vec::new()), &Inputs::default());
+    fn rows_are_sorted_by_descending_factor() {
+        let rows = model::rows(&run_with(Vec::new()), &Inputs::default());
         let factors: Vec<f64> = rows.iter().filter_map(|row| row.factor).collect();
         assert!(factors.len() > 10 && factors.is_sorted_by(|a, b| a >= b));
     }
 
     #[test]
-    fn the_list_changes_28_times_a_second() {
+    fn the_planned_size_has_28_list_changes_a_second() {
         let inputs = Inputs::default();
         assert!((inputs.list_changes_per_s() - 27.87).abs() < 0.01);
-        assert!((inputs.sender_rate() - 123.0).abs() < 0.1);
+        assert!((inputs.events_per_s_per_sender() - 123.0).abs() < 0.1);
     }
 
     #[test]
-    fn an_input_that_nobody_knows_is_refused_by_name() {
+    fn unknown_inputs_are_rejected_by_name() {
         let folder = tempfile::tempdir().expect("a folder");
         let file = folder.path().join("capacity.toml");
         std::fs::write(&file, "senders = 10.0\nsender = 3.0\n").expect("written");
-        let fault = Inputs::read(&file).expect_err("refused");
-        assert!(fault.0.contains("`sender`"), "{}", fault.0);
+        let error = Inputs::read(&file).expect_err("refused");
+        assert!(error.0.contains("`sender`"), "{}", error.0);
         std::fs::write(&file, "senders = 10.0\n").expect("written");
         let inputs = Inputs::read(&file).expect("read");
         assert_eq!((inputs.senders, inputs.zones), (10.0, 7.0));
     }
 }
 
-mod stand_in_for_discovery {
+mod discovery_stub {
     use super::*;
 
-    fn ask(directory: &Directory, path: &str) -> serde_json::Value {
-        let mut stream = TcpStream::connect(directory.address).expect("connected");
+    fn request(discovery: &DiscoveryStub, path: &str) -> serde_json::Value {
+        let mut stream = TcpStream::connect(discovery.address).expect("connected");
         stream.set_read_timeout(Some(Duration::from_secs(10))).expect("set");
         write!(stream, "GET {path} HTTP/1.1\r\nHost: h\r\n\r\n").expect("asked");
         let mut bytes = Vec::new();
         let body = loop {
-            let mut some = [0; 4096];
-            let count = stream.read(&mut some).expect("answered");
-            bytes.extend_from_slice(&some[..count]);
+            let mut chunk = [0; 4096];
+            let read = stream.read(&mut chunk).expect("answered");
+            bytes.extend_from_slice(&chunk[..read]);
             let text = String::from_utf8_lossy(&bytes).into_owned();
             let Some((head, body)) = text.split_once("\r\n\r\n") else { continue };
             let length = head.split("Content-Length: ").nth(1).expect("a length");
@@ -348,57 +371,57 @@
     }
 
     #[test]
-    fn it_tells_the_whole_list_and_then_changes() {
-        let _alone = alone();
-        let directory = Directory::open(3, Places::Nowhere).expect("open");
-        let whole = ask(&directory, "/v1/servers");
-        assert_eq!((&whole["generation"], &whole["reset"]), (&1.into(), &true.into()));
-        assert_eq!(whole["instances"].as_array().map(Vec::len), Some(3));
-        directory.change(Line(2), false);
-        let news = ask(&directory, "/v1/servers?from=1&hold_ms=5000");
-        assert_eq!((&news["generation"], &news["reset"]), (&2.into(), &false.into()));
-        let entry = &news["instances"][0];
+    fn it_sends_the_full_list_and_then_changes() {
+        let _guard = lock_allocator();
+        let discovery = DiscoveryStub::open(3, EndpointAddresses::Unreachable).expect("open");
+        let full_list = request(&discovery, "/v1/servers");
+        assert_eq!((&full_list["generation"], &full_list["reset"]), (&1.into(), &true.into()));
+        assert_eq!(full_list["instances"].as_array().map(Vec::len), Some(3));
+        discovery.publish_change(StubIndex(2), false);
+        let changes = request(&discovery, "/v1/servers?from=1&hold_ms=5000");
+        assert_eq!((&changes["generation"], &changes["reset"]), (&2.into(), &false.into()));
+        let entry = &changes["instances"][0];
         assert_eq!((&entry["cell"], &entry["lifecycle"]), (&2.into(), &"Gone".into()));
-        let nothing = ask(&directory, "/v1/servers?from=2&hold_ms=1");
-        assert_eq!(nothing["instances"], serde_json::json!([]));
+        let no_changes = request(&discovery, "/v1/servers?from=2&hold_ms=1");
+        assert_eq!(no_changes["instances"], serde_json::json!([]));
     }
 }
 
-/// What stands in `docs` is what the run's JSON gives.
-mod the_page {
+/// The page and the JSON file in `docs` must match each other and the model.
+mod docs_page {
     use super::*;
 
-    const MOST_BYTES: u64 = 200_000;
+    const MAX_JSON_BYTES: u64 = 200_000;
 
-    fn docs(name: &str) -> PathBuf {
+    fn docs_path(name: &str) -> PathBuf {
         PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../docs").join(name)
     }
 
     #[test]
-    fn it_is_made_of_the_json_beside_it() {
-        let _alone = alone();
-        let report = Report::read(&docs("capacity.json")).expect("the JSON of a run");
-        let page = std::fs::read_to_string(docs("CAPACITY.md")).expect("the page");
+    fn the_page_matches_the_json() {
+        let _guard = lock_allocator();
+        let report = Report::read(&docs_path("capacity.json")).expect("a readable report");
+        let page = std::fs::read_to_string(docs_path("CAPACITY.md")).expect("a readable page");
         assert!(
-            page == page::page(&report),
-            "made anew by: sailcart-lab capacity --from docs/capacity.json ..."
+            page == page::render(&report),
+            "stale; regenerate with: sailcart-lab capacity --from docs/capacity.json ..."
         );
     }
 
     #[test]
-    fn its_rows_are_what_the_model_makes_of_what_was_measured() {
-        let _alone = alone();
-        let report = Report::read(&docs("capacity.json")).expect("the JSON of a run");
+    fn the_rows_match_the_model() {
+        let _guard = lock_allocator();
+        let report = Report::read(&docs_path("capacity.json")).expect("a readable report");
         let rows = model::rows(&report.measured, &report.inputs);
         assert_eq!(report.rows.len(), rows.len());
-        for (written, made) in report.rows.iter().zip(&rows) {
-            assert_eq!(written, made);
+        for (recorded, computed) in report.rows.iter().zip(&rows) {
+            assert_eq!(recorded, computed);
         }
     }
 
     #[test]
-    fn its_json_is_small() {
-        let bytes = std::fs::metadata(docs("capacity.json")).expect("the JSON").len();
-        assert!(bytes < MOST_BYTES, "{bytes}");
+    fn the_json_is_small() {
+        let bytes = std::fs::metadata(docs_path("capacity.json")).expect("the JSON file").len();
+        assert!(bytes < MAX_JSON_BYTES, "{bytes}");
     }
 }
