--- a/crates/sailcart-lab/src/capacity/model/row.rs
+++ b/crates/sailcart-lab/src/capacity/model/row.rs
@@ -132,6 +132,7 @@
     pub unit: Unit,
     /// `None` if a quantity it depends on was not measured.
     pub need: Option<f64>,
+    /// What is available, in the same unit.
     pub budget: f64,
     /// Need divided by budget; the budget is met up to 1.
     pub factor: Option<f64>,
--- a/crates/sailcart-lab/src/capacity/processes/packets.rs
+++ b/crates/sailcart-lab/src/capacity/processes/packets.rs
@@ -48,7 +48,7 @@
 /// A sender whose destinations share one endpoint, with a client.
 struct DeliveryHarness {
     endpoint: EndpointStub,
-    /// Open for as long as the sender requests lists from it.
+    /// Retained for as long as the sender uses it.
     _discovery: DiscoveryStub,
     sender: SenderProcess,
     client: Client,
--- a/crates/sailcart-lab/src/capacity/report.rs
+++ b/crates/sailcart-lab/src/capacity/report.rs
@@ -33,6 +33,7 @@
 /// A run, and optionally the measurements of an older program to compare with.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
+    /// Measurements of the run.
     pub measured: MeasurementRun,
     /// Inputs of the model.
     pub inputs: Inputs,
--- a/crates/sailcart-lab/tests/common/mod.rs
+++ b/crates/sailcart-lab/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Small experiments for stories.
+//! A small experiment as the basis of test scenarios, and helpers to run it in the simulation.
 #![allow(dead_code)]
 
 use std::time::Duration;
@@ -11,9 +11,9 @@
 use sailcart_lab::simulated;
 use sailcart_lab::watcher::Rule;
 
-const FLEET: &str = r#"
-name = "story"
-about = "a story"
+const TEMPLATE: &str = r#"
+name = "scenario"
+about = "a test scenario"
 span = "20s"
 [senders]
 count = 2
@@ -40,34 +40,42 @@
 LOAD
 "#;
 
-/// The small fleet, with some of its parts said otherwise: `[("CATEGORY", "...")]`, and troubles at the end.
-pub fn text(parts: &[(&str, &str)], troubles: &str) -> String {
-    let mut text = FLEET.to_owned();
+/// The template with replacements for its placeholders, such as `[("CATEGORY", "...")]`, and troubles at the
+/// end. A category repeats idempotently unless replaced; the other placeholders are empty by default.
+pub fn experiment_text(overrides: &[(&str, &str)], troubles: &str) -> String {
+    let mut text = TEMPLATE.to_owned();
     for name in ["CATEGORY", "KIND", "DESTINATION", "LOAD"] {
-        let said = parts.iter().find(|(part, _)| *part == name).map(|(_, said)| *said);
-        let usual = if name == "CATEGORY" { "repeat = \"idempotent\"" } else { "" };
-        text = text.replace(name, said.unwrap_or(usual));
+        let replacement = overrides
+            .iter()
+            .find(|(placeholder, _)| *placeholder == name)
+            .map(|(_, replacement)| *replacement);
+        let default = if name == "CATEGORY" { "repeat = \"idempotent\"" } else { "" };
+        text = text.replace(name, replacement.unwrap_or(default));
     }
     text + troubles
 }
 
-pub fn experiment(parts: &[(&str, &str)], troubles: &str) -> Experiment {
-    read_text(&text(parts, troubles), &[]).expect("a sound experiment")
+/// The experiment that the text describes; panics if it is invalid.
+pub fn experiment(overrides: &[(&str, &str)], troubles: &str) -> Experiment {
+    read_text(&experiment_text(overrides, troubles), &[]).expect("a valid experiment")
 }
 
-pub fn plan(parts: &[(&str, &str)], troubles: &str) -> Plan {
-    Plan::new(experiment(parts, troubles), 1).expect("a sound experiment")
+/// The plan of that experiment with seed 1.
+pub fn plan(overrides: &[(&str, &str)], troubles: &str) -> Plan {
+    Plan::new(experiment(overrides, troubles), 1).expect("a valid experiment")
 }
 
-pub fn play(plan: &Plan, policy: PolicyName) -> Outcome {
+/// Runs a plan in the simulation with a built-in policy.
+pub fn run(plan: &Plan, policy: PolicyName) -> Outcome {
     simulated::run(plan, policy, Log::default(), &mut |_| {})
 }
 
-pub fn play_with(plan: &Plan, make: &dyn Fn(u64) -> Box<dyn Policy>) -> Outcome {
-    simulated::run_with(plan, PolicyName::OneTry, Log::default(), &mut |_: Duration| {}, make)
+/// Runs a plan in the simulation; each sender uses a policy created from its seed.
+pub fn run_with_policy(plan: &Plan, new_policy: &dyn Fn(u64) -> Box<dyn Policy>) -> Outcome {
+    simulated::run_with(plan, PolicyName::OneTry, Log::default(), &mut |_: Duration| {}, new_policy)
 }
 
-/// The rules that broke.
-pub fn broken(outcome: &Outcome) -> Vec<Rule> {
+/// The rules that were violated in a run.
+pub fn violated_rules(outcome: &Outcome) -> Vec<Rule> {
     outcome.rules.iter().filter(|line| line.broken > 0).map(|line| line.rule).collect()
 }
--- a/crates/sailcart-lab/tests/edge_cases.rs
+++ b/crates/sailcart-lab/tests/edge_cases.rs
@@ -1,10 +1,10 @@
-//! What is easy to get wrong in a laboratory.
+//! Edge cases of the simulated receivers, the watcher, and the reading of experiments.
 
 mod common;
 
 use std::time::Duration;
 
-use common::{broken, experiment, plan, play, text};
+use common::{experiment, experiment_text, plan, run, violated_rules};
 use sailcart::{DestinationId, EndpointId, PacketId};
 use sailcart_lab::experiment::{Repeat, Rules, read_text};
 use sailcart_lab::plan::{OriginId, SenderId};
@@ -12,17 +12,17 @@
 use sailcart_lab::receivers::{Answer, Connect, Piece, PieceAnswer, Receivers, TroubleSchedule};
 use sailcart_lab::watcher::{CallId, End, GateId, Handed, Heard, Rule, Seen, Watcher};
 
-const E: EndpointId = EndpointId(0);
+const ENDPOINT: EndpointId = EndpointId(0);
 
-fn s(seconds: f64) -> Duration {
-    Duration::from_secs_f64(seconds)
+fn seconds(value: f64) -> Duration {
+    Duration::from_secs_f64(value)
 }
 
 fn piece(origin: usize) -> Piece {
-    Piece { origin: OriginId(origin), repeat: Repeat::Deduplicated, memory: s(5.0) }
+    Piece { origin: OriginId(origin), repeat: Repeat::Deduplicated, memory: seconds(5.0) }
 }
 
-fn handed(packet: u64, origin: usize) -> Seen {
+fn submitted(packet: u64, origin: usize) -> Seen {
     Seen::Handed(Handed {
         packet: PacketId(packet),
         origin: OriginId(origin),
@@ -31,194 +31,216 @@
         repeat: Repeat::Unrepeatable,
         in_order: false,
         key: None,
-        ends: s(20.0),
+        ends: seconds(20.0),
     })
 }
 
-fn came(call: u64, packets: &[u64]) -> Seen {
+fn call_received(call: u64, packets: &[u64]) -> Seen {
     let packets = packets.iter().map(|id| PacketId(*id)).collect();
-    Seen::Came { call: CallId(call), sender: SenderId(0), endpoint: E, gate: GateId(0), packets }
+    Seen::Came { call: CallId(call), sender: SenderId(0), endpoint: ENDPOINT, gate: GateId(0), packets }
 }
 
-fn seen(all: &[(f64, Seen)]) -> Watcher {
+fn watch(events: &[(f64, Seen)]) -> Watcher {
     let mut watcher = Watcher::new(&Rules::default());
-    all.iter().for_each(|(at, one)| watcher.see(s(*at), one));
+    events.iter().for_each(|(at, event)| watcher.see(seconds(*at), event));
     watcher
 }
 
 #[test]
-fn a_call_cut_after_its_last_byte_counts_as_run() {
+fn a_call_reset_after_its_last_byte_counts_as_executed() {
     let plan = plan(&[], "[[troubles]]\nkind = \"reset-after\"\nat = \"1s\"\nfor = \"5s\"\n");
     let mut receivers = Receivers::new(&plan);
-    let cut = receivers.arrive(&plan, s(2.0), E, &[piece(1)]);
-    assert_eq!(cut.answer.map(|(_, answer)| answer), Some(Answer::Reset));
-    assert_eq!(cut.effects, vec![true]);
-    // Its repeat is known, and does nothing more.
-    let again = receivers.arrive(&plan, s(6.5), E, &[piece(1)]);
-    assert_eq!((again.answer.map(|(_, answer)| answer), again.effects), (Some(Answer::Done), vec![false]));
-    // Until it is forgotten.
-    assert_eq!(receivers.arrive(&plan, s(7.1), E, &[piece(1)]).effects, vec![true]);
+    let reset_call = receivers.arrive(&plan, seconds(2.0), ENDPOINT, &[piece(1)]);
+    assert_eq!(reset_call.answer.map(|(_, answer)| answer), Some(Answer::Reset));
+    assert_eq!(reset_call.effects, vec![true]);
+    // The receiver recognizes the repeated call and does not execute it again,
+    let repeated_call = receivers.arrive(&plan, seconds(6.5), ENDPOINT, &[piece(1)]);
+    assert_eq!(
+        (repeated_call.answer.map(|(_, answer)| answer), repeated_call.effects),
+        (Some(Answer::Done), vec![false])
+    );
+    // until its deduplication memory of 5 s has passed.
+    assert_eq!(receivers.arrive(&plan, seconds(7.1), ENDPOINT, &[piece(1)]).effects, vec![true]);
 }
 
 #[test]
-fn a_call_at_work_when_its_endpoint_dies_breaks_and_may_have_run() {
+fn a_call_is_reset_and_may_have_executed_when_its_endpoint_dies() {
     let plan =
         plan(&[("DESTINATION", "")], "[[troubles]]\nkind = \"refuse\"\nat = \"1010ms\"\nfor = \"5s\"\n");
     let mut receivers = Receivers::new(&plan);
-    assert!(matches!(receivers.connect(&plan, s(1.0), E), Connect::Up(_)));
-    let call = receivers.arrive(&plan, s(1.0), E, &[piece(1)]);
-    assert_eq!((call.answer, call.effects), (Some((s(1.01), Answer::Reset)), vec![true]));
-    assert_eq!(receivers.connect(&plan, s(1.02), E), Connect::Refused);
+    assert!(matches!(receivers.connect(&plan, seconds(1.0), ENDPOINT), Connect::Up(_)));
+    let call = receivers.arrive(&plan, seconds(1.0), ENDPOINT, &[piece(1)]);
+    assert_eq!((call.answer, call.effects), (Some((seconds(1.01), Answer::Reset)), vec![true]));
+    assert_eq!(receivers.connect(&plan, seconds(1.02), ENDPOINT), Connect::Refused);
 }
 
 #[test]
-fn an_answer_on_its_way_to_a_sender_that_is_killed_is_no_reason_to_send_again() {
-    let parts = [("CATEGORY", "repeat = \"unrepeatable\""), ("LOAD", "")];
+fn unrepeatable_packets_are_not_resent_when_an_answer_reaches_a_killed_sender() {
+    let overrides = [("CATEGORY", "repeat = \"unrepeatable\""), ("LOAD", "")];
     let troubles = "[[troubles]]\nkind = \"kill\"\nat = \"5s\"\nfor = \"1s\"\n\
         [[troubles]]\nkind = \"kill\"\nat = \"9s\"\nfor = \"1s\"\n";
-    let outcome = play(&plan(&parts, troubles), PolicyName::Sailcart);
-    assert_eq!(broken(&outcome), vec![]);
-    // Calls were out: their packets may have run, so they were given up.
+    let outcome = run(&plan(&overrides, troubles), PolicyName::Sailcart);
+    assert_eq!(violated_rules(&outcome), vec![]);
+    // Calls were in flight when the sender was killed: their packets may have executed, so they were
+    // scrapped.
     assert!(outcome.figure("scrapped") > 0.0);
 }
 
 #[test]
-fn an_endpoint_replaced_at_its_address_within_a_call_is_another() {
+fn an_endpoint_replaced_at_the_same_address_during_a_call_is_a_new_one() {
     let troubles = "[[troubles]]\nkind = \"replace\"\nat = \"2s\"\nfor = \"3s\"\nsame_address = true\n";
     let plan = plan(&[("DESTINATION", "spread = 0.0")], troubles);
-    let (old, new) = (&plan.places[0], &plan.places[2]);
-    assert_eq!((new.address, new.from, old.gone), (old.endpoint, s(5.0), s(5.0)));
+    let (old_place, new_place) = (&plan.places[0], &plan.places[2]);
+    assert_eq!(
+        (new_place.address, new_place.from, old_place.gone),
+        (old_place.endpoint, seconds(5.0), seconds(5.0))
+    );
     let mut receivers = Receivers::new(&plan);
-    assert!(receivers.reachable(&plan, s(4.99), old.endpoint));
-    assert!(!receivers.reachable(&plan, s(5.0), old.endpoint), "a call out on the old one is lost");
-    assert_eq!(receivers.connect(&plan, s(4.99), new.endpoint), Connect::Refused);
-    assert!(matches!(receivers.connect(&plan, s(5.0), new.endpoint), Connect::Up(_)));
-    assert_eq!(broken(&play(&plan, PolicyName::Sailcart)), vec![]);
+    assert!(receivers.reachable(&plan, seconds(4.99), old_place.endpoint));
+    assert!(
+        !receivers.reachable(&plan, seconds(5.0), old_place.endpoint),
+        "a call in flight to the old endpoint is lost"
+    );
+    assert_eq!(receivers.connect(&plan, seconds(4.99), new_place.endpoint), Connect::Refused);
+    assert!(matches!(receivers.connect(&plan, seconds(5.0), new_place.endpoint), Connect::Up(_)));
+    assert_eq!(violated_rules(&run(&plan, PolicyName::Sailcart)), vec![]);
 }
 
 #[test]
-fn a_wait_told_in_an_answer_for_several_packets_binds() {
+fn a_retry_after_wait_in_an_answer_for_several_packets_is_binding() {
     let troubles = "[[troubles]]\nkind = \"partial\"\nat = \"1s\"\nfor = \"9s\"\nshare = 1.0\n";
     let plan = plan(&[("KIND", "batch = 5")], troubles);
     let mut receivers = Receivers::new(&plan);
     let pieces: Vec<Piece> = (0..5).map(piece).collect();
-    let call = receivers.arrive(&plan, s(2.0), E, &pieces);
-    let Some((_, Answer::Mixed(each, wait))) = call.answer else { panic!("{:?}", call.answer) };
-    for (piece, ran) in each.iter().zip(&call.effects) {
-        assert_eq!(*piece == PieceAnswer::Deferred, !ran, "what was put off never ran");
+    let call = receivers.arrive(&plan, seconds(2.0), ENDPOINT, &pieces);
+    let Some((_, Answer::Mixed(answers, wait))) = call.answer else { panic!("{:?}", call.answer) };
+    for (piece, executed) in answers.iter().zip(&call.effects) {
+        assert_eq!(*piece == PieceAnswer::Deferred, !executed, "a deferred packet was not executed");
     }
-    assert!(each.contains(&PieceAnswer::Deferred));
+    assert!(answers.contains(&PieceAnswer::Deferred));
     let heard = Heard::Full(wait);
-    assert_eq!(heard, Heard::Full(Some(s(0.5))));
-    let early = |at| {
-        seen(&[
-            (2.0, handed(1, 1)),
-            (2.0, came(1, &[1])),
+    assert_eq!(heard, Heard::Full(Some(seconds(0.5))));
+    let second_call_at = |at| {
+        watch(&[
+            (2.0, submitted(1, 1)),
+            (2.0, call_received(1, &[1])),
             (2.1, Seen::Over { call: CallId(1), heard }),
-            (at, came(2, &[1])),
+            (at, call_received(2, &[1])),
         ])
     };
-    assert_eq!(early(2.5).count(Rule::Waits), 1);
-    assert_eq!(early(2.65).count(Rule::Waits), 0);
-    // The module keeps it on a whole day of such answers.
-    assert_eq!(broken(&play(&plan, PolicyName::Sailcart)), vec![]);
+    assert_eq!(second_call_at(2.5).count(Rule::Waits), 1);
+    assert_eq!(second_call_at(2.65).count(Rule::Waits), 0);
+    // The decision module observes the wait throughout an experiment with such answers.
+    assert_eq!(violated_rules(&run(&plan, PolicyName::Sailcart)), vec![]);
 }
 
 #[test]
-fn a_second_copy_while_the_first_is_out_is_a_double() {
-    let copies = |between: &[(f64, Seen)]| {
-        let mut all = vec![(1.0, handed(1, 1)), (1.0, came(1, &[1]))];
-        all.extend_from_slice(between);
-        all.push((1.2, came(2, &[1])));
-        seen(&all).count(Rule::NoDouble)
+fn a_second_call_for_a_packet_in_flight_is_a_double_execution() {
+    let violations = |events_between: &[(f64, Seen)]| {
+        let mut events = vec![(1.0, submitted(1, 1)), (1.0, call_received(1, &[1]))];
+        events.extend_from_slice(events_between);
+        events.push((1.2, call_received(2, &[1])));
+        watch(&events).count(Rule::NoDouble)
     };
-    assert_eq!(copies(&[]), 1);
-    assert_eq!(copies(&[(1.1, Seen::Over { call: CallId(1), heard: Heard::Unsure })]), 0);
+    assert_eq!(violations(&[]), 1);
+    assert_eq!(violations(&[(1.1, Seen::Over { call: CallId(1), heard: Heard::Unsure })]), 0);
 }
 
 #[test]
-fn what_its_client_gave_up_unheard_does_not_count() {
-    let ran = |call, first: bool| (1.1, Seen::Ran(CallId(call), vec![first]));
-    let day = |given_up: &[(f64, Seen)]| {
-        let mut all = vec![(1.0, handed(1, 7)), (1.0, came(1, &[1])), ran(1, true)];
-        all.extend_from_slice(given_up);
-        all.extend([(1.5, handed(2, 7)), (1.5, came(2, &[2])), (1.6, Seen::Ran(CallId(2), vec![true]))]);
-        seen(&all).count(Rule::NoDouble)
+fn executions_that_the_client_abandoned_unanswered_are_not_counted() {
+    let executed = |call, executed_first: bool| (1.1, Seen::Ran(CallId(call), vec![executed_first]));
+    let violations_with = |abandoned: &[(f64, Seen)]| {
+        let mut events = vec![(1.0, submitted(1, 7)), (1.0, call_received(1, &[1])), executed(1, true)];
+        events.extend_from_slice(abandoned);
+        events.extend([
+            (1.5, submitted(2, 7)),
+            (1.5, call_received(2, &[2])),
+            (1.6, Seen::Ran(CallId(2), vec![true])),
+        ]);
+        watch(&events).count(Rule::NoDouble)
     };
-    assert_eq!(day(&[]), 1);
-    assert_eq!(day(&[(1.4, Seen::Abandoned(PacketId(1)))]), 0);
+    assert_eq!(violations_with(&[]), 1);
+    assert_eq!(violations_with(&[(1.4, Seen::Abandoned(PacketId(1)))]), 0);
 }
 
 #[test]
-fn an_end_that_comes_late_is_none() {
-    let day = |at| {
-        let mut watcher = seen(&[
-            (1.0, handed(1, 1)),
+fn a_completion_after_the_grace_period_counts_as_missing() {
+    let violations_if_scrapped_at = |time_s| {
+        let mut watcher = watch(&[
+            (1.0, submitted(1, 1)),
             (1.0, Seen::Taken(PacketId(1))),
-            (at, Seen::Ended(PacketId(1), End::Scrapped)),
+            (time_s, Seen::Ended(PacketId(1), End::Scrapped)),
         ]);
-        watcher.finish(s(60.0));
+        watcher.finish(seconds(60.0));
         watcher.count(Rule::OneEnd)
     };
-    assert_eq!((day(20.25), day(20.4)), (0, 1));
+    assert_eq!((violations_if_scrapped_at(20.25), violations_if_scrapped_at(20.4)), (0, 1));
 }
 
 #[test]
-fn two_troubles_on_one_destination_both_act() {
+fn overlapping_troubles_on_one_destination_both_take_effect() {
     let troubles = "[[troubles]]\nkind = \"slow\"\nat = \"1s\"\nfor = \"4s\"\nfactor = 3.0\n\
         [[troubles]]\nkind = \"errors\"\nat = \"2s\"\nfor = \"2s\"\nshare = 0.5\n\
         [[troubles]]\nkind = \"errors\"\nat = \"2500ms\"\nfor = \"1s\"\nshare = 0.5\n";
     let schedule = TroubleSchedule::new(&plan(&[], troubles));
-    let at = |seconds| {
-        let here = schedule.at(s(seconds), E);
-        (here.slow, here.errors)
+    let effects_at = |time_s| {
+        let active = schedule.at(seconds(time_s), ENDPOINT);
+        (active.slow, active.errors)
     };
-    assert_eq!([at(1.5), at(2.2), at(3.0), at(4.5)], [(3.0, 0.0), (3.0, 0.5), (3.0, 0.75), (3.0, 0.0)]);
+    assert_eq!(
+        [effects_at(1.5), effects_at(2.2), effects_at(3.0), effects_at(4.5)],
+        [(3.0, 0.0), (3.0, 0.5), (3.0, 0.75), (3.0, 0.0)]
+    );
 }
 
 #[test]
-fn troubles_that_follow_each_other_in_a_circle_cannot_be() {
-    let circle = "[[troubles]]\nkind = \"silent\"\nname = \"a\"\nafter = \"b\"\nfor = \"1s\"\n\
+fn cyclic_references_between_troubles_are_rejected() {
+    let cyclic_troubles = "[[troubles]]\nkind = \"silent\"\nname = \"a\"\nafter = \"b\"\nfor = \"1s\"\n\
         [[troubles]]\nkind = \"silent\"\nname = \"b\"\nafter = \"a\"\nfor = \"1s\"\n";
-    let fault = read_text(&text(&[], circle), &[]).expect_err("a circle").0;
-    assert!(fault.contains("troubles.0.after"), "{fault}");
-    let line = circle.replacen("after = \"b\"", "at = \"2s\"", 1);
-    let plan = plan(&[], &line);
-    assert_eq!(plan.struck[1].from, s(3.0), "b begins as a ends");
+    let error = read_text(&experiment_text(&[], cyclic_troubles), &[]).expect_err("a cyclic reference").0;
+    assert!(error.contains("troubles.0.after"), "{error}");
+    let acyclic_troubles = cyclic_troubles.replacen("after = \"b\"", "at = \"2s\"", 1);
+    let plan = plan(&[], &acyclic_troubles);
+    assert_eq!(plan.struck[1].from, seconds(3.0), "b begins when a ends");
 }
 
 #[test]
-fn unknown_keys_and_keys_of_other_troubles_are_refused_by_name() {
-    let of = |text: &str| read_text(text, &[]).expect_err("a fault").0;
-    assert!(of(&text(&[("LOAD", "rat = 3.0")], "")).contains("rat"));
-    let odd = "[[troubles]]\nkind = \"silent\"\nfor = \"1s\"\nfactor = 2.0\n";
-    assert!(of(&text(&[], odd)).contains("troubles.0.factor"));
-    assert!(of(&text(&[("LOAD", "")], "bounds = [\"credits > 1\"]")).contains("bounds"));
-    let set = |change: &str| read_text(&text(&[], ""), &[change.to_owned()]);
-    assert_eq!(set("load.rate=7").expect("sound").load.rate, 7.0);
-    assert!(set("load.rte=7").expect_err("a fault").0.contains("rte"));
+fn unknown_keys_and_keys_of_other_troubles_are_rejected_by_name() {
+    let error_of = |text: &str| read_text(text, &[]).expect_err("an error").0;
+    assert!(error_of(&experiment_text(&[("LOAD", "rat = 3.0")], "")).contains("rat"));
+    let extra_key = "[[troubles]]\nkind = \"silent\"\nfor = \"1s\"\nfactor = 2.0\n";
+    assert!(error_of(&experiment_text(&[], extra_key)).contains("troubles.0.factor"));
+    assert!(error_of(&experiment_text(&[("LOAD", "")], "bounds = [\"credits > 1\"]")).contains("bounds"));
+    let with_change = |change: &str| read_text(&experiment_text(&[], ""), &[change.to_owned()]);
+    assert_eq!(with_change("load.rate=7").expect("a valid experiment").load.rate, 7.0);
+    assert!(with_change("load.rte=7").expect_err("an error").0.contains("rte"));
 }
 
 #[test]
-fn the_same_seed_gives_the_same_bytes_and_another_seed_others() {
+fn results_are_deterministic_for_each_seed() {
     let bytes = |seed| {
         let troubles = "[[troubles]]\nkind = \"silent\"\nat = \"3s\"\nfor = \"5s\"\n\
             [[troubles]]\nkind = \"roll\"\nat = \"6s\"\nfor = \"6s\"\n";
-        let plan = sailcart_lab::plan::Plan::new(experiment(&[], troubles), seed).expect("sound");
-        serde_json::to_string(&play(&plan, PolicyName::Sailcart)).expect("JSON")
+        let plan =
+            sailcart_lab::plan::Plan::new(experiment(&[], troubles), seed).expect("a valid experiment");
+        serde_json::to_string(&run(&plan, PolicyName::Sailcart)).expect("JSON")
     };
     assert_eq!(bytes(3), bytes(3));
     assert_ne!(bytes(3), bytes(4));
 }
 
 #[test]
-fn the_oracle_does_no_worse_than_any_other() {
-    let limit = "limit = { by = \"rate\", rate = 12.0, refused_count = true }";
+fn no_policy_earns_more_credit_than_the_oracle() {
+    let rate_limit = "limit = { by = \"rate\", rate = 12.0, refused_count = true }";
     let plan =
-        plan(&[("DESTINATION", limit)], "[[troubles]]\nkind = \"silent\"\nat = \"4s\"\nfor = \"6s\"\n");
-    let credit = |policy| play(&plan, policy).figure("credit");
-    let top = credit(PolicyName::Oracle);
+        plan(&[("DESTINATION", rate_limit)], "[[troubles]]\nkind = \"silent\"\nat = \"4s\"\nfor = \"6s\"\n");
+    let credit_of = |policy| run(&plan, policy).figure("credit");
+    let oracle_credit = credit_of(PolicyName::Oracle);
     for policy in PolicyName::ALL {
-        assert!(credit(policy) <= top + 0.01, "{policy:?}: {} against {top}", credit(policy));
+        assert!(
+            credit_of(policy) <= oracle_credit + 0.01,
+            "{policy:?}: {} against {oracle_credit}",
+            credit_of(policy)
+        );
     }
 }
--- a/crates/sailcart-lab/tests/rate_limiter.rs
+++ b/crates/sailcart-lab/tests/rate_limiter.rs
@@ -1,4 +1,4 @@
-//! A limit that all senders share, as a receiver keeps it.
+//! The rate limiter of a simulated receiver, which all senders share.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_told_wait_is_honest_also_where_refused_calls_use_the_limit_up() {
+fn the_reported_wait_is_exact_even_if_refused_calls_count() {
     for by in [LimitBy::Rate, LimitBy::Span] {
         for refused_count in [false, true] {
             let mut limiter = limiter(by, refused_count);
@@ -19,16 +19,19 @@
             let wait = limiter.take(now).unwrap_err();
             assert!(!wait.is_zero());
             let just_before = now + wait - Duration::from_millis(1);
-            assert!(!limiter.has_room(just_before, 0), "{by:?}: a shorter wait would have done");
-            assert!(limiter.has_room(now + wait + Duration::from_micros(1), 0), "{by:?}: the wait was a lie");
+            assert!(!limiter.has_room(just_before, 0), "{by:?}: the wait is longer than necessary");
+            assert!(
+                limiter.has_room(now + wait + Duration::from_micros(1), 0),
+                "{by:?}: the wait is too short"
+            );
         }
     }
 }
 
 #[test]
-fn refused_calls_that_count_keep_a_rate_shut_for_longer() {
-    let (mut kind, mut strict) = (limiter(LimitBy::Rate, false), limiter(LimitBy::Rate, true));
+fn counting_refused_calls_extends_the_wait() {
+    let (mut lenient, mut strict) = (limiter(LimitBy::Rate, false), limiter(LimitBy::Rate, true));
     let now = Duration::from_secs(1);
     let refusals = |limiter: &mut RateLimiter| (0..7).filter_map(|_| limiter.take(now).err()).last();
-    assert!(refusals(&mut strict) > refusals(&mut kind));
+    assert!(refusals(&mut strict) > refusals(&mut lenient));
 }
--- a/crates/sailcart-lab/tests/recorded_days.rs
+++ b/crates/sailcart-lab/tests/recorded_days.rs
@@ -1,5 +1,6 @@
-//! The calls that the module makes on shipped days are those on record. A change that is meant to alter no decision leaves
-//! `recorded_days.txt` as it is; one that alters some writes it anew with `RECORD=1` and says so in its commit.
+//! The requests that the decision module makes of its host in the shipped experiments must match a recording.
+//! A change that is not meant to alter decisions leaves `recorded_days.txt` as it is. A change that alters
+//! some regenerates the file with `RECORD=1` and says so in its commit.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -15,9 +16,9 @@
 use sailcart_lab::policies::{OracleView, Policy, PolicyName};
 use sailcart_lab::{shipped, simulated};
 
-const ON_RECORD: &str = include_str!("recorded_days.txt");
-/// Days, and what of them is set otherwise so that they play in a moment.
-const DAYS: &[(&str, &[&str])] = &[
+const RECORDED_LINES: &str = include_str!("recorded_days.txt");
+/// Shipped experiments, with the settings that are overridden to shorten their run.
+const EXPERIMENTS: &[(&str, &[&str])] = &[
     ("calm", &[]),
     ("hang", &[]),
     ("answer-lost", &[]),
@@ -32,123 +33,126 @@
     ("grown", &["span=6s", "load.rate=400", "senders.count=60", "troubles.0.at=1s", "troubles.0.for=2s"]),
 ];
 
-/// What all senders of a day asked for, in order.
+/// Number and digest of the requests that all senders of an experiment make, in order.
 #[derive(Default)]
-struct Calls {
+struct Requests {
     count: u64,
     digest: Hasher,
 }
 
-impl Calls {
-    fn note(&mut self, words: std::fmt::Arguments) {
+impl Requests {
+    fn record(&mut self, request: std::fmt::Arguments) {
         self.count += 1;
-        self.digest.update(format!("{words}\n").as_bytes());
+        self.digest.update(format!("{request}\n").as_bytes());
     }
 }
 
-/// The module, with each of its calls noted.
-struct Recorded {
-    inner: Sender,
+/// The decision module with a recording of its requests.
+struct RecordedModule {
+    module: Sender,
     seed: u64,
-    calls: Rc<RefCell<Calls>>,
+    requests: Rc<RefCell<Requests>>,
     dispatched_to: BTreeSet<EndpointId>,
 }
 
-struct Noting<'a> {
+/// Records the requests of the module and passes them on to the host.
+struct RecordingHost<'a> {
     host: &'a mut dyn Host,
     now: Duration,
     seed: u64,
-    calls: &'a RefCell<Calls>,
+    requests: &'a RefCell<Requests>,
     dispatched_to: &'a mut BTreeSet<EndpointId>,
 }
 
-impl Noting<'_> {
-    fn note(&self, words: std::fmt::Arguments) {
-        self.calls.borrow_mut().note(format_args!("{} {:?} {words}", self.seed, self.now));
+impl RecordingHost<'_> {
+    fn record(&self, request: std::fmt::Arguments) {
+        self.requests.borrow_mut().record(format_args!("{} {:?} {request}", self.seed, self.now));
     }
 }
 
-impl Host for Noting<'_> {
+impl Host for RecordingHost<'_> {
     fn dispatch(&mut self, packet: PacketId, endpoint: EndpointId, time_out: Duration) {
         self.dispatched_to.insert(endpoint);
-        self.note(format_args!("dispatch {} {} {time_out:?}", packet.0, endpoint.0));
+        self.record(format_args!("dispatch {} {} {time_out:?}", packet.0, endpoint.0));
         self.host.dispatch(packet, endpoint, time_out);
     }
     fn cancel(&mut self, packet: PacketId, dispatch: u32) {
-        self.note(format_args!("cancel {} {dispatch}", packet.0));
+        self.record(format_args!("cancel {} {dispatch}", packet.0));
         self.host.cancel(packet, dispatch);
     }
     fn dismiss(&mut self, packet: PacketId, retry_after: Option<Duration>) {
-        self.note(format_args!("dismiss {} {retry_after:?}", packet.0));
+        self.record(format_args!("dismiss {} {retry_after:?}", packet.0));
         self.host.dismiss(packet, retry_after);
     }
     fn scrap(&mut self, packet: PacketId) {
-        self.note(format_args!("scrap {}", packet.0));
+        self.record(format_args!("scrap {}", packet.0));
         self.host.scrap(packet);
     }
-    /// Of an endpoint that was never called no connection can be idle.
+    /// Requests for endpoints that were never called are not recorded, because no connection to them can be
+    /// idle.
     fn close_idle(&mut self, endpoint: EndpointId) {
         if self.dispatched_to.contains(&endpoint) {
-            self.note(format_args!("close {}", endpoint.0));
+            self.record(format_args!("close {}", endpoint.0));
         }
         self.host.close_idle(endpoint);
     }
     fn ask_list(&mut self) {
-        self.note(format_args!("ask"));
+        self.record(format_args!("ask"));
         self.host.ask_list();
     }
     fn wake(&mut self, after: Duration) {
-        self.note(format_args!("wake {after:?}"));
+        self.record(format_args!("wake {after:?}"));
         self.host.wake(after);
     }
 }
 
-impl Policy for Recorded {
-    fn list(&mut self, now: Duration, whole: bool, lines: &[Listing]) {
-        self.inner.list(now, whole, lines);
+impl Policy for RecordedModule {
+    fn list(&mut self, now: Duration, full: bool, entries: &[Listing]) {
+        self.module.list(now, full, entries);
     }
     fn take(&mut self, now: Duration, packet: Packet) {
-        self.inner.take(now, packet);
+        self.module.take(now, packet);
     }
     fn outcome(&mut self, now: Duration, id: PacketId, elapsed: Duration, outcome: Outcome, over: bool) {
-        self.inner.outcome(now, id, elapsed, outcome, over);
+        self.module.outcome(now, id, elapsed, outcome, over);
     }
     fn report(&mut self, id: PacketId, report: Report) {
-        self.inner.report(id, report);
+        self.module.report(id, report);
     }
     fn may_still_go(&self, now: Duration, id: PacketId) -> bool {
-        self.inner.may_still_go(now, id)
+        self.module.may_still_go(now, id)
     }
     fn decide(&mut self, now: Duration, _: &dyn OracleView, host: &mut dyn Host) {
-        let Recorded { inner, seed, calls, dispatched_to } = self;
-        inner.decide(now, &mut Noting { host, now, seed: *seed, calls, dispatched_to });
+        let RecordedModule { module, seed, requests, dispatched_to } = self;
+        module.decide(now, &mut RecordingHost { host, now, seed: *seed, requests, dispatched_to });
     }
 }
 
-/// One line: the day, how many calls its senders made, and their digest.
-fn record(day: &str, set: &[&str]) -> String {
-    let (_, text) = shipped::ALL.iter().find(|(name, _)| *name == day).expect("a shipped day");
-    let set: Vec<String> = set.iter().map(|&words| words.to_owned()).collect();
-    let plan = Plan::new(read_text(text, &set).expect("a sound experiment"), 1).expect("a sound experiment");
-    let calls = Rc::new(RefCell::new(Calls::default()));
-    let make = |seed| -> Box<dyn Policy> {
-        let inner = Sender::new(plan.terms.clone(), seed);
-        Box::new(Recorded { inner, seed, calls: calls.clone(), dispatched_to: BTreeSet::new() })
+/// One line of the recording: the experiment, the number of requests, and their digest.
+fn digest_line(experiment: &str, overrides: &[&str]) -> String {
+    let (_, text) = shipped::ALL.iter().find(|(name, _)| *name == experiment).expect("a shipped experiment");
+    let overrides: Vec<String> = overrides.iter().map(|&request| request.to_owned()).collect();
+    let plan =
+        Plan::new(read_text(text, &overrides).expect("a valid experiment"), 1).expect("a valid experiment");
+    let requests = Rc::new(RefCell::new(Requests::default()));
+    let new_policy = |seed| -> Box<dyn Policy> {
+        let module = Sender::new(plan.terms.clone(), seed);
+        Box::new(RecordedModule { module, seed, requests: requests.clone(), dispatched_to: BTreeSet::new() })
     };
-    simulated::run_with(&plan, PolicyName::Sailcart, Log::default(), &mut |_| {}, &make);
-    let calls = calls.borrow();
-    format!("{day} {} {:08x}", calls.count, calls.digest.clone().finalize())
+    simulated::run_with(&plan, PolicyName::Sailcart, Log::default(), &mut |_| {}, &new_policy);
+    let requests = requests.borrow();
+    format!("{experiment} {} {:08x}", requests.count, requests.digest.clone().finalize())
 }
 
 #[test]
-fn the_calls_on_shipped_days_are_those_on_record() {
-    let mut now = String::new();
-    for (day, set) in DAYS {
-        let _ = writeln!(now, "{}", record(day, set));
+fn host_requests_match_the_recorded_ones() {
+    let mut lines = String::new();
+    for (experiment, overrides) in EXPERIMENTS {
+        let _ = writeln!(lines, "{}", digest_line(experiment, overrides));
     }
     if std::env::var_os("RECORD").is_some() {
         let file = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/recorded_days.txt");
-        std::fs::write(file, &now).expect("a file to write");
+        std::fs::write(file, &lines).expect("a file to write");
     }
-    assert_eq!(now, ON_RECORD, "calls differ from those on record");
+    assert_eq!(lines, RECORDED_LINES, "requests differ from the recording");
 }
--- a/crates/sailcart-lab/tests/rule_violations.rs
+++ b/crates/sailcart-lab/tests/rule_violations.rs
@@ -1,62 +1,62 @@
-//! One deliberately wrong sender for each rule: the watcher catches it by that rule and by no other, and the module
-//! breaks none on the same day.
+//! One deliberately faulty sender for each rule: the watcher detects the violation of that rule and of no
+//! other, and the decision module violates none in the same experiment.
 
 mod common;
 
 use std::time::Duration;
 
-use common::{broken, plan, play, play_with};
+use common::{plan, run, run_with_policy, violated_rules};
 use sailcart::{Category, EndpointId, Host, Listing, Outcome, Packet, PacketId, Repeat, Sender, Terms};
 use sailcart_lab::plan::Plan;
 use sailcart_lab::policies::{Baseline, OracleView, Policy, PolicyName};
 use sailcart_lab::watcher::Rule;
 
-/// The module, with something kept from it or something done behind its back.
-struct Wrong {
-    inner: Sender,
-    deaf_to: fn(&Packet) -> bool,
-    drains_unheard: bool,
-    /// Packets ended in a round are dispatched once more in the next.
-    after_end: bool,
-    ended: Vec<PacketId>,
-    last: Option<EndpointId>,
+/// The decision module behind a layer that withholds input from it or makes calls of its own.
+struct FaultySender {
+    module: Sender,
+    ignores_packet: fn(&Packet) -> bool,
+    ignores_drains: bool,
+    /// Dispatches packets that were completed in a round again in the next one.
+    repeats_after_completion: bool,
+    completed: Vec<PacketId>,
+    last_endpoint: Option<EndpointId>,
 }
 
-impl Wrong {
+impl FaultySender {
     fn new(terms: &Terms, seed: u64) -> Self {
-        let inner = Sender::new(terms.clone(), seed);
-        Wrong {
-            inner,
-            deaf_to: |_| false,
-            drains_unheard: false,
-            after_end: false,
-            ended: vec![],
-            last: None,
+        let module = Sender::new(terms.clone(), seed);
+        FaultySender {
+            module,
+            ignores_packet: |_| false,
+            ignores_drains: false,
+            repeats_after_completion: false,
+            completed: vec![],
+            last_endpoint: None,
         }
     }
 }
 
-/// Notes the module's ends on their way.
-struct Noting<'a> {
+/// Records the packets that the module completes, and passes all requests on to the host.
+struct RecordingHost<'a> {
     host: &'a mut dyn Host,
-    ended: Vec<PacketId>,
-    last: &'a mut Option<EndpointId>,
+    completed: Vec<PacketId>,
+    last_endpoint: &'a mut Option<EndpointId>,
 }
 
-impl Host for Noting<'_> {
+impl Host for RecordingHost<'_> {
     fn dispatch(&mut self, packet: PacketId, endpoint: EndpointId, time_out: Duration) {
-        *self.last = Some(endpoint);
+        *self.last_endpoint = Some(endpoint);
         self.host.dispatch(packet, endpoint, time_out);
     }
     fn cancel(&mut self, packet: PacketId, dispatch: u32) {
         self.host.cancel(packet, dispatch);
     }
     fn dismiss(&mut self, packet: PacketId, retry_after: Option<Duration>) {
-        self.ended.push(packet);
+        self.completed.push(packet);
         self.host.dismiss(packet, retry_after);
     }
     fn scrap(&mut self, packet: PacketId) {
-        self.ended.push(packet);
+        self.completed.push(packet);
         self.host.scrap(packet);
     }
     fn close_idle(&mut self, endpoint: EndpointId) {
@@ -71,122 +71,140 @@
     }
 }
 
-impl Policy for Wrong {
-    fn list(&mut self, now: Duration, whole: bool, lines: &[Listing]) {
-        let heard = |line: &&Listing| line.live || !self.drains_unheard;
-        let lines: Vec<Listing> = lines.iter().filter(heard).cloned().collect();
-        Sender::list(&mut self.inner, now, whole, &lines);
+impl Policy for FaultySender {
+    fn list(&mut self, now: Duration, full: bool, entries: &[Listing]) {
+        let is_visible = |entry: &&Listing| entry.live || !self.ignores_drains;
+        let entries: Vec<Listing> = entries.iter().filter(is_visible).cloned().collect();
+        Sender::list(&mut self.module, now, full, &entries);
     }
     fn take(&mut self, now: Duration, packet: Packet) {
-        if !(self.deaf_to)(&packet) {
-            Sender::take(&mut self.inner, now, packet);
+        if !(self.ignores_packet)(&packet) {
+            Sender::take(&mut self.module, now, packet);
         }
     }
     fn outcome(&mut self, now: Duration, id: PacketId, elapsed: Duration, outcome: Outcome, over: bool) {
-        Sender::outcome(&mut self.inner, now, id, elapsed, outcome, over);
+        Sender::outcome(&mut self.module, now, id, elapsed, outcome, over);
     }
     fn may_still_go(&self, now: Duration, id: PacketId) -> bool {
-        Sender::may_still_go(&self.inner, now, id) || self.after_end
+        Sender::may_still_go(&self.module, now, id) || self.repeats_after_completion
     }
     fn decide(&mut self, now: Duration, _: &dyn OracleView, host: &mut dyn Host) {
-        if let Some(endpoint) = self.last.filter(|_| self.after_end) {
-            for packet in std::mem::take(&mut self.ended) {
+        if let Some(endpoint) = self.last_endpoint.filter(|_| self.repeats_after_completion) {
+            for packet in std::mem::take(&mut self.completed) {
                 host.dispatch(packet, endpoint, Duration::from_secs(1));
             }
         }
-        let mut noting = Noting { host, ended: vec![], last: &mut self.last };
-        self.inner.decide(now, &mut noting);
-        let ended = noting.ended;
-        // A little later than what may cross on the way.
-        if self.after_end && !ended.is_empty() {
-            self.ended.extend(ended);
+        let mut recording_host =
+            RecordingHost { host, completed: vec![], last_endpoint: &mut self.last_endpoint };
+        self.module.decide(now, &mut recording_host);
+        let completed = recording_host.completed;
+        // They are dispatched in the next round, so the calls do not merely cross the completions.
+        if self.repeats_after_completion && !completed.is_empty() {
+            self.completed.extend(completed);
         }
     }
 }
 
-/// The wrong sender breaks this rule alone; the module, on the same day, none.
-fn caught(plan: &Plan, rule: Rule, wrong: &dyn Fn(u64) -> Box<dyn Policy>) {
-    assert_eq!(broken(&play(plan, PolicyName::Sailcart)), vec![], "the module on the same day");
-    let outcome = play_with(plan, wrong);
-    assert_eq!(broken(&outcome), vec![rule]);
-    let breach = &outcome.breaches[0];
-    assert_eq!((breach.rule, breach.events.len()), (rule, 3), "{breach:?}");
-    assert!(rule == Rule::Return || breach.packet.is_some(), "the packet is named: {breach:?}");
+/// Asserts that the faulty sender violates this rule alone, and the decision module none in the same
+/// experiment.
+fn assert_detected(plan: &Plan, rule: Rule, new_faulty_policy: &dyn Fn(u64) -> Box<dyn Policy>) {
+    assert_eq!(
+        violated_rules(&run(plan, PolicyName::Sailcart)),
+        vec![],
+        "the decision module in the same experiment"
+    );
+    let outcome = run_with_policy(plan, new_faulty_policy);
+    assert_eq!(violated_rules(&outcome), vec![rule]);
+    let violation = &outcome.breaches[0];
+    assert_eq!((violation.rule, violation.events.len()), (rule, 3), "{violation:?}");
+    assert!(
+        rule == Rule::Return || violation.packet.is_some(),
+        "the violation names the packet: {violation:?}"
+    );
 }
 
-/// A careful client otherwise, told other terms than those that hold.
-fn misled(plan: &Plan, change: fn(&mut Category)) -> impl Fn(u64) -> Box<dyn Policy> {
+/// The backoff policy with terms that differ from those of the experiment.
+fn misconfigured(plan: &Plan, change: fn(&mut Category)) -> impl Fn(u64) -> Box<dyn Policy> {
     let mut terms = plan.terms.clone();
     terms.categories.iter_mut().for_each(change);
     move |seed| Box::new(Baseline::new(PolicyName::Backoff, terms.clone(), seed))
 }
 
 #[test]
-fn one_that_never_ends_a_packet() {
+fn a_packet_that_is_never_completed_is_detected() {
     let plan = plan(&[], "");
     let terms = plan.terms.clone();
-    caught(&plan, Rule::OneEnd, &move |seed| {
-        Box::new(Wrong { deaf_to: |packet| packet.id.0 % 40 == 7, ..Wrong::new(&terms, seed) })
+    assert_detected(&plan, Rule::OneEnd, &move |seed| {
+        Box::new(FaultySender {
+            ignores_packet: |packet| packet.id.0 % 40 == 7,
+            ..FaultySender::new(&terms, seed)
+        })
     });
 }
 
 #[test]
-fn one_that_sends_a_packet_after_its_end() {
-    // Packets end while all is refused; the rounds that clients' packets bring later send them once more.
+fn a_packet_sent_after_its_completion_is_detected() {
+    // Packets are completed while no endpoint answers; later rounds, caused by new packets, dispatch them
+    // again.
     let troubles = "[[troubles]]\nkind = \"silent\"\nat = \"2s\"\nfor = \"10s\"\n";
     let plan = plan(&[("LOAD", "again = 0")], troubles);
     let terms = plan.terms.clone();
-    let late =
-        move |seed| -> Box<dyn Policy> { Box::new(Wrong { after_end: true, ..Wrong::new(&terms, seed) }) };
-    let outcome = play_with(&plan, &late);
-    assert!(broken(&outcome).contains(&Rule::OneEnd), "{:?}", outcome.rules);
-    assert!(outcome.breaches.iter().any(|breach| breach.events[1].contains("ended as")));
+    let new_faulty_policy = move |seed| -> Box<dyn Policy> {
+        Box::new(FaultySender { repeats_after_completion: true, ..FaultySender::new(&terms, seed) })
+    };
+    let outcome = run_with_policy(&plan, &new_faulty_policy);
+    assert!(violated_rules(&outcome).contains(&Rule::OneEnd), "{:?}", outcome.rules);
+    assert!(outcome.breaches.iter().any(|violation| violation.events[1].contains("ended as")));
 }
 
 #[test]
-fn one_that_repeats_what_may_not_be_repeated() {
+fn a_repeated_unrepeatable_packet_is_detected() {
     let troubles = "[[troubles]]\nkind = \"answer-lost\"\nat = \"2s\"\nfor = \"10s\"\nshare = 0.3\n";
     let plan = plan(&[("CATEGORY", "repeat = \"unrepeatable\"")], troubles);
-    caught(&plan, Rule::NoDouble, &misled(&plan, |category| category.repeat = Repeat::Idempotent));
+    assert_detected(
+        &plan,
+        Rule::NoDouble,
+        &misconfigured(&plan, |category| category.repeat = Repeat::Idempotent),
+    );
 }
 
 #[test]
-fn one_that_repeats_beyond_the_memory_of_a_key() {
+fn a_packet_repeated_after_the_deduplication_memory_is_detected() {
     let troubles = "[[troubles]]\nkind = \"answer-lost\"\nat = \"2s\"\nfor = \"10s\"\nshare = 0.4\n";
     let plan = plan(&[("CATEGORY", "repeat = \"deduplicated\"\nmemory = \"3s\"")], troubles);
-    let long = |category: &mut Category| {
+    let longer_memory = |category: &mut Category| {
         category.repeat = Repeat::Deduplicated { memory: Duration::from_secs(60) };
     };
-    caught(&plan, Rule::NoDouble, &misled(&plan, long));
+    assert_detected(&plan, Rule::NoDouble, &misconfigured(&plan, longer_memory));
 }
 
 #[test]
-fn one_that_goes_on_at_an_endpoint_that_drains() {
+fn a_call_to_a_draining_endpoint_is_detected() {
     let troubles = "[[troubles]]\nkind = \"drain\"\nat = \"5s\"\nfor = \"20s\"\nendpoint = 0\n";
     let plan = plan(&[], troubles);
     let terms = plan.terms.clone();
-    caught(&plan, Rule::Drains, &move |seed| {
-        Box::new(Wrong { drains_unheard: true, ..Wrong::new(&terms, seed) })
+    assert_detected(&plan, Rule::Drains, &move |seed| {
+        Box::new(FaultySender { ignores_drains: true, ..FaultySender::new(&terms, seed) })
     });
 }
 
 #[test]
-fn one_that_pushes_a_returning_destination_over() {
+fn overload_of_a_recovering_destination_is_detected() {
     let troubles = "[[troubles]]\nkind = \"refuse\"\nat = \"4s\"\nfor = \"6s\"\n\
         [rules]\ncold_from = 0.1\nfall_multiple = 1.2\n";
     let plan = plan(&[("LOAD", "clumped = 0.0"), ("DESTINATION", "spread = 0.1")], troubles);
-    caught(&plan, Rule::Return, &misled(&plan, |_| {}));
+    assert_detected(&plan, Rule::Return, &misconfigured(&plan, |_| {}));
 }
 
 #[test]
-fn one_that_keeps_no_order() {
+fn packets_of_a_key_out_of_order_are_detected() {
     let plan = plan(&[("CATEGORY", "repeat = \"idempotent\"\nin_order = true"), ("LOAD", "keys = 4")], "");
-    caught(&plan, Rule::Order, &misled(&plan, |category| category.in_order = false));
+    assert_detected(&plan, Rule::Order, &misconfigured(&plan, |category| category.in_order = false));
 }
 
 #[test]
-fn one_that_heeds_no_wait() {
+fn an_ignored_retry_after_wait_is_detected() {
     let limit = "limit = { by = \"span\", rate = 10.0, span = \"2s\", tells = 1.0 }";
     let plan = plan(&[("DESTINATION", limit)], "");
-    caught(&plan, Rule::Waits, &misled(&plan, |_| {}));
+    assert_detected(&plan, Rule::Waits, &misconfigured(&plan, |_| {}));
 }
--- a/crates/sailcart-lab/tests/sockets_mode.rs
+++ b/crates/sailcart-lab/tests/sockets_mode.rs
@@ -1,11 +1,11 @@
-//! The lab as a program, with the sender's own processes.
+//! The `sailcart-lab` program in sockets mode, with sender processes.
 
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// The sender's program, built if it is not there.
-fn sender() -> PathBuf {
+/// Path of the sender program, which is built if it does not exist.
+fn sender_program() -> PathBuf {
     let lab = Path::new(env!("CARGO_BIN_EXE_sailcart-lab"));
     let path = lab.with_file_name("sailcart");
     if !path.is_file() {
@@ -16,49 +16,49 @@
     path
 }
 
-fn lab(words: &[&str], out: &Path) -> Command {
+fn lab(arguments: &[&str], out: &Path) -> Command {
     let mut lab = Command::new(env!("CARGO_BIN_EXE_sailcart-lab"));
-    lab.args(words).arg("--out").arg(out).arg("--sender").arg(sender());
+    lab.args(arguments).arg("--out").arg(out).arg("--sender").arg(sender_program());
     lab.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped());
     lab
 }
 
-/// Processes whose parent is this one.
+/// Ids of the running processes with this parent.
 fn children(parent: u32) -> Vec<i32> {
     let all = procfs::process::all_processes().expect("processes").flatten();
     let stats = all.filter_map(|process| process.stat().ok());
     stats.filter(|stat| stat.ppid == parent as i32 && stat.state != 'Z').map(|stat| stat.pid).collect()
 }
 
-fn alive(pid: i32) -> bool {
+fn is_running(pid: i32) -> bool {
     let stat = procfs::process::Process::new(pid).and_then(|process| process.stat());
     stat.is_ok_and(|stat| stat.state != 'Z')
 }
 
-fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + Duration::from_secs(15);
-    while !holds() {
-        assert!(Instant::now() < end, "{what}");
+fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + Duration::from_secs(15);
+    while !condition() {
+        assert!(Instant::now() < deadline, "{what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
 #[test]
-fn no_sender_outlives_a_lab_that_is_killed() {
+fn senders_end_when_the_lab_is_killed() {
     let out = tempfile::tempdir().expect("a folder");
-    let words = ["run", "calm", "--mode", "sockets"];
-    let mut run: Child = lab(&words, out.path()).spawn().expect("the lab");
+    let arguments = ["run", "calm", "--mode", "sockets"];
+    let mut run: Child = lab(&arguments, out.path()).spawn().expect("the lab");
     wait_until("senders start", || children(run.id()).len() == 3);
     let senders = children(run.id());
     run.kill().expect("a kill");
     run.wait().expect("its end");
-    wait_until("senders end with it", || senders.iter().all(|pid| !alive(*pid)));
+    wait_until("senders end with the lab", || senders.iter().all(|pid| !is_running(*pid)));
 }
 
 #[test]
-fn a_short_day_with_a_kill_keeps_the_rules_and_its_end_is_told() {
+fn a_short_experiment_with_a_kill_violates_no_rule_and_writes_its_report() {
     let out = tempfile::tempdir().expect("a folder");
-    let words = [
+    let arguments = [
         "run",
         "rolling-restarts",
         "--mode",
@@ -78,27 +78,28 @@
         "--set",
         "bounds=[\"breaches = 0\", \"crashes = 0\", \"delivered >= 150\"]",
     ];
-    let run = lab(&words, out.path()).output().expect("the lab");
-    let (said, faults) = (String::from_utf8_lossy(&run.stdout), String::from_utf8_lossy(&run.stderr));
-    assert_eq!(run.status.code(), Some(0), "{said}{faults}");
+    let run = lab(&arguments, out.path()).output().expect("the lab");
+    let (stdout, stderr) = (String::from_utf8_lossy(&run.stdout), String::from_utf8_lossy(&run.stderr));
+    assert_eq!(run.status.code(), Some(0), "{stdout}{stderr}");
     let page = std::fs::read_to_string(out.path().join("report.html")).expect("a page");
-    assert!(page.contains("<svg") && page.contains("sender 2"), "pictures, and what each sender cost");
+    assert!(page.contains("<svg") && page.contains("sender 2"), "charts, and the cost of each sender");
 }
 
-/// A hundred moments: whatever was being written then, nothing taken is lost and nothing is done twice.
+/// Kills senders a hundred times, so that the kills interrupt writes at many points. No accepted packet is
+/// lost and none is executed twice.
 #[test]
-fn a_hundred_kills_under_load_lose_and_double_nothing() {
+fn a_hundred_kills_under_load_lose_and_repeat_nothing() {
     let out = tempfile::tempdir().expect("a folder");
     let bounds = "bounds=[\"breaches = 0\", \"crashes = 0\", \"kills >= 100\"]";
     let run = lab(&["run", "kills", "--set", bounds], out.path()).output().expect("the lab");
-    let (said, faults) = (String::from_utf8_lossy(&run.stdout), String::from_utf8_lossy(&run.stderr));
-    assert_eq!(run.status.code(), Some(0), "{said}{faults}");
+    let (stdout, stderr) = (String::from_utf8_lossy(&run.stdout), String::from_utf8_lossy(&run.stderr));
+    assert_eq!(run.status.code(), Some(0), "{stdout}{stderr}");
 }
 
 #[test]
-fn a_bound_missed_is_status_one_and_a_wrong_file_two() {
+fn a_missed_bound_exits_with_1_and_an_invalid_setting_with_2() {
     let out = tempfile::tempdir().expect("a folder");
-    let status = |words: &[&str]| lab(words, out.path()).output().expect("the lab").status.code();
+    let status = |arguments: &[&str]| lab(arguments, out.path()).output().expect("the lab").status.code();
     assert_eq!(status(&["run", "calm", "--set", "bounds=[\"credit > 2\"]"]), Some(1));
     assert_eq!(status(&["run", "calm", "--set", "load.rate=none"]), Some(2));
     assert_eq!(status(&["run", "calm", "--set", "bounds=[\"credit > 0.9\"]"]), Some(0));
