--- a/crates/sailcart-lab/src/sockets/mod.rs
+++ b/crates/sailcart-lab/src/sockets/mod.rs
@@ -3,11 +3,11 @@
 
 mod clients;
 mod discovery;
+mod endpoints;
 mod http;
-mod machines;
+mod machine_troubles;
 mod process;
 mod protocol;
-mod receiver;
 mod shared;
 
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
 use crate::results::Outcome;
 use crate::soak::machine::{MachineTrouble, needs_links};
 use crate::soak::proxy::Proxy;
-use machines::{Links, Rig};
+use machine_troubles::{Links, Rig};
 pub use process::keep;
 use process::{Ground, SenderProcesses};
 use shared::SharedState;
@@ -90,7 +90,7 @@
 ) -> Result<Outcome, Fault> {
     let shared = SharedState::new(plan, log);
     let plan = shared.plan.clone();
-    let addresses = receiver::open(&shared).await.map_err(fault("receivers"))?;
+    let addresses = endpoints::open(&shared).await.map_err(fault("receivers"))?;
     let proxied = needs_links(strain.machine);
     let endpoints = if proxied { endpoint_links(&shared, &addresses).await? } else { Vec::new() };
     // By sender, where each has links of its own; one for all else.
@@ -116,7 +116,7 @@
         processes.ready(SenderId(sender), READY).await?;
     }
     shared.begin();
-    receiver::troubles(&shared);
+    endpoints::troubles(&shared);
     Rc::new(Rig { shared: shared.clone(), processes: processes.clone(), links }).strike(strain.machine);
     spawn_local(processes.clone().watch());
     let clients = clients::Clients::new(&shared, &processes);
@@ -228,7 +228,7 @@
     let runtime = runtime.map_err(fault("runtime"))?;
     let alone = async {
         let shared = SharedState::alone(plan.clone());
-        let addresses = receiver::open(&shared).await.map_err(fault("receivers"))?;
+        let addresses = endpoints::open(&shared).await.map_err(fault("receivers"))?;
         let own = discovery::open_at(&shared, &addresses, discovery).await.map_err(fault("discovery"))?;
         let state = folder.join("state");
         std::fs::create_dir_all(&state).map_err(fault("folder"))?;
@@ -236,7 +236,7 @@
         let file = folder.join("config.json");
         std::fs::write(&file, config.to_string()).map_err(fault("folder"))?;
         shared.begin();
-        receiver::troubles(&shared);
+        endpoints::troubles(&shared);
         println!("{} endpoints, discovery and notices at {own}", shared.plan.places.len());
         println!("start a sender: sailcart serve --config {}", file.display());
         let mut told = String::new();
