--- a/crates/sailcart-lab/src/sockets/machine_troubles.rs
+++ b/crates/sailcart-lab/src/sockets/machine_troubles.rs
@@ -94,7 +94,7 @@
     let share = |share: i64| if stands { share } else { 0 };
     match what {
         What::Folder { errno, window, period } => {
-            page.windows(window, period)?;
+            page.set_file_fault_windows(window, period)?;
             page.files_fail(number(errno))
         }
         What::ShortCalls { broken } => {
@@ -102,7 +102,7 @@
             page.set(Word::ReadCut, share(SHORT))?;
             page.set(Word::WriteCut, share(SHORT))?;
             page.set(Word::WaitInterrupted, share(INTERRUPTED))?;
-            page.set(Word::Broken, number(broken).into())
+            page.set(Word::ConnectionResetErrno, number(broken).into())
         }
         What::OwnFaults { accept, socket, connect } => {
             page.share((Word::Accept, accept), (Word::AcceptPerMille, share(OWN_FAULTS)))?;
--- a/crates/sailcart-shim-preload/src/calls.rs
+++ b/crates/sailcart-shim-preload/src/calls.rs
@@ -1,4 +1,5 @@
-//! The entry points. Each takes its arguments as the C library's own does and hands on to that, or fails.
+//! The interposed functions. Each has the signature of its counterpart in the C library and either calls that
+//! or fails.
 
 use std::ffi::{CStr, c_char, c_int, c_void};
 use std::sync::atomic::{AtomicI32, AtomicUsize, Ordering};
@@ -6,30 +7,32 @@
 use libc::{clockid_t, epoll_event, iovec, off64_t, size_t, sockaddr, socklen_t, ssize_t, timespec};
 use sailcart_shim::{Count, Word};
 
-use crate::page::{count, draws, random, word};
+use crate::page::{increment, is_selected, random_below, setting};
 
-/// The next definition of a function after this library's.
-fn next(slot: &AtomicUsize, name: &CStr) -> usize {
-    let known = slot.load(Ordering::Relaxed);
-    if known != 0 {
-        return known;
+/// Address of the C library's function that this library interposes; `cache` stores the result of the
+/// look-up.
+fn next_definition(cache: &AtomicUsize, name: &CStr) -> usize {
+    let cached = cache.load(Ordering::Relaxed);
+    if cached != 0 {
+        return cached;
     }
-    // SAFETY: a look-up by a name that ends with zero.
-    let found = unsafe { libc::dlsym(libc::RTLD_NEXT, name.as_ptr()) } as usize;
-    slot.store(found, Ordering::Relaxed);
-    found
+    // SAFETY: `name` is terminated by a null byte.
+    let address = unsafe { libc::dlsym(libc::RTLD_NEXT, name.as_ptr()) } as usize;
+    cache.store(address, Ordering::Relaxed);
+    address
 }
 
-macro_rules! real {
-    ($name:literal, fn($($kind:ty),*) -> $back:ty) => {{
-        static SLOT: AtomicUsize = AtomicUsize::new(0);
-        // SAFETY: the C library's function of that name has this signature.
-        unsafe { std::mem::transmute::<usize, unsafe extern "C" fn($($kind),*) -> $back>(next(&SLOT, $name)) }
+/// The C library's own function of this name.
+macro_rules! original {
+    ($name:literal, fn($($argument:ty),*) -> $result:ty) => {{
+        static CACHE: AtomicUsize = AtomicUsize::new(0);
+        // SAFETY: the C library's function of this name has this signature.
+        unsafe { std::mem::transmute::<usize, unsafe extern "C" fn($($argument),*) -> $result>(next_definition(&CACHE, $name)) }
     }};
 }
 
 fn fail(errno: i64) -> c_int {
-    // SAFETY: the calling thread's own error number.
+    // SAFETY: points to the calling thread's error number.
     unsafe { *libc::__errno_location() = errno as c_int };
     -1
 }
@@ -39,273 +42,274 @@
     unsafe { *libc::__errno_location() }
 }
 
-/// Above the standard streams, a descriptor of this type of file.
-fn is(file: c_int, kind: libc::mode_t) -> bool {
-    // SAFETY: a status of its own to write to.
+/// Whether a descriptor refers to a file of this type. False for the standard streams, so that they never
+/// fail.
+fn has_file_type(fd: c_int, file_type: libc::mode_t) -> bool {
+    // SAFETY: all zeros are a valid `stat64`.
     let mut status: libc::stat64 = unsafe { std::mem::zeroed() };
-    // SAFETY: as above.
-    file > 2 && unsafe { libc::fstat64(file, &mut status) } == 0 && status.st_mode & libc::S_IFMT == kind
+    // SAFETY: `status` is valid for writes.
+    fd > 2 && unsafe { libc::fstat64(fd, &mut status) } == 0 && status.st_mode & libc::S_IFMT == file_type
 }
 
-fn is_file(file: c_int) -> bool {
-    is(file, libc::S_IFREG)
+fn is_regular_file(fd: c_int) -> bool {
+    has_file_type(fd, libc::S_IFREG)
 }
 
-fn is_tcp(file: c_int) -> bool {
-    // SAFETY: an address of its own to write to, with its length.
+fn is_tcp(fd: c_int) -> bool {
+    // SAFETY: `address` and `length` are valid for writes; `length` is the size of `address`.
     unsafe {
         let mut address: libc::sockaddr_storage = std::mem::zeroed();
         let mut length = size_of::<libc::sockaddr_storage>() as socklen_t;
-        is(file, libc::S_IFSOCK)
-            && libc::getsockname(file, (&raw mut address).cast(), &mut length) == 0
+        has_file_type(fd, libc::S_IFSOCK)
+            && libc::getsockname(fd, (&raw mut address).cast(), &mut length) == 0
             && i32::from(address.ss_family) == libc::AF_INET
     }
 }
 
-/// Milliseconds of the monotonic clock.
-fn monotonic() -> i64 {
+/// The monotonic clock in milliseconds.
+fn monotonic_ms() -> i64 {
     let mut now = timespec { tv_sec: 0, tv_nsec: 0 };
-    let real = real!(c"clock_gettime", fn(clockid_t, *mut timespec) -> c_int);
-    // SAFETY: a time of its own to write to.
-    unsafe { real(libc::CLOCK_MONOTONIC, &mut now) };
+    let original = original!(c"clock_gettime", fn(clockid_t, *mut timespec) -> c_int);
+    // SAFETY: `now` is valid for writes.
+    unsafe { original(libc::CLOCK_MONOTONIC, &mut now) };
     now.tv_sec * 1000 + now.tv_nsec / 1_000_000
 }
 
-/// The error number with which a call on a file fails now, if it does.
-fn file_fault(kind: Word, what: Count) -> Option<i64> {
-    let errno = word(kind);
+/// The error number with which a file call is to fail now, if any. Counts the fault.
+fn file_error(errno_setting: Word, counter: Count) -> Option<i64> {
+    let errno = setting(errno_setting);
     if errno == 0 {
         return None;
     }
-    let period = word(Word::FilePeriod);
-    if period > 0 && monotonic() % period >= word(Word::FileWindow) {
+    let period = setting(Word::FileFaultPeriodMs);
+    if period > 0 && monotonic_ms() % period >= setting(Word::FileFaultWindowMs) {
         return None;
     }
-    count(what);
+    increment(counter);
     Some(errno)
 }
 
-/// The file of which the last write went down by half; its next write fails.
-static HALF_WRITTEN: AtomicI32 = AtomicI32::new(-1);
+/// Descriptor whose last write was cut to half of its bytes; the next write to it fails.
+static PARTIALLY_WRITTEN_FD: AtomicI32 = AtomicI32::new(-1);
 
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn write(file: c_int, bytes: *const c_void, length: size_t) -> ssize_t {
-    let real = real!(c"write", fn(c_int, *const c_void, size_t) -> ssize_t);
-    let length = if word(Word::FileWrite) != 0 && is_file(file) {
-        match file_fault(Word::FileWrite, Count::FileWrite) {
+pub unsafe extern "C" fn write(fd: c_int, buffer: *const c_void, length: size_t) -> ssize_t {
+    let original = original!(c"write", fn(c_int, *const c_void, size_t) -> ssize_t);
+    let length = if setting(Word::FileWriteErrno) != 0 && is_regular_file(fd) {
+        match file_error(Word::FileWriteErrno, Count::FileWrite) {
             None => length,
             Some(_)
-                if word(Word::FileWriteHalf) != 0
+                if setting(Word::FilePartialWrite) != 0
                     && length > 1
-                    && HALF_WRITTEN.swap(file, Ordering::Relaxed) != file =>
+                    && PARTIALLY_WRITTEN_FD.swap(fd, Ordering::Relaxed) != fd =>
             {
                 length / 2
             }
             Some(errno) => {
-                HALF_WRITTEN.store(-1, Ordering::Relaxed);
+                PARTIALLY_WRITTEN_FD.store(-1, Ordering::Relaxed);
                 return fail(errno) as ssize_t;
             }
         }
     } else {
         length
     };
-    // SAFETY: the caller's own arguments, with a length that is no larger.
-    unsafe { real(file, bytes, length) }
+    // SAFETY: the caller's arguments; the length is at most the caller's.
+    unsafe { original(fd, buffer, length) }
 }
 
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn fsync(file: c_int) -> c_int {
-    let real = real!(c"fsync", fn(c_int) -> c_int);
-    match file_fault(Word::FileSync, Count::FileSync) {
+pub unsafe extern "C" fn fsync(fd: c_int) -> c_int {
+    let original = original!(c"fsync", fn(c_int) -> c_int);
+    match file_error(Word::FileSync, Count::FileSync) {
         Some(errno) => fail(errno),
-        // SAFETY: the caller's own argument.
-        None => unsafe { real(file) },
+        // SAFETY: the caller's argument.
+        None => unsafe { original(fd) },
     }
 }
 
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn fdatasync(file: c_int) -> c_int {
-    let real = real!(c"fdatasync", fn(c_int) -> c_int);
-    match file_fault(Word::FileSync, Count::FileSync) {
+pub unsafe extern "C" fn fdatasync(fd: c_int) -> c_int {
+    let original = original!(c"fdatasync", fn(c_int) -> c_int);
+    match file_error(Word::FileSync, Count::FileSync) {
         Some(errno) => fail(errno),
-        // SAFETY: the caller's own argument.
-        None => unsafe { real(file) },
+        // SAFETY: the caller's argument.
+        None => unsafe { original(fd) },
     }
 }
 
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn ftruncate64(file: c_int, length: off64_t) -> c_int {
-    let real = real!(c"ftruncate64", fn(c_int, off64_t) -> c_int);
-    match file_fault(Word::FileTruncate, Count::FileTruncate) {
+pub unsafe extern "C" fn ftruncate64(fd: c_int, length: off64_t) -> c_int {
+    let original = original!(c"ftruncate64", fn(c_int, off64_t) -> c_int);
+    match file_error(Word::FileTruncateErrno, Count::FileTruncate) {
         Some(errno) => fail(errno),
-        // SAFETY: the caller's own arguments.
-        None => unsafe { real(file, length) },
+        // SAFETY: the caller's arguments.
+        None => unsafe { original(fd, length) },
     }
 }
 
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: libc::mode_t) -> c_int {
-    let real = real!(c"open64", fn(*const c_char, c_int, libc::mode_t) -> c_int);
+    let original = original!(c"open64", fn(*const c_char, c_int, libc::mode_t) -> c_int);
     let creates = flags & libc::O_CREAT != 0;
-    match if creates { file_fault(Word::FileNames, Count::FileNames) } else { None } {
+    match if creates { file_error(Word::DirectoryUpdateErrno, Count::DirectoryUpdate) } else { None } {
         Some(errno) => fail(errno),
-        // SAFETY: the caller's own arguments.
-        None => unsafe { real(path, flags, mode) },
+        // SAFETY: the caller's arguments.
+        None => unsafe { original(path, flags, mode) },
     }
 }
 
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn rename(from: *const c_char, to: *const c_char) -> c_int {
-    let real = real!(c"rename", fn(*const c_char, *const c_char) -> c_int);
-    match file_fault(Word::FileNames, Count::FileNames) {
+    let original = original!(c"rename", fn(*const c_char, *const c_char) -> c_int);
+    match file_error(Word::DirectoryUpdateErrno, Count::DirectoryUpdate) {
         Some(errno) => fail(errno),
-        // SAFETY: the caller's own arguments.
-        None => unsafe { real(from, to) },
+        // SAFETY: the caller's arguments.
+        None => unsafe { original(from, to) },
     }
 }
 
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn unlink(path: *const c_char) -> c_int {
-    let real = real!(c"unlink", fn(*const c_char) -> c_int);
-    match file_fault(Word::FileNames, Count::FileNames) {
+    let original = original!(c"unlink", fn(*const c_char) -> c_int);
+    match file_error(Word::DirectoryUpdateErrno, Count::DirectoryUpdate) {
         Some(errno) => fail(errno),
-        // SAFETY: the caller's own argument.
-        None => unsafe { real(path) },
+        // SAFETY: the caller's argument.
+        None => unsafe { original(path) },
     }
 }
 
-/// How many of these bytes a read takes.
-fn read_length(file: c_int, length: size_t) -> size_t {
-    if length > 1 && draws(Word::ReadCut) && is_tcp(file) {
-        count(Count::ReadCut);
-        return length.min(1 + random(word(Word::ReadCutMost) as u64) as usize);
+/// Number of bytes to request from a read of `length` bytes, possibly fewer.
+fn read_length(fd: c_int, length: size_t) -> size_t {
+    if length > 1 && is_selected(Word::ReadCut) && is_tcp(fd) {
+        increment(Count::ReadCut);
+        return length.min(1 + random_below(setting(Word::ReadCutMost) as u64) as usize);
     }
     length
 }
 
-/// A broken connection may show itself by other numbers than a reset.
-fn broken(result: ssize_t) -> ssize_t {
-    let other = word(Word::Broken);
-    if result < 0 && other != 0 && errno() == libc::ECONNRESET {
-        count(Count::Broken);
-        return fail(other) as ssize_t;
+/// Replaces `ECONNRESET`: a broken connection may also be reported by other error numbers.
+fn replace_connection_reset(result: ssize_t) -> ssize_t {
+    let replacement = setting(Word::ConnectionResetErrno);
+    if result < 0 && replacement != 0 && errno() == libc::ECONNRESET {
+        increment(Count::ConnectionReset);
+        return fail(replacement) as ssize_t;
     }
     result
 }
 
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn recv(file: c_int, into: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
-    let real = real!(c"recv", fn(c_int, *mut c_void, size_t, c_int) -> ssize_t);
-    // SAFETY: the caller's own arguments, with a length that is no larger.
-    broken(unsafe { real(file, into, read_length(file, length), flags) })
+pub unsafe extern "C" fn recv(fd: c_int, buffer: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
+    let original = original!(c"recv", fn(c_int, *mut c_void, size_t, c_int) -> ssize_t);
+    // SAFETY: the caller's arguments; the length is at most the caller's.
+    replace_connection_reset(unsafe { original(fd, buffer, read_length(fd, length), flags) })
 }
 
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn readv(file: c_int, into: *const iovec, parts: c_int) -> ssize_t {
-    let real = real!(c"readv", fn(c_int, *const iovec, c_int) -> ssize_t);
-    // SAFETY: the caller's own arguments.
-    broken(unsafe { real(file, into, parts) })
+pub unsafe extern "C" fn readv(fd: c_int, vectors: *const iovec, count: c_int) -> ssize_t {
+    let original = original!(c"readv", fn(c_int, *const iovec, c_int) -> ssize_t);
+    // SAFETY: the caller's arguments.
+    replace_connection_reset(unsafe { original(fd, vectors, count) })
 }
 
-/// How many of these bytes a write takes, perhaps after a delay.
-fn write_length(file: c_int, length: size_t) -> size_t {
-    if draws(Word::Delay) && is_tcp(file) {
-        count(Count::Delay);
-        let span = word(Word::DelayMs);
-        let span = timespec { tv_sec: span / 1000, tv_nsec: span % 1000 * 1_000_000 };
-        // SAFETY: a time of its own.
-        unsafe { libc::nanosleep(&span, std::ptr::null_mut()) };
+/// Number of bytes to pass to a write of `length` bytes, possibly fewer. May delay the call first.
+fn write_length(fd: c_int, length: size_t) -> size_t {
+    if is_selected(Word::WriteDelayPerMille) && is_tcp(fd) {
+        increment(Count::WriteDelay);
+        let delay = setting(Word::WriteDelayMs);
+        let delay = timespec { tv_sec: delay / 1000, tv_nsec: delay % 1000 * 1_000_000 };
+        // SAFETY: `delay` is valid for reads; the remaining time is not asked for.
+        unsafe { libc::nanosleep(&delay, std::ptr::null_mut()) };
     }
-    if length > 1 && draws(Word::WriteCut) && is_tcp(file) {
-        count(Count::WriteCut);
-        return 1 + random(length as u64 - 1) as usize;
+    if length > 1 && is_selected(Word::WriteCut) && is_tcp(fd) {
+        increment(Count::WriteCut);
+        return 1 + random_below(length as u64 - 1) as usize;
     }
     length
 }
 
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn send(file: c_int, bytes: *const c_void, length: size_t, flags: c_int) -> ssize_t {
-    let real = real!(c"send", fn(c_int, *const c_void, size_t, c_int) -> ssize_t);
-    // SAFETY: the caller's own arguments, with a length that is no larger.
-    broken(unsafe { real(file, bytes, write_length(file, length), flags) })
+pub unsafe extern "C" fn send(fd: c_int, buffer: *const c_void, length: size_t, flags: c_int) -> ssize_t {
+    let original = original!(c"send", fn(c_int, *const c_void, size_t, c_int) -> ssize_t);
+    // SAFETY: the caller's arguments; the length is at most the caller's.
+    replace_connection_reset(unsafe { original(fd, buffer, write_length(fd, length), flags) })
 }
 
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn writev(file: c_int, from: *const iovec, parts: c_int) -> ssize_t {
-    let real = real!(c"writev", fn(c_int, *const iovec, c_int) -> ssize_t);
-    // SAFETY: the caller's own arguments; fewer parts where it is cut short.
+pub unsafe extern "C" fn writev(fd: c_int, vectors: *const iovec, count: c_int) -> ssize_t {
+    let original = original!(c"writev", fn(c_int, *const iovec, c_int) -> ssize_t);
+    // SAFETY: the caller's arguments; a short write passes only the first vector.
     unsafe {
-        if parts > 1 && draws(Word::WriteCut) && is_tcp(file) {
-            count(Count::WriteCut);
-            return broken(real(file, from, 1));
+        if count > 1 && is_selected(Word::WriteCut) && is_tcp(fd) {
+            increment(Count::WriteCut);
+            return replace_connection_reset(original(fd, vectors, 1));
         }
-        broken(real(file, from, parts))
+        replace_connection_reset(original(fd, vectors, count))
     }
 }
 
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn accept4(
-    file: c_int,
+    fd: c_int,
     address: *mut sockaddr,
     length: *mut socklen_t,
     flags: c_int,
 ) -> c_int {
-    let real = real!(c"accept4", fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int);
-    if draws(Word::AcceptPerMille) {
-        count(Count::Accept);
-        return fail(word(Word::Accept));
+    let original = original!(c"accept4", fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int);
+    if is_selected(Word::AcceptPerMille) {
+        increment(Count::Accept);
+        return fail(setting(Word::Accept));
     }
-    // SAFETY: the caller's own arguments.
-    unsafe { real(file, address, length, flags) }
+    // SAFETY: the caller's arguments.
+    unsafe { original(fd, address, length, flags) }
 }
 
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
-    let real = real!(c"socket", fn(c_int, c_int, c_int) -> c_int);
-    if domain == libc::AF_INET && draws(Word::SocketPerMille) {
-        count(Count::Socket);
-        return fail(word(Word::Socket));
+pub unsafe extern "C" fn socket(domain: c_int, socket_type: c_int, protocol: c_int) -> c_int {
+    let original = original!(c"socket", fn(c_int, c_int, c_int) -> c_int);
+    if domain == libc::AF_INET && is_selected(Word::SocketPerMille) {
+        increment(Count::Socket);
+        return fail(setting(Word::Socket));
     }
-    // SAFETY: the caller's own arguments.
-    unsafe { real(domain, kind, protocol) }
+    // SAFETY: the caller's arguments.
+    unsafe { original(domain, socket_type, protocol) }
 }
 
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn connect(file: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
-    let real = real!(c"connect", fn(c_int, *const sockaddr, socklen_t) -> c_int);
-    if draws(Word::ConnectPerMille) && is_tcp(file) {
-        count(Count::Connect);
-        return fail(word(Word::Connect));
+pub unsafe extern "C" fn connect(fd: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
+    let original = original!(c"connect", fn(c_int, *const sockaddr, socklen_t) -> c_int);
+    if is_selected(Word::ConnectPerMille) && is_tcp(fd) {
+        increment(Count::Connect);
+        return fail(setting(Word::Connect));
     }
-    // SAFETY: the caller's own arguments.
-    unsafe { real(file, address, length) }
+    // SAFETY: the caller's arguments.
+    unsafe { original(fd, address, length) }
 }
 
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn epoll_wait(
-    file: c_int,
+    fd: c_int,
     events: *mut epoll_event,
-    most: c_int,
-    within: c_int,
+    max_events: c_int,
+    timeout_ms: c_int,
 ) -> c_int {
-    let real = real!(c"epoll_wait", fn(c_int, *mut epoll_event, c_int, c_int) -> c_int);
-    if within != 0 && draws(Word::WaitInterrupted) {
-        count(Count::WaitInterrupted);
+    let original = original!(c"epoll_wait", fn(c_int, *mut epoll_event, c_int, c_int) -> c_int);
+    if timeout_ms != 0 && is_selected(Word::WaitInterrupted) {
+        increment(Count::WaitInterrupted);
         return fail(libc::EINTR.into());
     }
-    // SAFETY: the caller's own arguments.
-    unsafe { real(file, events, most, within) }
+    // SAFETY: the caller's arguments.
+    unsafe { original(fd, events, max_events, timeout_ms) }
 }
 
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn clock_gettime(clock: clockid_t, now: *mut timespec) -> c_int {
-    let real = real!(c"clock_gettime", fn(clockid_t, *mut timespec) -> c_int);
-    // SAFETY: the caller's own arguments; the time was written where that succeeded.
+    let original = original!(c"clock_gettime", fn(clockid_t, *mut timespec) -> c_int);
+    // SAFETY: the caller's arguments; `now` has been written if the call succeeded.
     unsafe {
-        let result = real(clock, now);
+        let result = original(clock, now);
         if result == 0 && clock == libc::CLOCK_REALTIME {
-            (*now).tv_sec += word(Word::WallStep) / 1000;
-            (*now).tv_nsec += word(Word::WallStep) % 1000 * 1_000_000;
+            (*now).tv_sec += setting(Word::WallStep) / 1000;
+            (*now).tv_nsec += setting(Word::WallStep) % 1000 * 1_000_000;
             if (*now).tv_nsec >= 1_000_000_000 {
                 ((*now).tv_sec, (*now).tv_nsec) = ((*now).tv_sec + 1, (*now).tv_nsec - 1_000_000_000);
             } else if (*now).tv_nsec < 0 {
--- a/crates/sailcart-shim-preload/src/lib.rs
+++ b/crates/sailcart-shim-preload/src/lib.rs
@@ -1,8 +1,10 @@
-//! The preloaded half of the shim: the C library's entry points that a sender uses, each of which may fail as the control page of
-//! `sailcart-shim` asks. The only place of the project where `unsafe` stands: it is loaded into processes under test alone.
+//! Preload library of the fault-injecting shim. It interposes the functions of the C library that a sender
+//! calls, and makes them fail as the control page of `sailcart-shim` asks. This is the only crate of the
+//! project that uses `unsafe`; it is loaded only into processes under test.
 //!
-//! What it may do is what the man page of each call documents. A read or write that is cut short is one that the kernel could have
-//! returned: `epoll(7)` leaves it to the program whether it takes a short read for a drained socket.
+//! It injects only what the man page of each call documents. A short read or write is a result that the
+//! kernel could have returned: `epoll(7)` leaves it to the program whether it takes a short read as the sign
+//! of a drained socket.
 
 mod calls;
 mod page;
--- a/crates/sailcart-shim-preload/src/page.rs
+++ b/crates/sailcart-shim-preload/src/page.rs
@@ -1,68 +1,72 @@
-//! The control page as mapped into the process, and the draws by which calls fail.
+//! The control page as mapped into the process under test, and the random choice of the calls that fail.
 
 use std::ptr::null_mut;
 use std::sync::atomic::{AtomicPtr, AtomicU64, Ordering};
 
 use sailcart_shim::{Count, PAGE_BYTES, Word};
 
-const WORDS: usize = PAGE_BYTES / 8;
+const PAGE_WORDS: usize = PAGE_BYTES / 8;
 
-type Words = [AtomicU64; WORDS];
+type ControlPage = [AtomicU64; PAGE_WORDS];
 
-static PAGE: AtomicPtr<Words> = AtomicPtr::new(null_mut());
-static NONE: Words = [const { AtomicU64::new(0) }; WORDS];
-static RANDOM: AtomicU64 = AtomicU64::new(0);
+static MAPPED_PAGE: AtomicPtr<ControlPage> = AtomicPtr::new(null_mut());
+/// Stands in for the control page in a process without one; all settings are 0.
+static EMPTY_PAGE: ControlPage = [const { AtomicU64::new(0) }; PAGE_WORDS];
+static RANDOM_STEP: AtomicU64 = AtomicU64::new(0);
 
-/// The page, mapped at the first call. Without one, nothing fails.
-fn page() -> &'static Words {
-    let mapped = PAGE.load(Ordering::Acquire);
+/// The control page, mapped at the first call. Without one no call fails.
+fn page() -> &'static ControlPage {
+    let mapped = MAPPED_PAGE.load(Ordering::Acquire);
     let mapped = if mapped.is_null() { map() } else { mapped };
     // SAFETY: either the static page or a mapping of PAGE_BYTES that is never unmapped.
     unsafe { &*mapped }
 }
 
-fn map() -> *mut Words {
-    let mut found = (&raw const NONE).cast_mut();
-    // SAFETY: plain calls of the C library; the file is opened past this library's own entry point.
+fn map() -> *mut ControlPage {
+    let mut page = (&raw const EMPTY_PAGE).cast_mut();
+    // SAFETY: plain calls of the C library; the system call opens the file without this library's own
+    // `open64`.
     unsafe {
-        let name = libc::getenv(c"SAILCART_SHIM".as_ptr());
-        if !name.is_null() {
-            let file = libc::syscall(libc::SYS_openat, libc::AT_FDCWD, name, libc::O_RDWR | libc::O_CLOEXEC);
-            if file >= 0 {
+        let path = libc::getenv(c"SAILCART_SHIM".as_ptr());
+        if !path.is_null() {
+            let fd = libc::syscall(libc::SYS_openat, libc::AT_FDCWD, path, libc::O_RDWR | libc::O_CLOEXEC);
+            if fd >= 0 {
                 let protection = libc::PROT_READ | libc::PROT_WRITE;
-                let mapping =
-                    libc::mmap(null_mut(), PAGE_BYTES, protection, libc::MAP_SHARED, file as i32, 0);
-                libc::close(file as i32);
+                let mapping = libc::mmap(null_mut(), PAGE_BYTES, protection, libc::MAP_SHARED, fd as i32, 0);
+                libc::close(fd as i32);
                 if mapping != libc::MAP_FAILED {
-                    found = mapping.cast();
+                    page = mapping.cast();
                 }
             }
         }
     }
-    PAGE.store(found, Ordering::Release);
-    found
+    MAPPED_PAGE.store(page, Ordering::Release);
+    page
 }
 
-pub fn word(word: Word) -> i64 {
-    page()[word as usize].load(Ordering::Relaxed) as i64
+/// The current value of a setting.
+pub fn setting(setting: Word) -> i64 {
+    page()[setting as usize].load(Ordering::Relaxed) as i64
 }
 
-pub fn count(count: Count) {
-    page()[count as usize].fetch_add(1, Ordering::Relaxed);
+/// Counts one injected fault.
+pub fn increment(counter: Count) {
+    page()[counter as usize].fetch_add(1, Ordering::Relaxed);
 }
 
-/// A number below `most`.
-pub fn random(most: u64) -> u64 {
-    let step = RANDOM.fetch_add(1, Ordering::Relaxed).wrapping_add(word(Word::Seed) as u64);
+/// A random number below `bound`, or 0 if the bound is 0.
+pub fn random_below(bound: u64) -> u64 {
+    let step = RANDOM_STEP.fetch_add(1, Ordering::Relaxed).wrapping_add(setting(Word::Seed) as u64);
     // The finalizer of SplitMix64.
     let mut mixed = step.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    (mixed ^ (mixed >> 31)) % most.max(1)
+    (mixed ^ (mixed >> 31)) % bound.max(1)
 }
 
-/// Whether a call fails that does so with a share of this word.
-pub fn draws(share: Word) -> bool {
-    let share = word(share);
-    share > 0 && (random(1000) as i64) < share
+/// Draws whether this call is affected. `per_mille` is the setting that holds the share of calls in
+/// thousandths.
+pub fn is_selected(per_mille: Word) -> bool {
+    let per_mille = setting(per_mille);
+    per_mille > 0 && (random_below(1000) as i64) < per_mille
 }
--- a/crates/sailcart-shim/src/lib.rs
+++ b/crates/sailcart-shim/src/lib.rs
@@ -1,7 +1,9 @@
-//! The control page of the fault-injecting shim: a file of [`PAGE_BYTES`] that a test or the laboratory writes and that the library
-//! `sailcart-shim-preload`, loaded into the process under test, maps. Faults are switched on and off while that process runs.
+//! Controls the fault-injecting shim. A test or the lab writes the settings to a control page, a file of
+//! [`PAGE_BYTES`] bytes. The library `sailcart-shim-preload`, loaded into the process under test, maps that
+//! file and reads them at every call, so faults can be switched on and off while the process runs.
 //!
-//! Only failures that the calls' man pages document, in states in which the kernel could return them, can be asked for.
+//! The settings cover only failures that the man pages of the calls document, in states in which the kernel
+//! could return them.
 
 use std::fs::{File, OpenOptions};
 use std::io;
@@ -11,87 +13,96 @@
 use std::sync::OnceLock;
 use std::time::Duration;
 
-/// The size of the control page.
+/// Size of the control page in bytes.
 pub const PAGE_BYTES: usize = 4096;
-/// The environment variable that names the control page's file.
-pub const VARIABLE: &str = "SAILCART_SHIM";
-/// Bytes of one word.
+/// Environment variable that holds the path of the control page.
+pub const PAGE_PATH_VARIABLE: &str = "SAILCART_SHIM";
+/// Size of one setting or counter in bytes.
 const WORD_BYTES: usize = 8;
-/// The first of the words in which the library counts the faults that it caused.
-const FIRST_COUNT: usize = 64;
+/// Index of the first counter on the control page; settings use the words before it.
+const FIRST_COUNTER_INDEX: usize = 64;
 
-/// A kind of fault, with the words that set it. `PerMille` words hold the share of calls that fail, in thousandths.
+/// A setting; the value is its index on the control page. A setting of 0 injects no fault. Shares of calls
+/// are in thousandths.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(usize)]
 pub enum Word {
-    /// Seed of the library's random numbers.
+    /// Seed of the library's random number generator.
     Seed = 0,
-    /// Error number with which writes to regular files fail; 0 for none.
-    FileWrite = 1,
-    /// Other than 0: half of the bytes are written before a write fails.
-    FileWriteHalf = 2,
+    /// Error number with which writes to regular files fail.
+    FileWriteErrno = 1,
+    /// If not 0, half of the bytes are written before a write to a file fails.
+    FilePartialWrite = 2,
     /// Error number with which `fsync` and `fdatasync` fail.
     FileSync = 3,
     /// Error number with which `ftruncate` of a regular file fails.
-    FileTruncate = 4,
-    /// Error number with which files are not created, renamed or removed.
-    FileNames = 5,
-    /// Milliseconds from one window of file faults to the next; 0: they last.
-    FilePeriod = 6,
-    /// Milliseconds of each period in which files fail.
-    FileWindow = 7,
-    /// Of reads from TCP sockets: cut short.
+    FileTruncateErrno = 4,
+    /// Error number with which creating, renaming and removing files fails.
+    DirectoryUpdateErrno = 5,
+    /// Milliseconds from the start of one window of file faults to the next; 0 for file faults without a
+    /// pause.
+    FileFaultPeriodMs = 6,
+    /// Milliseconds in each period during which file calls fail.
+    FileFaultWindowMs = 7,
+    /// Share of reads from TCP sockets that are short.
     ReadCut = 8,
-    /// The most bytes of a read that is cut short.
+    /// Maximum number of bytes that a short read returns.
     ReadCutMost = 9,
-    /// Of writes to TCP sockets: cut short.
+    /// Share of writes to TCP sockets that are short.
     WriteCut = 10,
-    /// Error number with which `accept4` fails, and the share of calls.
+    /// Error number with which `accept4` fails.
     Accept = 11,
+    /// Share of `accept4` calls that fail.
     AcceptPerMille = 12,
-    /// Error number with which `socket` fails for TCP, and the share of calls.
+    /// Error number with which `socket` fails for TCP.
     Socket = 13,
+    /// Share of `socket` calls for TCP that fail.
     SocketPerMille = 14,
-    /// Error number with which `connect` fails for TCP, and the share of calls.
+    /// Error number with which `connect` fails for TCP.
     Connect = 15,
+    /// Share of `connect` calls for TCP that fail.
     ConnectPerMille = 16,
-    /// Of waits in `epoll_wait`: interrupted.
+    /// Share of waits in `epoll_wait` that are interrupted.
     WaitInterrupted = 17,
-    /// Error number that broken connections show in place of `ECONNRESET`.
-    Broken = 18,
-    /// Milliseconds by which the wall clock is stepped, as a signed number.
+    /// Error number that calls on a reset connection return in place of `ECONNRESET`.
+    ConnectionResetErrno = 18,
+    /// Milliseconds by which the wall clock is stepped; negative values step it back.
     WallStep = 19,
-    /// Of writes to TCP sockets: held up before they are carried out.
-    Delay = 20,
-    /// For how many milliseconds.
-    DelayMs = 21,
+    /// Share of writes to TCP sockets that are delayed.
+    WriteDelayPerMille = 20,
+    /// Milliseconds by which a delayed write is held.
+    WriteDelayMs = 21,
 }
 
-/// What the library counts.
+/// A counter of injected faults; the value is its index on the control page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(usize)]
 pub enum Count {
-    FileWrite = FIRST_COUNT,
+    FileWrite = FIRST_COUNTER_INDEX,
     FileSync,
     FileTruncate,
-    FileNames,
+    /// Files that were not created, renamed or removed.
+    DirectoryUpdate,
+    /// Short reads from TCP sockets.
     ReadCut,
+    /// Short writes to TCP sockets.
     WriteCut,
     Accept,
     Socket,
     Connect,
     WaitInterrupted,
-    Broken,
-    Delay,
+    /// Calls that returned another error number in place of `ECONNRESET`.
+    ConnectionReset,
+    WriteDelay,
 }
 
-/// Error numbers that callers ask for.
+/// Error numbers that callers pass to [`Page`].
 pub use libc::{
     EADDRNOTAVAIL, ECONNABORTED, EHOSTUNREACH, EINTR, EIO, EMFILE, ENETUNREACH, ENFILE, ENOBUFS, ENOSPC,
     ETIMEDOUT,
 };
 
-/// A control page, and the commands that run under it.
+/// The control page of the processes that are started with its [`environment`](Page::environment).
 #[derive(Debug)]
 pub struct Page {
     path: PathBuf,
@@ -99,66 +110,69 @@
 }
 
 impl Page {
-    /// A new page without faults.
+    /// Creates the file with all settings and counters at 0; an existing file is overwritten.
     pub fn new(path: &Path) -> io::Result<Page> {
         let file = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(path)?;
         file.write_all_at(&[0; PAGE_BYTES], 0)?;
         Ok(Page { path: path.to_owned(), file })
     }
 
-    /// Sets one word; it counts from the process's next call on.
-    pub fn set(&self, word: Word, value: i64) -> io::Result<()> {
-        self.file.write_all_at(&value.to_ne_bytes(), (word as usize * WORD_BYTES) as u64)
+    /// Changes one setting. It applies from the next call of the process under test.
+    pub fn set(&self, setting: Word, value: i64) -> io::Result<()> {
+        self.file.write_all_at(&value.to_ne_bytes(), (setting as usize * WORD_BYTES) as u64)
     }
 
-    /// Sets a share of calls, in thousandths, and the error number with which they fail.
+    /// Makes a share of calls, in thousandths, fail with an error number.
     pub fn share(&self, errno: (Word, i32), per_mille: (Word, i64)) -> io::Result<()> {
         self.set(errno.0, errno.1.into())?;
         self.set(per_mille.0, per_mille.1)
     }
 
-    /// Writes, cuts and names of files fail with this error number, after half of a write's bytes went down; 0 mends them.
+    /// Makes file calls (write, sync, truncate, create, rename, remove) fail with this error number; 0 ends
+    /// the failures. Half of the bytes of a failing write are written first.
     pub fn files_fail(&self, errno: i32) -> io::Result<()> {
-        for word in [Word::FileWrite, Word::FileTruncate, Word::FileNames, Word::FileSync] {
-            self.set(word, errno.into())?;
+        for setting in
+            [Word::FileWriteErrno, Word::FileTruncateErrno, Word::DirectoryUpdateErrno, Word::FileSync]
+        {
+            self.set(setting, errno.into())?;
         }
-        self.set(Word::FileWriteHalf, 1)
+        self.set(Word::FilePartialWrite, 1)
     }
 
-    /// File faults come in windows of one length, in each period of another.
-    pub fn windows(&self, window: Duration, period: Duration) -> io::Result<()> {
-        self.set(Word::FileWindow, window.as_millis() as i64)?;
-        self.set(Word::FilePeriod, period.as_millis() as i64)
+    /// Limits file faults to a window at the start of each period. A period of zero removes the limit.
+    pub fn set_file_fault_windows(&self, window: Duration, period: Duration) -> io::Result<()> {
+        self.set(Word::FileFaultWindowMs, window.as_millis() as i64)?;
+        self.set(Word::FileFaultPeriodMs, period.as_millis() as i64)
     }
 
-    /// No faults; the wall clock as it is.
+    /// Resets all settings, and with them the step of the wall clock. The counters keep their values.
     pub fn clear(&self) -> io::Result<()> {
-        self.file.write_all_at(&[0; (Word::DelayMs as usize + 1) * WORD_BYTES], 0)
+        self.file.write_all_at(&[0; (Word::WriteDelayMs as usize + 1) * WORD_BYTES], 0)
     }
 
-    /// How many faults of a kind the library has caused.
-    pub fn count(&self, count: Count) -> u64 {
-        let mut word = [0; WORD_BYTES];
-        match self.file.read_exact_at(&mut word, (count as usize * WORD_BYTES) as u64) {
-            Ok(()) => u64::from_ne_bytes(word),
+    /// Number of injected faults of one kind; 0 if the page cannot be read.
+    pub fn count(&self, counter: Count) -> u64 {
+        let mut value = [0; WORD_BYTES];
+        match self.file.read_exact_at(&mut value, (counter as usize * WORD_BYTES) as u64) {
+            Ok(()) => u64::from_ne_bytes(value),
             Err(_) => 0,
         }
     }
 
-    /// The variables under which a process is started so that it runs under this page.
+    /// Environment variables that load the library into a process and name this control page.
     pub fn environment(&self, library: &Path) -> [(&'static str, PathBuf); 2] {
-        [("LD_PRELOAD", library.to_owned()), (VARIABLE, self.path.clone())]
+        [("LD_PRELOAD", library.to_owned()), (PAGE_PATH_VARIABLE, self.path.clone())]
     }
 }
 
-/// The library, built by cargo where it is not there yet.
+/// Path of the preload library. The first call in a process has cargo build it.
 ///
 /// # Errors
-/// Where cargo cannot build it.
+/// If cargo cannot build the library.
 pub fn library() -> io::Result<&'static Path> {
     static LIBRARY: OnceLock<Result<PathBuf, String>> = OnceLock::new();
-    let built = LIBRARY.get_or_init(|| build().map_err(|fault| fault.to_string()));
-    built.as_deref().map_err(|words| io::Error::other(words.clone()))
+    let built = LIBRARY.get_or_init(|| build().map_err(|error| error.to_string()));
+    built.as_deref().map_err(|message| io::Error::other(message.clone()))
 }
 
 fn build() -> io::Result<PathBuf> {
@@ -168,7 +182,7 @@
     let mut command = Command::new(cargo);
     command.args(["build", "--quiet", "--locked", "--target-dir"]).arg(&target).current_dir(package);
     if !command.status()?.success() {
-        return Err(io::Error::other("cargo did not build sailcart-shim-preload"));
+        return Err(io::Error::other("cargo failed to build sailcart-shim-preload"));
     }
     target.join("debug/libsailcart_shim_preload.so").canonicalize()
 }
