--- a/crates/sailcart-lab/src/sockets/clients.rs
+++ b/crates/sailcart-lab/src/sockets/clients.rs
@@ -1,5 +1,5 @@
-//! Clients: each packet is handed in at its intended moment, whatever became of those before it, and its answer is
-//! timed from that moment.
+//! The clients: each packet is submitted at its scheduled time, no matter whether earlier ones have been
+//! answered, and the latency of its reply is measured from that time.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -17,34 +17,36 @@
 use tokio::time::{sleep, sleep_until, timeout};
 
 use super::process::SenderProcesses;
-use super::protocol::put;
+use super::protocol::submit_command;
 use super::shared::SharedState;
 use crate::experiment::choose_by_key;
 use crate::plan::{OriginId, SenderId, Struck, chance};
 use crate::results::tally::Count;
 use crate::watcher::{End, Seen};
 
-/// How long a client waits for its answer.
-const PATIENCE: Duration = Duration::from_millis(400);
-/// How long it stays away from a sender that could not be reached.
-const ELSEWHERE: Duration = Duration::from_millis(50);
-/// An error or a close must come within this to what cannot be read.
-const RUDE: Duration = Duration::from_secs(3);
-/// Answers are short.
-const MOST_ANSWER: usize = 512;
+/// How long a client waits for a connection, and then for a reply.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(400);
+/// How long a client waits after a failed attempt before it chooses a sender again.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
+/// A sender must answer malformed input with an error, or close the connection, within this time.
+const MALFORMED_INPUT_TIMEOUT: Duration = Duration::from_secs(3);
+/// A longer reply is an error.
+const MAX_REPLY_BYTES: usize = 512;
 
+/// All clients of a run.
 pub struct Clients {
     shared: Rc<SharedState>,
     processes: Rc<SenderProcesses>,
-    idle: RefCell<HashMap<SenderId, Vec<TcpStream>>>,
+    idle_connections: RefCell<HashMap<SenderId, Vec<TcpStream>>>,
     rng: RefCell<ChaCha8Rng>,
 }
 
-/// What a client heard.
-enum Heard {
-    Taken,
+/// A sender's reply to a submission.
+enum Reply {
+    Accepted,
+    /// Dismissed, with the wait that the sender requests before a resubmission.
     Dismissed(Duration),
-    /// An answer that is neither.
+    /// An error reply other than `-BUSY`.
     Error,
 }
 
@@ -54,175 +56,185 @@
         Rc::new(Clients {
             shared: shared.clone(),
             processes: processes.clone(),
-            idle: RefCell::default(),
+            idle_connections: RefCell::default(),
             rng,
         })
     }
 
-    pub async fn hand_all_in(self: Rc<Self>) {
-        let again = self.clone();
-        spawn_local(async move { again.again().await });
+    /// Submits every packet of the plan at its time.
+    pub async fn submit_all(self: Rc<Self>) {
+        let clients = self.clone();
+        spawn_local(async move { clients.resubmit_dismissed().await });
         for (number, origin) in self.shared.plan.origins.iter().enumerate() {
             if origin.at > self.shared.now() {
                 sleep_until(self.shared.instant(origin.at)).await;
             }
-            spawn_local(self.clone().hand_in(OriginId(number), 0, origin.at));
+            spawn_local(self.clone().submit(OriginId(number), 0, origin.at));
         }
     }
 
-    /// Those whose packets were dismissed come again.
-    async fn again(self: Rc<Self>) {
+    /// Submits dismissed packets again when their delay has passed.
+    async fn resubmit_dismissed(self: Rc<Self>) {
         loop {
             sleep(Duration::from_millis(20)).await;
             let now = self.shared.now();
             let due = {
-                let mut all = self.shared.again.borrow_mut();
-                let (due, later): (Vec<_>, Vec<_>) = all.drain(..).partition(|(_, _, at)| *at <= now);
-                *all = later;
+                let mut resubmissions = self.shared.resubmissions.borrow_mut();
+                let (due, later): (Vec<_>, Vec<_>) =
+                    resubmissions.drain(..).partition(|(_, _, at)| *at <= now);
+                *resubmissions = later;
                 due
             };
-            for (origin, tries, at) in due {
-                spawn_local(self.clone().hand_in(origin, tries, at));
+            for (origin, attempt, at) in due {
+                spawn_local(self.clone().submit(origin, attempt, at));
             }
         }
     }
 
-    /// By key where it has one, so that one sender gets all of a key while it runs; else any.
-    fn choose(&self, id: OriginId) -> Option<SenderId> {
-        let up = self.processes.taking();
-        match self.shared.plan.origins[id.0].key {
-            Some(key) => choose_by_key(key, &up),
-            None => up.choose(&mut *self.rng.borrow_mut()).copied(),
+    /// Chooses among the senders that accept packets. Packets with a key go to the sender that the key
+    /// selects, so that one sender gets all packets of a key while it runs; others go to a random one.
+    fn choose_sender(&self, origin: OriginId) -> Option<SenderId> {
+        let accepting = self.processes.accepting();
+        match self.shared.plan.origins[origin.0].key {
+            Some(key) => choose_by_key(key, &accepting),
+            None => accepting.choose(&mut *self.rng.borrow_mut()).copied(),
         }
     }
 
-    async fn hand_in(self: Rc<Self>, origin: OriginId, tries: u32, intended: Duration) {
+    /// Submits a packet until a sender replies or its deadline has passed. `scheduled_at` is the start of the
+    /// latency.
+    async fn submit(self: Rc<Self>, origin_id: OriginId, attempt: u32, scheduled_at: Duration) {
         let plan = &self.shared.plan;
-        let wanted = &plan.origins[origin.0];
-        let ends = wanted.at + plan.category(wanted.category).patience;
+        let origin = &plan.origins[origin_id.0];
+        let deadline = origin.at + plan.category(origin.category).patience;
         loop {
             let now = self.shared.now();
-            if now >= ends {
+            if now >= deadline {
                 return;
             }
-            let Some(sender) = self.choose(origin) else {
-                sleep(ELSEWHERE).await;
+            let Some(sender) = self.choose_sender(origin_id) else {
+                sleep(RETRY_DELAY).await;
                 continue;
             };
-            let Some((mut stream, fresh)) = self.connection(sender).await else {
-                sleep(ELSEWHERE).await;
+            let Some((mut stream, is_new)) = self.connection(sender).await else {
+                sleep(RETRY_DELAY).await;
                 continue;
             };
-            let packet = self.shared.hand(origin, sender, tries);
-            let bytes = put(plan, origin, packet.0, ends - now);
-            let said = match say(&mut stream, &bytes).await {
-                Err(_) if !fresh => self.say_again(sender, &mut stream, &bytes).await,
-                said => said,
+            let packet = self.shared.record_submission(origin_id, sender, attempt);
+            let command = submit_command(plan, origin_id, packet.0, deadline - now);
+            let reply = match send_command(&mut stream, &command).await {
+                Err(_) if !is_new => self.resend(sender, &mut stream, &command).await,
+                reply => reply,
             };
-            let Ok(heard) = said else {
-                self.shared.abandoned(packet);
-                sleep(ELSEWHERE).await;
+            let Ok(reply) = reply else {
+                self.shared.record_abandonment(packet);
+                sleep(RETRY_DELAY).await;
                 continue;
             };
-            let from = if tries == 0 { wanted.at } else { intended };
-            self.shared.tally.borrow_mut().answered(self.shared.now().saturating_sub(from));
-            self.hear(packet, heard);
-            self.idle.borrow_mut().entry(sender).or_default().push(stream);
+            let measured_from = if attempt == 0 { origin.at } else { scheduled_at };
+            self.shared.tally.borrow_mut().answered(self.shared.now().saturating_sub(measured_from));
+            self.handle_reply(packet, reply);
+            self.idle_connections.borrow_mut().entry(sender).or_default().push(stream);
             return;
         }
     }
 
-    /// A kept connection was closed between two commands: once more on a new one, which takes its place.
-    async fn say_again(&self, sender: SenderId, kept: &mut TcpStream, bytes: &[u8]) -> io::Result<Heard> {
+    /// Sends a command again on a new connection, after a pooled one was closed between two commands. The new
+    /// connection replaces the pooled one.
+    async fn resend(&self, sender: SenderId, pooled: &mut TcpStream, command: &[u8]) -> io::Result<Reply> {
         let mut new = TcpStream::connect(self.processes.address(sender)).await?;
-        let said = say(&mut new, bytes).await;
-        *kept = new;
-        said
+        let reply = send_command(&mut new, command).await;
+        *pooled = new;
+        reply
     }
 
-    fn hear(&self, packet: PacketId, heard: Heard) {
-        match heard {
-            Heard::Taken => self.shared.taken(packet),
-            Heard::Dismissed(wait) => self.shared.ended(packet, End::Dismissed, wait),
-            Heard::Error => {
+    fn handle_reply(&self, packet: PacketId, reply: Reply) {
+        match reply {
+            Reply::Accepted => self.shared.record_acceptance(packet),
+            Reply::Dismissed(wait) => self.shared.record_completion(packet, End::Dismissed, wait),
+            Reply::Error => {
                 log::warn!("packet {}: code=error_answer", packet.0);
-                self.shared.see(Seen::Ended(packet, End::Dismissed));
-                self.shared.abandoned(packet);
+                self.shared.observe(Seen::Ended(packet, End::Dismissed));
+                self.shared.record_abandonment(packet);
             }
         }
     }
 
-    /// A kept connection, or a new one; whether it is new.
+    /// A pooled connection or a new one, and whether it is new.
     async fn connection(&self, sender: SenderId) -> Option<(TcpStream, bool)> {
-        let kept = self.idle.borrow_mut().get_mut(&sender).and_then(Vec::pop);
-        if let Some(kept) = kept {
-            return Some((kept, false));
+        let pooled = self.idle_connections.borrow_mut().get_mut(&sender).and_then(Vec::pop);
+        if let Some(pooled) = pooled {
+            return Some((pooled, false));
         }
-        let new = timeout(PATIENCE, TcpStream::connect(self.processes.address(sender))).await.ok()?.ok()?;
+        let new =
+            timeout(REPLY_TIMEOUT, TcpStream::connect(self.processes.address(sender))).await.ok()?.ok()?;
         new.set_nodelay(true).ok()?;
         Some((new, true))
     }
 }
 
-/// One command and its answer.
-async fn say(stream: &mut TcpStream, bytes: &[u8]) -> io::Result<Heard> {
-    let turn = async {
-        stream.write_all(bytes).await?;
-        let mut answer = Vec::new();
-        while !answer.ends_with(b"\r\n") {
-            if answer.len() > MOST_ANSWER {
+/// Sends one command and reads the reply.
+///
+/// # Errors
+/// The error of the connection, `InvalidData` if the reply is too long, `TimedOut` after [`REPLY_TIMEOUT`].
+async fn send_command(stream: &mut TcpStream, command: &[u8]) -> io::Result<Reply> {
+    let exchange = async {
+        stream.write_all(command).await?;
+        let mut reply = Vec::new();
+        while !reply.ends_with(b"\r\n") {
+            if reply.len() > MAX_REPLY_BYTES {
                 return Err(io::ErrorKind::InvalidData.into());
             }
-            if stream.read_buf(&mut answer).await? == 0 {
+            if stream.read_buf(&mut reply).await? == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
         }
-        let line = String::from_utf8_lossy(&answer);
-        let words: Vec<&str> = line.split_whitespace().collect();
+        let text = String::from_utf8_lossy(&reply);
+        let words: Vec<&str> = text.split_whitespace().collect();
         Ok(match words.as_slice() {
-            ["-BUSY"] => Heard::Dismissed(Duration::ZERO),
-            ["-BUSY", ms] => Heard::Dismissed(Duration::from_millis(ms.parse().unwrap_or(0))),
-            [first, ..] if first.starts_with('-') => Heard::Error,
-            _ => Heard::Taken,
+            ["-BUSY"] => Reply::Dismissed(Duration::ZERO),
+            ["-BUSY", ms] => Reply::Dismissed(Duration::from_millis(ms.parse().unwrap_or(0))),
+            [first, ..] if first.starts_with('-') => Reply::Error,
+            _ => Reply::Accepted,
         })
     };
-    timeout(PATIENCE, turn).await?
+    timeout(REPLY_TIMEOUT, exchange).await?
 }
 
-/// What cannot be read, in turn.
-fn garbage(nth: usize, rng: &mut ChaCha8Rng) -> Vec<u8> {
-    match nth % 6 {
+/// One of six kinds of malformed input, in rotation.
+fn malformed_input(index: usize, rng: &mut ChaCha8Rng) -> Vec<u8> {
+    match index % 6 {
         0 => (0..200).map(|_| rng.random()).collect(),
         1 => b"*5\r\n$7\r\nMSG.PUT\r\n$-9\r\n".to_vec(),
         2 => b"*1000000000\r\n".to_vec(),
         3 => b"*5\r\n$7\r\nMSG.PUT\r\n$3000000000\r\n".to_vec(),
         4 => b"GET / HTTP/1.1\r\nHost: somewhere\r\n\r\n".to_vec(),
-        _ => b"*5\r\n$7\r\nMSG.PUT\r\n$16\r\n00000000".to_vec(), // and then nothing more
+        _ => b"*5\r\n$7\r\nMSG.PUT\r\n$16\r\n00000000".to_vec(), // the rest of the command is never sent
     }
 }
 
-/// Clients that send what cannot be read, so many a second; each must hear an error or a close within three
-/// seconds.
-pub async fn rude(shared: Rc<SharedState>, processes: Rc<SenderProcesses>, struck: Struck) {
+/// Sends malformed input at the rate that the trouble sets, each on a new connection, and counts the
+/// connections that get neither an error nor a close within [`MALFORMED_INPUT_TIMEOUT`].
+pub async fn send_malformed_input(shared: Rc<SharedState>, processes: Rc<SenderProcesses>, struck: Struck) {
     sleep_until(shared.instant(struck.from)).await;
-    let gap = Duration::from_secs(1) / struck.trouble.count.unwrap_or(10).max(1) as u32;
+    let interval = Duration::from_secs(1) / struck.trouble.count.unwrap_or(10).max(1) as u32;
     let mut rng = chance(shared.plan.seed, 7);
-    let mut nth = 0;
+    let mut index = 0;
     while shared.now() < struck.until {
-        let bytes = garbage(nth, &mut rng);
-        let sender = struck.senders[nth % struck.senders.len()];
+        let input = malformed_input(index, &mut rng);
+        let sender = struck.senders[index % struck.senders.len()];
         let (shared, address) = (shared.clone(), processes.address(sender));
         spawn_local(async move {
             let Ok(mut stream) = TcpStream::connect(address).await else { return };
-            if stream.write_all(&bytes).await.is_err() {
+            if stream.write_all(&input).await.is_err() {
                 return;
             }
-            let mut answer = [0u8; 256];
-            if timeout(RUDE, stream.read(&mut answer)).await.is_err() {
+            let mut reply = [0u8; 256];
+            if timeout(MALFORMED_INPUT_TIMEOUT, stream.read(&mut reply)).await.is_err() {
                 shared.tally.borrow_mut().count(Count::Ignored);
             }
         });
-        nth += 1;
-        sleep(gap).await;
+        index += 1;
+        sleep(interval).await;
     }
 }
--- a/crates/sailcart-lab/src/sockets/discovery.rs
+++ b/crates/sailcart-lab/src/sockets/discovery.rs
@@ -1,4 +1,6 @@
-//! Discovery and the receiver of notices, one agent for each sender: it tells what has reached it by then.
+//! The platform's side: one agent per sender, which serves the discovery list and receives the sender's
+//! notices. A change of the list reaches each agent with a delay of its own, and the agent lists only the
+//! changes that have reached it.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,60 +14,66 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep_until};
 
-use super::http::{Call, Inbox, answer, bare};
-use super::protocol::entry;
+use super::http::{Call, CallReader, bodiless_response, response};
+use super::protocol::list_entry;
 use super::shared::SharedState;
 use crate::experiment::TroubleKind;
 use crate::plan::{Change, SenderId, Standing};
 use crate::watcher::{End, Seen};
 
-/// A sender waits for news so long at most, in milliseconds.
-const LONGEST_HOLD_MS: u64 = 60_000;
+/// Maximum time for which a request for the list is held until the list changes.
+const MAX_HOLD_MS: u64 = 60_000;
 
+/// The platform as one sender sees it.
 struct Agent {
     shared: Rc<SharedState>,
     sender: SenderId,
-    /// When each change reaches this agent, in that order; the list has version 1 before the first.
-    news: Vec<(Duration, Change)>,
+    /// The changes of the list with the time at which each reaches this agent, ordered by that time. Before
+    /// the first one the list has generation 1; each change increments the generation.
+    changes: Vec<(Duration, Change)>,
     addresses: Rc<[SocketAddr]>,
 }
 
-/// An agent for each sender. `addresses` has one list for each, or one for all.
-pub async fn open(shared: &Rc<SharedState>, addresses: &[Rc<[SocketAddr]>]) -> io::Result<Vec<SocketAddr>> {
-    let mut all = Vec::new();
+/// Starts an agent for each sender and returns their addresses. `addresses` holds the addresses of the
+/// endpoints, as one list per sender or one list for all.
+pub async fn start_all(
+    shared: &Rc<SharedState>,
+    addresses: &[Rc<[SocketAddr]>],
+) -> io::Result<Vec<SocketAddr>> {
+    let mut agent_addresses = Vec::new();
     for sender in 0..shared.plan.experiment.senders.count {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let own = &addresses[sender % addresses.len()];
-        all.push(listen(shared, own, SenderId(sender), listener)?);
+        let endpoint_addresses = &addresses[sender % addresses.len()];
+        agent_addresses.push(start(shared, endpoint_addresses, SenderId(sender), listener)?);
     }
-    Ok(all)
+    Ok(agent_addresses)
 }
 
-/// One agent at a chosen address.
-pub async fn open_at(
+/// Starts the agent of the first sender at a given address.
+pub async fn start_at(
     shared: &Rc<SharedState>,
     addresses: &Rc<[SocketAddr]>,
     at: SocketAddr,
 ) -> io::Result<SocketAddr> {
-    listen(shared, addresses, SenderId(0), TcpListener::bind(at).await?)
+    start(shared, addresses, SenderId(0), TcpListener::bind(at).await?)
 }
 
-fn listen(
+fn start(
     shared: &Rc<SharedState>,
     addresses: &Rc<[SocketAddr]>,
     sender: SenderId,
     listener: TcpListener,
 ) -> io::Result<SocketAddr> {
     let address = listener.local_addr()?;
-    let mut news: Vec<(Duration, Change)> =
+    let mut changes: Vec<(Duration, Change)> =
         shared.plan.changes.iter().map(|change| (shared.plan.told_at(change, sender), *change)).collect();
-    news.sort_by_key(|(at, change)| (*at, change.at, change.endpoint));
-    let agent = Rc::new(Agent { shared: shared.clone(), sender, news, addresses: addresses.clone() });
+    changes.sort_by_key(|(at, change)| (*at, change.at, change.endpoint));
+    let agent = Rc::new(Agent { shared: shared.clone(), sender, changes, addresses: addresses.clone() });
     spawn_local(async move {
         loop {
             match listener.accept().await {
-                Ok((stream, _)) => drop(spawn_local(agent.clone().converse(stream))),
-                Err(fault) => log::warn!("discovery: code=no_accept {fault}"),
+                Ok((stream, _)) => drop(spawn_local(agent.clone().serve(stream))),
+                Err(error) => log::warn!("discovery: code=no_accept {error}"),
             }
         }
     });
@@ -73,33 +81,36 @@
 }
 
 impl Agent {
-    async fn converse(self: Rc<Self>, mut stream: TcpStream) {
-        let mut inbox = Inbox::default();
+    /// Serves the calls on one connection until it breaks or a call is malformed.
+    async fn serve(self: Rc<Self>, mut stream: TcpStream) {
+        let mut reader = CallReader::default();
         loop {
-            let reply = match inbox.call(&mut stream).await {
-                Ok(Some(call)) if call.method == "POST" => self.notices(&call),
-                Ok(Some(call)) => self.list(&call).await,
+            let response_bytes = match reader.read_call(&mut stream).await {
+                Ok(Some(call)) if call.method == "POST" => self.receive_notices(&call),
+                Ok(Some(call)) => self.serve_list(&call).await,
                 _ => return,
             };
-            if stream.write_all(&reply).await.is_err() {
+            if stream.write_all(&response_bytes).await.is_err() {
                 return;
             }
         }
     }
 
-    fn notices(&self, call: &Call) -> Vec<u8> {
+    /// Records the notices in a call, one JSON object per line. Rejects the call if one of them is malformed.
+    fn receive_notices(&self, call: &Call) -> Vec<u8> {
         let text = String::from_utf8_lossy(&call.body);
-        let lines: Option<Vec<_>> = text.lines().map(|line| self.notice(line)).collect();
-        let Some(lines) = lines else { return answer("400 Bad Request", "", "") };
-        for (packet, end, wait) in lines {
-            self.shared.ended(packet, end, wait);
+        let notices: Option<Vec<_>> = text.lines().map(|line| self.parse_notice(line)).collect();
+        let Some(notices) = notices else { return response("400 Bad Request", "", "") };
+        for (packet, end, wait) in notices {
+            self.shared.record_completion(packet, end, wait);
         }
-        bare("204 No Content")
+        bodiless_response("204 No Content")
     }
 
-    fn notice(&self, line: &str) -> Option<(sailcart::PacketId, End, Duration)> {
+    /// Parses one notice: the packet, its end, and the wait before a resubmission. `None` if it is malformed.
+    fn parse_notice(&self, line: &str) -> Option<(sailcart::PacketId, End, Duration)> {
         let notice: Value = serde_json::from_str(line).ok()?;
-        let packet = self.shared.known(notice.get("message")?.as_str()?)?;
+        let packet = self.shared.find_packet(notice.get("message")?.as_str()?)?;
         let end = match notice.get("outcome")?.as_str()? {
             "given_up" => End::Scrapped,
             "handed_back" => End::Dismissed,
@@ -109,73 +120,80 @@
         Some((packet, end, Duration::from_secs_f64(wait.clamp(0.0, 3.6e6) / 1000.0)))
     }
 
-    /// How many changes have come to this agent.
-    fn reached(&self, now: Duration) -> usize {
-        self.news.iter().take_while(|(at, _)| *at <= now).count()
+    /// Number of changes that have reached this agent.
+    fn reached_count(&self, now: Duration) -> usize {
+        self.changes.iter().take_while(|(at, _)| *at <= now).count()
     }
 
-    /// It says nothing while discovery is down.
-    async fn while_silent(&self) {
-        let silent = self.shared.plan.struck.iter().find(|struck| {
-            let here =
+    /// Waits while a trouble keeps discovery silent for this sender.
+    async fn wait_while_silent(&self) {
+        let outage = self.shared.plan.struck.iter().find(|struck| {
+            let affects_sender =
                 struck.trouble.kind == TroubleKind::ListSilent && struck.senders.contains(&self.sender);
-            here && struck.stands(self.shared.now())
+            affects_sender && struck.stands(self.shared.now())
         });
-        if let Some(silent) = silent {
-            sleep_until(self.shared.instant(silent.until)).await;
+        if let Some(outage) = outage {
+            sleep_until(self.shared.instant(outage.until)).await;
         }
     }
 
-    async fn list(&self, call: &Call) -> Vec<u8> {
-        self.while_silent().await;
-        let from = query(call, "from=").filter(|from| (1..=self.news.len() as u64 + 1).contains(from));
-        let hold = Duration::from_millis(query(call, "hold_ms=").unwrap_or(0).min(LONGEST_HOLD_MS));
-        self.next_news(from, Instant::now() + hold).await;
-        let reached = self.reached(self.shared.now());
-        let mut lines = self.lines(from, reached);
-        for (endpoint, standing) in &lines {
-            self.shared.see(match standing {
+    /// Answers a request for the list, with the changes after a generation or the full list, and reports to
+    /// the watcher what it lists.
+    async fn serve_list(&self, call: &Call) -> Vec<u8> {
+        self.wait_while_silent().await;
+        let from =
+            query_number(call, "from=").filter(|from| (1..=self.changes.len() as u64 + 1).contains(from));
+        let hold = Duration::from_millis(query_number(call, "hold_ms=").unwrap_or(0).min(MAX_HOLD_MS));
+        self.wait_for_change(from, Instant::now() + hold).await;
+        let reached = self.reached_count(self.shared.now());
+        let mut updates = self.updates_since(from, reached);
+        for (endpoint, standing) in &updates {
+            self.shared.observe(match standing {
                 Standing::Ready => Seen::ToldOn(self.sender, *endpoint),
                 _ => Seen::ToldOff(self.sender, *endpoint),
             });
         }
         if from.is_none() {
-            lines.retain(|(_, standing)| *standing != Standing::Gone);
+            updates.retain(|(_, standing)| *standing != Standing::Gone);
         }
-        let entries: Vec<Value> =
-            lines.iter().map(|(e, s)| entry(&self.shared.plan, *e, *s, &self.addresses)).collect();
+        let entries: Vec<Value> = updates
+            .iter()
+            .map(|(endpoint, standing)| list_entry(&self.shared.plan, *endpoint, *standing, &self.addresses))
+            .collect();
         let list = json!({"generation": reached + 1, "reset": from.is_none(), "instances": entries});
-        answer("200 OK", "", &list.to_string())
+        response("200 OK", "", &list.to_string())
     }
 
-    /// Sleeps until the next change that this sender has not, or as long as it asked; not where it asks for all.
-    async fn next_news(&self, from: Option<u64>, until: Instant) {
+    /// Waits until there is a change after generation `from`, or until the sender's hold time has passed.
+    /// Returns at once for a request for the full list, which has no `from`.
+    async fn wait_for_change(&self, from: Option<u64>, until: Instant) {
         let Some(from) = from else { return };
-        if self.reached(self.shared.now()) < from as usize {
-            let next = self.news.get(from as usize - 1).map(|(at, _)| self.shared.instant(*at));
+        if self.reached_count(self.shared.now()) < from as usize {
+            let next = self.changes.get(from as usize - 1).map(|(at, _)| self.shared.instant(*at));
             sleep_until(next.map_or(until, |next| next.min(until))).await;
-            self.while_silent().await;
+            self.wait_while_silent().await;
         }
     }
 
-    /// What changed since version `from`, or everything, with the changes that have reached this agent.
-    fn lines(&self, from: Option<u64>, reached: usize) -> Vec<(EndpointId, Standing)> {
-        let told = from.map_or(0, |from| (from as usize - 1).min(reached));
-        let mut lines = Vec::new();
+    /// The endpoints that changed after generation `from`, or all endpoints without it, with the last change
+    /// that has reached this agent.
+    fn updates_since(&self, from: Option<u64>, reached: usize) -> Vec<(EndpointId, Standing)> {
+        let already_listed = from.map_or(0, |from| (from as usize - 1).min(reached));
+        let mut updates = Vec::new();
         if from.is_none() {
-            let first = self.shared.plan.places.iter().filter(|place| place.from.is_zero());
-            lines.extend(first.map(|place| (place.endpoint, Standing::Ready)));
+            let initial = self.shared.plan.places.iter().filter(|place| place.from.is_zero());
+            updates.extend(initial.map(|place| (place.endpoint, Standing::Ready)));
         }
-        for (_, change) in &self.news[told..reached] {
-            lines.retain(|(endpoint, _)| *endpoint != change.endpoint);
-            lines.push((change.endpoint, change.standing));
+        for (_, change) in &self.changes[already_listed..reached] {
+            updates.retain(|(endpoint, _)| *endpoint != change.endpoint);
+            updates.push((change.endpoint, change.standing));
         }
-        lines
+        updates
     }
 }
 
-/// A number that a call's path gives after a name.
-fn query(call: &Call, name: &str) -> Option<u64> {
-    let (_, after) = call.path.split_once(name)?;
-    after.split('&').next()?.parse().ok()
+/// The number after `name` in the path of a call; `name` includes the equals sign.
+fn query_number(call: &Call, name: &str) -> Option<u64> {
+    let (_, value) = call.path.split_once(name)?;
+    value.split('&').next()?.parse().ok()
 }
--- a/crates/sailcart-lab/src/sockets/endpoints.rs
+++ b/crates/sailcart-lab/src/sockets/endpoints.rs
@@ -1,4 +1,5 @@
-//! Endpoints on loopback: the model of `receivers` behind real sockets.
+//! The endpoints on loopback: sockets in front of the model of [`crate::receivers`], which decides how each
+//! connection and each call is answered.
 
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -11,21 +12,23 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, timeout};
 
-use super::http::{Inbox, answer};
-use super::protocol::{named, written};
+use super::http::{CallReader, response};
+use super::protocol::{packets_in_call, response_bytes};
 use super::shared::SharedState;
 use crate::plan::SenderId;
 use crate::receivers::{Answer, Connect, Reception, TroubleSchedule};
 use crate::results::tally::Count;
 use crate::watcher::{CallId, End, GateId, Heard, Seen};
 
-/// Connections that wait to be accepted at a live endpoint.
-const BACKLOG: u32 = 1024;
-/// Own connections that fill a black hole's queue, so that no other comes up.
-const PLUGS: usize = 4;
+/// Maximum number of connections that wait to be accepted at an endpoint that is up.
+const LISTEN_BACKLOG: u32 = 1024;
+/// Number of connections with which the lab fills the accept queue of a black hole, so that no other
+/// connection is established.
+const QUEUE_FILLERS: usize = 4;
 
-/// Opens every address of the plan.
-pub async fn open(shared: &Rc<SharedState>) -> io::Result<Rc<[SocketAddr]>> {
+/// Opens a listening socket for each address of the plan and serves it. Returns the addresses by endpoint
+/// number. An endpoint that replaces another one at the same address shares its socket.
+pub async fn open_all(shared: &Rc<SharedState>) -> io::Result<Rc<[SocketAddr]>> {
     let mut addresses: Vec<SocketAddr> = Vec::new();
     for place in &shared.plan.places {
         if place.address != place.endpoint {
@@ -33,17 +36,18 @@
             continue;
         }
         let number = place.endpoint.0;
-        let host = Ipv4Addr::new(
+        let ip = Ipv4Addr::new(
             127,
             10 + (number / 62_500) as u8,
             (number / 250 % 250) as u8,
             (number % 250 + 1) as u8,
         );
-        let listener = bind(SocketAddr::new(IpAddr::V4(host), 0), BACKLOG)?;
+        let listener = bind(SocketAddr::new(IpAddr::V4(ip), 0), LISTEN_BACKLOG)?;
         let address = listener.local_addr()?;
         addresses.push(address);
         spawn_local(
-            Rc::new(Endpoint { shared: shared.clone(), address, first: place.endpoint }).live(listener),
+            Rc::new(ListeningAddress { shared: shared.clone(), address, first_endpoint: place.endpoint })
+                .serve(listener),
         );
     }
     Ok(addresses.into())
@@ -56,116 +60,124 @@
     socket.listen(backlog)
 }
 
-/// Tells the watcher when outages begin, and who must have met one.
-pub fn troubles(shared: &Rc<SharedState>) {
-    let troubles = TroubleSchedule::new(&shared.plan);
+/// Reports the beginning of each outage to the watcher and, at the end of an outage in which the endpoint
+/// accepted no connections, the senders that must have failed to connect.
+pub fn report_outages(shared: &Rc<SharedState>) {
+    let schedule = TroubleSchedule::new(&shared.plan);
     for place in &shared.plan.places {
         let gate = shared.gate(place.endpoint);
-        for (from, until) in troubles.outages(place.endpoint) {
+        for (from, until) in schedule.outages(place.endpoint) {
             let (shared, endpoint) = (shared.clone(), place.endpoint);
             spawn_local(async move {
                 sleep_until(shared.instant(from)).await;
-                shared.see(Seen::OutageFrom(gate));
-                let closed = {
+                shared.observe(Seen::OutageFrom(gate));
+                let refuses_connections = {
                     let conditions = shared.receivers.borrow().conditions(from, endpoint);
                     conditions.down || conditions.black_hole
                 };
                 sleep_until(shared.instant(until)).await;
-                if closed {
-                    shared.missed(gate, &[endpoint]);
+                if refuses_connections {
+                    shared.record_failed_connections(gate, &[endpoint]);
                 }
             });
         }
     }
 }
 
-/// One address, and whoever has it over time.
-struct Endpoint {
+/// One listening address. Endpoints that replace one another use it in turn.
+struct ListeningAddress {
     shared: Rc<SharedState>,
     address: SocketAddr,
-    first: EndpointId,
+    /// The first endpoint at this address; the plan refers to the address by it.
+    first_endpoint: EndpointId,
 }
 
-/// How an address meets connections for a while.
+/// What happens to connection attempts.
 #[derive(Clone, Copy, PartialEq)]
-enum Door {
+enum ListenState {
+    /// They are accepted.
     Open,
+    /// They are refused: no socket listens.
     Closed,
+    /// They get no answer: the accept queue is full.
     BlackHole,
 }
 
-impl Endpoint {
-    /// Who has the address now.
-    fn current(&self, now: Duration) -> Option<EndpointId> {
-        let at_it = |place: &&crate::plan::Place| place.address == self.first;
-        let there = |place: &&crate::plan::Place| place.from <= now && now < place.gone;
-        self.shared.plan.places.iter().filter(at_it).find(there).map(|place| place.endpoint)
+impl ListeningAddress {
+    /// The endpoint that uses the address now.
+    fn current_endpoint(&self, now: Duration) -> Option<EndpointId> {
+        let at_this_address = |place: &&crate::plan::Place| place.address == self.first_endpoint;
+        let in_use = |place: &&crate::plan::Place| place.from <= now && now < place.gone;
+        self.shared.plan.places.iter().filter(at_this_address).find(in_use).map(|place| place.endpoint)
     }
 
-    fn door(&self, now: Duration) -> Door {
-        let Some(endpoint) = self.current(now) else { return Door::Closed };
+    fn listen_state(&self, now: Duration) -> ListenState {
+        let Some(endpoint) = self.current_endpoint(now) else { return ListenState::Closed };
         let conditions = self.shared.receivers.borrow().conditions(now, endpoint);
         match (conditions.down, conditions.black_hole) {
-            (true, _) => Door::Closed,
-            (_, true) => Door::BlackHole,
-            _ => Door::Open,
+            (true, _) => ListenState::Closed,
+            (_, true) => ListenState::BlackHole,
+            _ => ListenState::Open,
         }
     }
 
-    /// Until when the door stays as it is, at least.
-    fn until(&self, now: Duration) -> Option<Duration> {
-        let places = self.shared.plan.places.iter().filter(|place| place.address == self.first);
+    /// The time before which the state does not change; `None` if no change is planned.
+    fn next_change(&self, now: Duration) -> Option<Duration> {
+        let places = self.shared.plan.places.iter().filter(|place| place.address == self.first_endpoint);
         let receivers = self.shared.receivers.borrow();
         places.filter_map(|place| receivers.next_change(&self.shared.plan, now, place.endpoint)).min()
     }
 
-    async fn live(self: Rc<Self>, first: TcpListener) {
-        let mut open = Some(first);
+    /// Follows the state of the address for the whole run.
+    async fn serve(self: Rc<Self>, initial_listener: TcpListener) {
+        let mut open_listener = Some(initial_listener);
         loop {
             let now = self.shared.now();
-            let door = self.door(now);
-            let change = self.until(now);
-            let at = change
+            let listen_state = self.listen_state(now);
+            let next_change = self.next_change(now);
+            let wake_at = next_change
                 .map_or(self.shared.instant(now + Duration::from_secs(3600)), |at| self.shared.instant(at));
-            // The clock starts anew when all senders are ready, so a long sleep is cut.
-            let look = tokio::time::Instant::now()
-                + Duration::from_millis(if change.is_some() { 500 } else { 60_000 });
-            let at = at.min(look);
-            match door {
-                Door::Open => {
-                    if open.is_none() {
-                        open = self.reopen(BACKLOG).await;
+            // Long sleeps are bounded, as the clock of the run restarts when all senders are ready.
+            let latest = tokio::time::Instant::now()
+                + Duration::from_millis(if next_change.is_some() { 500 } else { 60_000 });
+            let wake_at = wake_at.min(latest);
+            match listen_state {
+                ListenState::Open => {
+                    if open_listener.is_none() {
+                        open_listener = self.listen(LISTEN_BACKLOG).await;
                     }
-                    if let Some(listener) = &open {
+                    if let Some(listener) = &open_listener {
                         tokio::select! {
                             () = self.clone().accept(listener) => {}
-                            () = sleep_until(at) => {}
+                            () = sleep_until(wake_at) => {}
                         }
                     }
                 }
-                Door::Closed => {
-                    open = None;
-                    sleep_until(at).await;
+                ListenState::Closed => {
+                    open_listener = None;
+                    sleep_until(wake_at).await;
                 }
-                Door::BlackHole => {
-                    drop(open.take());
-                    let hole = self.reopen(0).await;
-                    let plugs = self.plug().await;
-                    while self.door(self.shared.now()) == Door::BlackHole {
-                        sleep_until(at.min(tokio::time::Instant::now() + Duration::from_millis(20))).await;
+                ListenState::BlackHole => {
+                    drop(open_listener.take());
+                    let full_listener = self.listen(0).await;
+                    let fillers = self.fill_accept_queue().await;
+                    while self.listen_state(self.shared.now()) == ListenState::BlackHole {
+                        sleep_until(wake_at.min(tokio::time::Instant::now() + Duration::from_millis(20)))
+                            .await;
                     }
-                    drop((hole, plugs));
+                    drop((full_listener, fillers));
                 }
             }
         }
     }
 
-    async fn reopen(&self, backlog: u32) -> Option<TcpListener> {
+    /// Listens on the address again. Retries up to 50 times, 10 ms apart; `None` if all attempts fail.
+    async fn listen(&self, backlog: u32) -> Option<TcpListener> {
         for _ in 0..50 {
             match bind(self.address, backlog) {
                 Ok(listener) => return Some(listener),
-                Err(fault) => {
-                    log::debug!("endpoint {}: code=no_listen {fault}", self.address);
+                Err(error) => {
+                    log::debug!("endpoint {}: code=no_listen {error}", self.address);
                     sleep(Duration::from_millis(10)).await;
                 }
             }
@@ -174,94 +186,98 @@
         None
     }
 
-    async fn plug(&self) -> Vec<TcpStream> {
-        let mut plugs = Vec::new();
-        for _ in 0..PLUGS {
+    /// Fills the accept queue; the connections must be kept while the black hole lasts.
+    async fn fill_accept_queue(&self) -> Vec<TcpStream> {
+        let mut fillers = Vec::new();
+        for _ in 0..QUEUE_FILLERS {
             match timeout(Duration::from_millis(50), TcpStream::connect(self.address)).await {
-                Ok(Ok(plug)) => plugs.push(plug),
+                Ok(Ok(stream)) => fillers.push(stream),
                 _ => break,
             }
         }
-        plugs
+        fillers
     }
 
     async fn accept(self: Rc<Self>, listener: &TcpListener) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    spawn_local(self.clone().converse(stream));
+                    spawn_local(self.clone().serve_connection(stream));
                 }
-                Err(fault) => {
-                    log::warn!("endpoint {}: code=no_accept {fault}", self.address);
+                Err(error) => {
+                    log::warn!("endpoint {}: code=no_accept {error}", self.address);
                     sleep(Duration::from_millis(20)).await;
                 }
             }
         }
     }
 
-    async fn converse(self: Rc<Self>, stream: TcpStream) {
+    /// Serves one connection, as the model decides.
+    async fn serve_connection(self: Rc<Self>, stream: TcpStream) {
         let now = self.shared.now();
-        let Some(endpoint) = self.current(now) else { return cut(stream) };
-        let connect = self.shared.receivers.borrow_mut().connect(&self.shared.plan, now, endpoint);
-        let Connect::Up(handshake) = connect else { return cut(stream) };
+        let Some(endpoint) = self.current_endpoint(now) else { return reset(stream) };
+        let decision = self.shared.receivers.borrow_mut().connect(&self.shared.plan, now, endpoint);
+        let Connect::Up(handshake) = decision else { return reset(stream) };
         self.shared.tally.borrow_mut().count(Count::Connections);
         if !handshake.is_zero() {
             sleep(handshake).await;
         }
         let _ = stream.set_nodelay(true);
-        let mut talk = Talk { shared: &self.shared, endpoint, stream, inbox: Inbox::default() };
-        let broken = talk.calls().await;
-        let stream = talk.stream;
+        let mut connection =
+            Connection { shared: &self.shared, endpoint, stream, reader: CallReader::default() };
+        let needs_reset = connection.serve_calls().await;
+        let stream = connection.stream;
         self.shared.receivers.borrow_mut().disconnected(endpoint);
-        if broken {
-            cut(stream);
+        if needs_reset {
+            reset(stream);
         }
     }
 }
 
-/// Ends a connection with a reset.
-fn cut(stream: TcpStream) {
+/// Closes a connection with a reset.
+fn reset(stream: TcpStream) {
     #[allow(deprecated)] // the blocking form of linger, with zero, does not block
     let _ = stream.set_linger(Some(Duration::ZERO));
 }
 
-/// One connection's calls, one after the other.
-struct Talk<'a> {
+/// An accepted connection; its calls are served one after the other.
+struct Connection<'a> {
     shared: &'a Rc<SharedState>,
     endpoint: EndpointId,
     stream: TcpStream,
-    inbox: Inbox,
+    reader: CallReader,
 }
 
-impl Talk<'_> {
-    /// When the endpoint itself stops, with whatever is open.
-    async fn stops(shared: &Rc<SharedState>, endpoint: EndpointId) {
+impl Connection<'_> {
+    /// Returns when the endpoint becomes unreachable, which breaks its open connections.
+    async fn wait_until_stopped(shared: &Rc<SharedState>, endpoint: EndpointId) {
         loop {
             let now = shared.now();
             if !shared.receivers.borrow().reachable(&shared.plan, now, endpoint) {
                 return;
             }
             let next = shared.receivers.borrow().next_change(&shared.plan, now, endpoint);
-            let most = tokio::time::Instant::now() + Duration::from_millis(500);
-            sleep_until(next.map_or(most, |next| shared.instant(next).min(most))).await;
+            let latest = tokio::time::Instant::now() + Duration::from_millis(500);
+            sleep_until(next.map_or(latest, |next| shared.instant(next).min(latest))).await;
         }
     }
 
-    /// True if it ends by a reset.
-    async fn calls(&mut self) -> bool {
-        let idle = self.shared.plan.group(self.shared.plan.place(self.endpoint).destination).idle_close;
+    /// Serves calls until the connection ends. True if it is to be closed with a reset.
+    async fn serve_calls(&mut self) -> bool {
+        let idle_timeout =
+            self.shared.plan.group(self.shared.plan.place(self.endpoint).destination).idle_close;
         loop {
             let call = tokio::select! {
-                call = timeout(idle, self.inbox.call(&mut self.stream)) => call,
-                () = Self::stops(self.shared, self.endpoint) => return true,
+                call = timeout(idle_timeout, self.reader.read_call(&mut self.stream)) => call,
+                () = Self::wait_until_stopped(self.shared, self.endpoint) => return true,
             };
             let call = match call {
-                Err(_) => return self.inbox.begun(),
+                Err(_) => return self.reader.has_partial_call(),
                 Ok(Ok(Some(call))) => call,
                 Ok(Ok(None)) => return false,
-                Ok(Err(fault)) if fault.kind() == io::ErrorKind::InvalidData => {
+                Ok(Err(error)) if error.kind() == io::ErrorKind::InvalidData => {
                     self.shared.tally.borrow_mut().count(Count::Strays);
-                    let _ = self.stream.write_all(&answer("400 Bad Request", "", "")).await;
+                    let _ = self.stream.write_all(&response("400 Bad Request", "", "")).await;
                     return false;
                 }
                 Ok(Err(_)) => return true,
@@ -270,42 +286,55 @@
             if self.shared.receivers.borrow_mut().cuts_before(now, self.endpoint) {
                 return true;
             }
-            let names = named(&call);
-            let packets: Option<Vec<(PacketId, Option<String>)>> = names.as_ref().and_then(|names| {
-                names.iter().map(|(id, mark)| Some((self.shared.known(id)?, mark.clone()))).collect()
-            });
-            let (Some(names), Some(packets)) = (names, packets) else {
+            let named_packets = packets_in_call(&call);
+            let packets: Option<Vec<(PacketId, Option<String>)>> =
+                named_packets.as_ref().and_then(|named_packets| {
+                    named_packets
+                        .iter()
+                        .map(|(id, key)| Some((self.shared.find_packet(id)?, key.clone())))
+                        .collect()
+                });
+            let (Some(named_packets), Some(packets)) = (named_packets, packets) else {
                 self.shared.tally.borrow_mut().count(Count::Strays);
-                let _ = self.stream.write_all(&answer("400 Bad Request", "", "")).await;
+                let _ = self.stream.write_all(&response("400 Bad Request", "", "")).await;
                 return false;
             };
-            let ids: Vec<String> = names.into_iter().map(|(id, _)| id).collect();
-            match self.call(now, &ids, &packets).await {
-                After::Keep => {}
-                After::Close => return false,
-                After::Reset => return true,
+            let ids: Vec<String> = named_packets.into_iter().map(|(id, _)| id).collect();
+            match self.serve_call(now, &ids, &packets).await {
+                AfterCall::KeepOpen => {}
+                AfterCall::Close => return false,
+                AfterCall::Reset => return true,
             }
         }
     }
 
-    /// A call's last byte has come.
-    async fn call(&mut self, now: Duration, ids: &[String], packets: &[(PacketId, Option<String>)]) -> After {
+    /// Serves one call, whose last byte has been received.
+    async fn serve_call(
+        &mut self,
+        now: Duration,
+        ids: &[String],
+        packets: &[(PacketId, Option<String>)],
+    ) -> AfterCall {
         let shared = self.shared;
         let (id, gate) = (shared.next_call(), shared.gate(self.endpoint));
         let destination = shared.plan.place(self.endpoint).destination;
         let sender = shared.sender(packets[0].0);
-        let pieces: Vec<_> = packets.iter().map(|(id, mark)| shared.piece(*id, mark.as_deref())).collect();
+        let pieces: Vec<_> = packets
+            .iter()
+            .map(|(id, idempotency_key)| shared.piece(*id, idempotency_key.as_deref()))
+            .collect();
         let reception = shared.receivers.borrow_mut().arrive(&shared.plan, now, self.endpoint, &pieces);
         shared.tally.borrow_mut().dispatched(now, destination, packets.len());
         shared.tally.borrow_mut().calls_out(destination, true);
-        let numbers: Vec<PacketId> = packets.iter().map(|(id, _)| *id).collect();
-        self.begin(id, sender, gate, &numbers, &reception);
-        let after = self.answer(id, ids, &numbers, reception).await;
+        let packet_ids: Vec<PacketId> = packets.iter().map(|(id, _)| *id).collect();
+        self.record_arrival(id, sender, gate, &packet_ids, &reception);
+        let after_call = self.respond(id, ids, &packet_ids, reception).await;
         shared.tally.borrow_mut().calls_out(destination, false);
-        after
+        after_call
     }
 
-    fn begin(
+    /// Reports the arrival of a call and its effects to the watcher.
+    fn record_arrival(
         &self,
         call: CallId,
         sender: SenderId,
@@ -314,47 +343,50 @@
         reception: &Reception,
     ) {
         let packets = packets.to_vec();
-        self.shared.see(Seen::Came { call, sender, endpoint: self.endpoint, gate, packets });
+        self.shared.observe(Seen::Came { call, sender, endpoint: self.endpoint, gate, packets });
         if reception.effects.contains(&true) {
-            self.shared.see(Seen::Ran(call, reception.effects.clone()));
+            self.shared.observe(Seen::Ran(call, reception.effects.clone()));
         }
         if reception.fell {
-            self.shared.see(Seen::Fell(gate));
+            self.shared.observe(Seen::Fell(gate));
         }
     }
 
-    async fn answer(
+    /// Waits until the response is due and writes it, or records that the call ended without one.
+    async fn respond(
         &mut self,
         id: CallId,
         ids: &[String],
         packets: &[PacketId],
         reception: Reception,
-    ) -> After {
+    ) -> AfterCall {
         let due = reception.answer.as_ref().map(|(at, _)| *at);
-        if let Some((count, after)) = self.interrupted(due).await {
-            return self.unanswered(id, count, after);
+        if let Some((count, after_call)) = self.wait_for_interruption(due).await {
+            return self.end_without_response(id, count, after_call);
         }
-        let Some((_, answer)) = reception.answer else { return After::Reset };
-        let Some(bytes) = written(&answer, ids, reception.report) else {
-            return self.unanswered(id, Count::Errors, After::Reset);
+        let Some((_, answer)) = reception.answer else { return AfterCall::Reset };
+        let Some(bytes) = response_bytes(&answer, ids, reception.report) else {
+            return self.end_without_response(id, Count::Errors, AfterCall::Reset);
         };
-        // What is told must stand before the sender can act on it.
-        let heard = self.heard(&answer, packets);
-        self.shared.see(Seen::Over { call: id, heard });
-        // A spoilt answer may be more than its reader takes: it closes, or this gives up soon.
-        let wrote = timeout(Duration::from_secs(1), self.stream.write_all(&bytes)).await;
-        match (&answer, wrote) {
+        // The completion is recorded first, as the sender may act on the response as soon as it is written.
+        let heard = self.record_response(&answer, packets);
+        self.shared.observe(Seen::Over { call: id, heard });
+        // A malformed response may be longer than the sender reads. Then the sender closes, or the write
+        // times out.
+        let written = timeout(Duration::from_secs(1), self.stream.write_all(&bytes)).await;
+        match (&answer, written) {
             (Answer::Spoilt(_), _) => {
-                let _ = timeout(Duration::from_secs(1), gone(&self.stream)).await;
-                After::Close
+                let _ = timeout(Duration::from_secs(1), peer_closed(&self.stream)).await;
+                AfterCall::Close
             }
-            (_, Ok(Ok(()))) => After::Keep,
-            _ => After::Reset,
+            (_, Ok(Ok(()))) => AfterCall::KeepOpen,
+            _ => AfterCall::Reset,
         }
     }
 
-    /// Waits until an answer is due, for ever without one; tells what comes before it, if anything does.
-    async fn interrupted(&self, due: Option<Duration>) -> Option<(Count, After)> {
+    /// Waits until the response is due, without limit if there is none. Returns how the call is to be counted
+    /// if the sender closes or the endpoint stops before that.
+    async fn wait_for_interruption(&self, due: Option<Duration>) -> Option<(Count, AfterCall)> {
         let due = async {
             match due {
                 Some(at) => sleep_until(self.shared.instant(at)).await,
@@ -363,30 +395,31 @@
         };
         tokio::select! {
             () = due => None,
-            () = gone(&self.stream) => Some((Count::Unanswered, After::Close)),
-            () = Self::stops(self.shared, self.endpoint) => Some((Count::Errors, After::Reset)),
+            () = peer_closed(&self.stream) => Some((Count::Unanswered, AfterCall::Close)),
+            () = Self::wait_until_stopped(self.shared, self.endpoint) => Some((Count::Errors, AfterCall::Reset)),
         }
     }
 
-    /// A call is over without an answer.
-    fn unanswered(&self, id: CallId, count: Count, after: After) -> After {
+    /// Records that a call has ended without a response.
+    fn end_without_response(&self, id: CallId, count: Count, after_call: AfterCall) -> AfterCall {
         self.shared.tally.borrow_mut().count(count);
-        self.shared.see(Seen::Over { call: id, heard: Heard::Unsure });
-        after
+        self.shared.observe(Seen::Over { call: id, heard: Heard::Unsure });
+        after_call
     }
 
-    /// What the sender will have heard, and which packets are delivered by it.
-    fn heard(&self, answer: &Answer, packets: &[PacketId]) -> Heard {
+    /// Records the packets that this response completes and the counts; returns what the sender learns from
+    /// it.
+    fn record_response(&self, answer: &Answer, packets: &[PacketId]) -> Heard {
         let shared = self.shared;
-        let done = |packet: &PacketId| shared.ended(*packet, End::Done, Duration::ZERO);
-        let count = |what| shared.tally.borrow_mut().count(what);
+        let complete = |packet: &PacketId| shared.record_completion(*packet, End::Done, Duration::ZERO);
+        let count = |counter| shared.tally.borrow_mut().count(counter);
         match answer {
             Answer::Done => {
-                packets.iter().for_each(done);
+                packets.iter().for_each(complete);
                 Heard::Done
             }
-            Answer::Spoilt(manner) if manner.settles(packets.len() > 1) => {
-                packets.iter().for_each(done);
+            Answer::Spoilt(kind) if kind.settles(packets.len() > 1) => {
+                packets.iter().for_each(complete);
                 Heard::Done
             }
             Answer::Full(wait) => {
@@ -396,11 +429,13 @@
             }
             Answer::Mixed(each, wait) => {
                 let accepted = packets.iter().zip(each);
-                let accepted = accepted.filter(|(_, one)| **one == crate::receivers::PieceAnswer::Accepted);
-                accepted.map(|(packet, _)| packet).for_each(done);
+                let accepted = accepted
+                    .filter(|(_, piece_answer)| **piece_answer == crate::receivers::PieceAnswer::Accepted);
+                accepted.map(|(packet, _)| packet).for_each(complete);
                 wait.map_or(Heard::Done, |wait| Heard::Full(Some(wait)))
             }
-            // One that cannot be read is an answer all the same: the call is at work no longer.
+            // A malformed response is a response all the same: the call is no longer in progress at the
+            // endpoint.
             Answer::Error | Answer::Spoilt(_) => {
                 count(Count::Errors);
                 Heard::Error
@@ -413,17 +448,18 @@
     }
 }
 
-/// What becomes of a connection after a call.
-enum After {
-    Keep,
+/// What happens to a connection after a call.
+enum AfterCall {
+    KeepOpen,
     Close,
     Reset,
 }
 
-/// Until the peer has closed or reset; what it sends meanwhile waits.
-async fn gone(stream: &TcpStream) {
-    let mut one = [0u8; 1];
-    match stream.peek(&mut one).await {
+/// Returns when the peer has closed or reset the connection. Never returns if it sends more data first; the
+/// data stays unread.
+async fn peer_closed(stream: &TcpStream) {
+    let mut byte = [0u8; 1];
+    match stream.peek(&mut byte).await {
         Ok(0) | Err(_) => {}
         Ok(_) => std::future::pending().await,
     }
--- a/crates/sailcart-lab/src/sockets/http.rs
+++ b/crates/sailcart-lab/src/sockets/http.rs
@@ -1,49 +1,56 @@
-//! HTTP/1.1 as the lab's side speaks it: calls are read whole, within bounds; heads are parsed by `httparse`.
+//! The server side of HTTP/1.1 for the lab's endpoints and discovery agents: reads complete calls within size
+//! limits and formats responses. Heads are parsed by `httparse`.
 
 use std::io;
 
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-const MOST_HEAD: usize = 8 * 1024;
-const MOST_BODY: usize = 1024 * 1024;
+/// A larger head of a call is rejected.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// A larger body of a call is rejected.
+const MAX_BODY_BYTES: usize = 1024 * 1024;
 
+/// One HTTP request.
 pub struct Call {
     pub method: String,
     pub path: String,
-    pub id: Option<String>,
-    pub mark: Option<String>,
+    /// The header `X-Call-Id`.
+    pub call_id: Option<String>,
+    /// The header `Idempotency-Key`.
+    pub idempotency_key: Option<String>,
     pub body: Vec<u8>,
 }
 
-/// Bytes read and not used yet.
+/// Reads calls from one connection; holds the bytes that were received and belong to no complete call yet.
 #[derive(Default)]
-pub struct Inbox {
-    bytes: Vec<u8>,
+pub struct CallReader {
+    buffer: Vec<u8>,
 }
 
+/// A parsed head. `call` has an empty body.
 struct Head {
     call: Call,
-    length: usize,
-    end: usize,
+    body_bytes: usize,
+    head_bytes: usize,
 }
 
-impl Inbox {
-    /// Whether a call has begun to come.
-    pub fn begun(&self) -> bool {
-        !self.bytes.is_empty()
+impl CallReader {
+    /// Whether a part of the next call has been received.
+    pub fn has_partial_call(&self) -> bool {
+        !self.buffer.is_empty()
     }
 
-    /// The next call's head, before its body is read; `None` when the peer has gone between calls.
-    async fn head(&mut self, from: &mut (impl AsyncRead + Unpin)) -> io::Result<Option<Head>> {
+    /// Reads the head of the next call; `None` if the peer closed the connection between two calls.
+    async fn read_head(&mut self, stream: &mut (impl AsyncRead + Unpin)) -> io::Result<Option<Head>> {
         loop {
-            if let Some(head) = parse(&self.bytes)? {
+            if let Some(head) = parse_head(&self.buffer)? {
                 return Ok(Some(head));
             }
-            if self.bytes.len() > MOST_HEAD {
-                return Err(wrong("a head too large"));
+            if self.buffer.len() > MAX_HEAD_BYTES {
+                return Err(invalid_data("head of a call larger than 8 KiB"));
             }
-            if from.read_buf(&mut self.bytes).await? == 0 {
-                return if self.bytes.is_empty() {
+            if stream.read_buf(&mut self.buffer).await? == 0 {
+                return if self.buffer.is_empty() {
                     Ok(None)
                 } else {
                     Err(io::ErrorKind::UnexpectedEof.into())
@@ -52,53 +59,64 @@
         }
     }
 
-    /// The next call, whole; `None` when the peer has gone.
-    pub async fn call(&mut self, from: &mut (impl AsyncRead + Unpin)) -> io::Result<Option<Call>> {
-        let Some(Head { mut call, length, end }) = self.head(from).await? else { return Ok(None) };
-        if length > MOST_BODY {
-            return Err(wrong("a body too large"));
+    /// Reads the next call with its body; `None` if the peer closed the connection between two calls.
+    ///
+    /// # Errors
+    /// `InvalidData` if the call is malformed or too large, `UnexpectedEof` if the peer closed within it, or
+    /// the error of the read.
+    pub async fn read_call(&mut self, stream: &mut (impl AsyncRead + Unpin)) -> io::Result<Option<Call>> {
+        let Some(Head { mut call, body_bytes, head_bytes }) = self.read_head(stream).await? else {
+            return Ok(None);
+        };
+        if body_bytes > MAX_BODY_BYTES {
+            return Err(invalid_data("body of a call larger than 1 MiB"));
         }
-        while self.bytes.len() < end + length {
-            if from.read_buf(&mut self.bytes).await? == 0 {
+        while self.buffer.len() < head_bytes + body_bytes {
+            if stream.read_buf(&mut self.buffer).await? == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
         }
-        let rest = self.bytes.split_off(end + length);
-        call.body = self.bytes.split_off(end);
-        self.bytes = rest;
+        let remaining = self.buffer.split_off(head_bytes + body_bytes);
+        call.body = self.buffer.split_off(head_bytes);
+        self.buffer = remaining;
         Ok(Some(call))
     }
 }
 
-fn wrong(words: &str) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, words.to_owned())
+fn invalid_data(message: &str) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, message.to_owned())
 }
 
-fn parse(bytes: &[u8]) -> io::Result<Option<Head>> {
+fn parse_head(bytes: &[u8]) -> io::Result<Option<Head>> {
     let mut headers = [httparse::EMPTY_HEADER; 32];
-    let mut read = httparse::Request::new(&mut headers);
-    let status = read.parse(bytes).map_err(|e| wrong(&e.to_string()))?;
-    let httparse::Status::Complete(end) = status else { return Ok(None) };
-    let value = |name: &str| {
-        let header = read.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name));
+    let mut request = httparse::Request::new(&mut headers);
+    let status = request.parse(bytes).map_err(|error| invalid_data(&error.to_string()))?;
+    let httparse::Status::Complete(head_bytes) = status else { return Ok(None) };
+    let header_value = |name: &str| {
+        let header = request.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name));
         header.map(|header| String::from_utf8_lossy(header.value).into_owned())
     };
-    let length = value("Content-Length").map_or(Ok(0), |text| text.parse());
+    let body_bytes = header_value("Content-Length").map_or(Ok(0), |text| text.parse());
     let call = Call {
-        method: read.method.unwrap_or_default().to_owned(),
-        path: read.path.unwrap_or_default().to_owned(),
-        id: value("X-Call-Id"),
-        mark: value("Idempotency-Key"),
+        method: request.method.unwrap_or_default().to_owned(),
+        path: request.path.unwrap_or_default().to_owned(),
+        call_id: header_value("X-Call-Id"),
+        idempotency_key: header_value("Idempotency-Key"),
         body: Vec::new(),
     };
-    Ok(Some(Head { call, length: length.map_err(|_| wrong("a length that is no number"))?, end }))
+    Ok(Some(Head {
+        call,
+        body_bytes: body_bytes.map_err(|_| invalid_data("Content-Length is not a number"))?,
+        head_bytes,
+    }))
 }
 
-pub fn answer(status: &str, headers: &str, body: &str) -> Vec<u8> {
+/// A response with a body and its length. `headers` are complete lines.
+pub fn response(status: &str, headers: &str, body: &str) -> Vec<u8> {
     format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
-/// One without a body, as 204 asks for.
-pub fn bare(status: &str) -> Vec<u8> {
+/// A response without body and Content-Length, as status 204 requires.
+pub fn bodiless_response(status: &str) -> Vec<u8> {
     format!("HTTP/1.1 {status}\r\n\r\n").into_bytes()
 }
--- a/crates/sailcart-lab/src/sockets/machine_troubles.rs
+++ b/crates/sailcart-lab/src/sockets/machine_troubles.rs
@@ -1,4 +1,6 @@
-//! Troubles that strike a sender's machine or its links, each at its time.
+//! Applies the troubles of a soak that affect a sender's machine or its links, each at its scheduled time.
+//! Links are disturbed by their proxies, the machine by the control page of the shim and by stopping the
+//! process.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,102 +16,117 @@
 use crate::soak::proxy::{Manner, Proxy};
 use crate::watcher::Seen;
 
-/// Thousandths of the calls that fail in a moment of this machine's own faults.
-const OWN_FAULTS: i64 = 150;
-/// Thousandths of reads and writes that are cut, of waits that are interrupted.
-const SHORT: i64 = 200;
-const INTERRUPTED: i64 = 50;
-const MOST_READ: i64 = 40;
-/// From one time that a sender is held up to the next.
-const PAUSES: Duration = Duration::from_millis(500);
+/// Share of the calls that fail with a local error of the sender's host, in thousandths.
+const LOCAL_ERRORS_PER_MILLE: i64 = 150;
+/// Share of the reads and of the writes that are short, in thousandths.
+const SHORT_CALLS_PER_MILLE: i64 = 200;
+/// Share of the waits that are interrupted, in thousandths.
+const INTERRUPTED_WAITS_PER_MILLE: i64 = 50;
+const MAX_SHORT_READ_BYTES: i64 = 40;
+/// How long a sender runs between two pauses.
+const RUN_BETWEEN_PAUSES: Duration = Duration::from_millis(500);
 
-/// The links of one sender.
+/// The proxies on the links of one sender.
 pub struct Links {
-    pub clients: Rc<Proxy>,
-    pub platform: Rc<Proxy>,
-    pub endpoints: Vec<Rc<Proxy>>,
+    pub client_proxy: Rc<Proxy>,
+    pub platform_proxy: Rc<Proxy>,
+    pub endpoint_proxies: Vec<Rc<Proxy>>,
 }
 
-/// What the troubles of a run get at.
-pub struct Rig {
+/// What the troubles of a run act on.
+pub struct TroubleTargets {
     pub shared: Rc<SharedState>,
     pub processes: Rc<SenderProcesses>,
-    /// By sender; none where no trouble strikes a link.
+    /// By sender; empty if no trouble affects a link.
     pub links: Vec<Links>,
 }
 
-impl Rig {
-    /// Sets off each trouble at its time.
-    pub fn strike(self: &Rc<Self>, troubles: &[MachineTrouble]) {
+impl TroubleTargets {
+    /// Starts one task per trouble, which applies it from its start to its end.
+    pub fn schedule(self: &Rc<Self>, troubles: &[MachineTrouble]) {
         for trouble in troubles.iter().copied() {
-            let rig = self.clone();
+            let targets = self.clone();
             spawn_local(async move {
-                sleep_until(rig.shared.instant(trouble.from)).await;
-                if let What::Pause(held_up) = trouble.what {
-                    return rig.pause(trouble, held_up).await;
+                sleep_until(targets.shared.instant(trouble.from)).await;
+                if let What::Pause(pause) = trouble.what {
+                    return targets.pause_repeatedly(trouble, pause).await;
                 }
-                rig.set(trouble.sender, trouble.what, true);
-                sleep_until(rig.shared.instant(trouble.until)).await;
-                rig.set(trouble.sender, trouble.what, false);
+                targets.apply(trouble.sender, trouble.what, true);
+                sleep_until(targets.shared.instant(trouble.until)).await;
+                targets.apply(trouble.sender, trouble.what, false);
             });
         }
     }
 
-    async fn pause(&self, trouble: MachineTrouble, held_up: Duration) {
+    async fn pause_repeatedly(&self, trouble: MachineTrouble, pause: Duration) {
         while self.shared.now() < trouble.until {
-            self.processes.hold(trouble.sender, true);
-            sleep(held_up).await;
-            self.processes.hold(trouble.sender, false);
-            sleep(PAUSES).await;
+            self.processes.set_paused(trouble.sender, true);
+            sleep(pause).await;
+            self.processes.set_paused(trouble.sender, false);
+            sleep(RUN_BETWEEN_PAUSES).await;
         }
     }
 
-    fn set(&self, sender: SenderId, what: What, stands: bool) {
+    /// Starts or ends one trouble.
+    fn apply(&self, sender: SenderId, what: What, active: bool) {
         let links = self.links.get(sender.0);
-        let manner = |manner: Manner| stands.then_some(manner);
+        let if_active = |manner: Manner| active.then_some(manner);
         match what {
-            What::ClientLink(one) => links.into_iter().for_each(|links| links.clients.set(manner(one))),
-            What::PlatformLink(one) => links.into_iter().for_each(|links| links.platform.set(manner(one))),
-            What::EndpointLink(one) => {
-                let all = links.into_iter().flat_map(|links| &links.endpoints);
-                all.for_each(|link| link.set(manner(one)));
+            What::ClientLink(manner) => {
+                links.into_iter().for_each(|links| links.client_proxy.set(if_active(manner)))
             }
-            _ => self.set_page(sender, what, stands),
+            What::PlatformLink(manner) => {
+                links.into_iter().for_each(|links| links.platform_proxy.set(if_active(manner)))
+            }
+            What::EndpointLink(manner) => {
+                let proxies = links.into_iter().flat_map(|links| &links.endpoint_proxies);
+                proxies.for_each(|proxy| proxy.set(if_active(manner)));
+            }
+            _ => self.set_machine_fault(sender, what, active),
         }
     }
 
-    fn set_page(&self, sender: SenderId, what: What, stands: bool) {
-        let Some(page) = self.processes.page(sender) else { return };
+    fn set_machine_fault(&self, sender: SenderId, what: What, active: bool) {
+        let Some(control_page) = self.processes.control_page(sender) else { return };
         if matches!(what, What::Folder { .. }) {
-            self.shared.see(Seen::Folder { sender, fails: stands });
+            self.shared.observe(Seen::Folder { sender, fails: active });
         }
-        if let Err(fault) = set_words(page, what, stands) {
-            log::error!("sender {}: code=no_page {fault}", sender.0);
+        if let Err(error) = write_settings(control_page, what, active) {
+            log::error!("sender {}: code=no_page {error}", sender.0);
         }
     }
 }
 
-fn set_words(page: &Page, what: What, stands: bool) -> std::io::Result<()> {
-    let number = |number: i32| if stands { number } else { 0 };
-    let share = |share: i64| if stands { share } else { 0 };
+fn write_settings(control_page: &Page, what: What, active: bool) -> std::io::Result<()> {
+    let errno_if_active = |errno: i32| if active { errno } else { 0 };
+    let share_if_active = |per_mille: i64| if active { per_mille } else { 0 };
     match what {
         What::Folder { errno, window, period } => {
-            page.set_file_fault_windows(window, period)?;
-            page.files_fail(number(errno))
+            control_page.set_file_fault_windows(window, period)?;
+            control_page.files_fail(errno_if_active(errno))
         }
         What::ShortCalls { broken } => {
-            page.set(Word::ReadCutMost, MOST_READ)?;
-            page.set(Word::ReadCut, share(SHORT))?;
-            page.set(Word::WriteCut, share(SHORT))?;
-            page.set(Word::WaitInterrupted, share(INTERRUPTED))?;
-            page.set(Word::ConnectionResetErrno, number(broken).into())
+            control_page.set(Word::ReadCutMost, MAX_SHORT_READ_BYTES)?;
+            control_page.set(Word::ReadCut, share_if_active(SHORT_CALLS_PER_MILLE))?;
+            control_page.set(Word::WriteCut, share_if_active(SHORT_CALLS_PER_MILLE))?;
+            control_page.set(Word::WaitInterrupted, share_if_active(INTERRUPTED_WAITS_PER_MILLE))?;
+            control_page.set(Word::ConnectionResetErrno, errno_if_active(broken).into())
         }
         What::OwnFaults { accept, socket, connect } => {
-            page.share((Word::Accept, accept), (Word::AcceptPerMille, share(OWN_FAULTS)))?;
-            page.share((Word::Socket, socket), (Word::SocketPerMille, share(OWN_FAULTS)))?;
-            page.share((Word::Connect, connect), (Word::ConnectPerMille, share(OWN_FAULTS)))
+            control_page.share(
+                (Word::Accept, accept),
+                (Word::AcceptPerMille, share_if_active(LOCAL_ERRORS_PER_MILLE)),
+            )?;
+            control_page.share(
+                (Word::Socket, socket),
+                (Word::SocketPerMille, share_if_active(LOCAL_ERRORS_PER_MILLE)),
+            )?;
+            control_page.share(
+                (Word::Connect, connect),
+                (Word::ConnectPerMille, share_if_active(LOCAL_ERRORS_PER_MILLE)),
+            )
         }
-        What::Clock(step) => page.set(Word::WallStep, if stands { step } else { 0 }),
+        What::Clock(step) => control_page.set(Word::WallStep, if active { step } else { 0 }),
         _ => Ok(()),
     }
 }
--- a/crates/sailcart-lab/src/sockets/mod.rs
+++ b/crates/sailcart-lab/src/sockets/mod.rs
@@ -1,5 +1,6 @@
-//! The sender itself on loopback, in real time: the lab starts, kills and restarts `sailcart serve`, and plays
-//! receivers, discovery, the receiver of notices and clients after the published protocol.
+//! Runs experiments in real time with processes of the sender itself, on loopback. The lab starts, kills and
+//! restarts `sailcart serve`, and acts as the receivers, the discovery service, the receiver of notices and
+//! the clients, according to the published protocol.
 
 mod clients;
 mod discovery;
@@ -25,28 +26,37 @@
 use crate::results::Outcome;
 use crate::soak::machine::{MachineTrouble, needs_links};
 use crate::soak::proxy::Proxy;
-use machine_troubles::{Links, Rig};
+use machine_troubles::{Links, TroubleTargets};
 pub use process::keep;
-use process::{Ground, SenderProcesses};
+use process::{ProcessOptions, SenderProcesses};
 use shared::SharedState;
 
-/// How long all senders may take to answer their first `PING`.
-const READY: Duration = Duration::from_secs(10);
-/// How long a sender may take to end once it is told.
-const STOPPING: Duration = Duration::from_secs(4);
-/// From a sender's end to its next start.
-const RESTART: Duration = Duration::from_millis(600);
-const LOOK: Duration = Duration::from_millis(100);
-/// Streams of chance of the links, one for each.
-const CLIENT_LINKS: u64 = 1000;
-const PLATFORM_LINKS: u64 = 2000;
-const ENDPOINT_LINKS: u64 = 3000;
+/// Maximum time for a sender to answer its first `PING` at the start of a run.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum time for a sender to exit after `SIGTERM`.
+const STOP_TIMEOUT: Duration = Duration::from_secs(4);
+/// Time from the exit of a sender to its next start.
+const RESTART_DELAY: Duration = Duration::from_millis(600);
+/// Interval at which a run checks whether it is finished.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// First of the streams of random numbers for the links between clients and senders; each link uses a stream
+/// of its own.
+const FIRST_CLIENT_LINK_STREAM: u64 = 1000;
+/// First of the streams for the links between senders and the platform.
+const FIRST_PLATFORM_LINK_STREAM: u64 = 2000;
+/// First of the streams for the links between senders and endpoints.
+const FIRST_ENDPOINT_LINK_STREAM: u64 = 3000;
 
-fn fault(what: &str) -> impl Fn(std::io::Error) -> Fault + '_ {
-    move |e| Fault(format!("{what}: {e}"))
+/// Converts an I/O error; `what` names what failed.
+fn error_context(what: &str) -> impl Fn(std::io::Error) -> Fault + '_ {
+    move |error| Fault(format!("{what}: {error}"))
 }
 
-/// Plays an experiment with sender processes. `program` is the sender's; the one beside this program without it.
+/// Runs an experiment with sender processes. `program` is the sender's; if `None`, the one in the folder of
+/// this program.
+///
+/// # Errors
+/// If the sender's program is not found, a socket or file cannot be opened, or a sender does not start.
 pub fn run(
     plan: &Plan,
     log: Log,
@@ -54,166 +64,185 @@
     progress: &mut dyn FnMut(Duration),
 ) -> Result<Outcome, Fault> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(fault("runtime"))?;
-    let program = process::find(program)?;
-    LocalSet::new().block_on(&runtime, play(plan.clone(), log, program, Strain::default(), progress))
+    let runtime = runtime.map_err(error_context("runtime"))?;
+    let program = process::find_program(program)?;
+    LocalSet::new().block_on(&runtime, run_plan(plan.clone(), log, program, SoakOptions::default(), progress))
 }
 
-/// What a soak adds: files that are kept, and troubles of machines and links.
+/// What a soak adds to a run: options of the processes, and troubles of machines and links.
 #[derive(Clone, Copy, Default)]
-struct Strain<'a> {
-    ground: Ground<'a>,
-    machine: &'a [MachineTrouble],
+struct SoakOptions<'a> {
+    process_options: ProcessOptions<'a>,
+    machine_troubles: &'a [MachineTrouble],
 }
 
-/// Plays a run of a soak, with its files in this folder.
+/// Runs one experiment of a soak. Its files stay in `folder`; the senders run under the fault-injecting shim.
+///
+/// # Errors
+/// As [`run`].
 pub fn soak(
     plan: &Plan,
     log: Log,
     program: Option<&Path>,
     folder: &Path,
-    machine: &[MachineTrouble],
+    machine_troubles: &[MachineTrouble],
 ) -> Result<Outcome, Fault> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(fault("runtime"))?;
-    let program = process::find(program)?;
-    let strain = Strain { ground: Ground { folder: Some(folder), faults: true }, machine };
-    LocalSet::new().block_on(&runtime, play(plan.clone(), log, program, strain, &mut |_| {}))
+    let runtime = runtime.map_err(error_context("runtime"))?;
+    let program = process::find_program(program)?;
+    let soak_options = SoakOptions {
+        process_options: ProcessOptions { folder: Some(folder), inject_faults: true },
+        machine_troubles,
+    };
+    LocalSet::new().block_on(&runtime, run_plan(plan.clone(), log, program, soak_options, &mut |_| {}))
 }
 
-async fn play(
+async fn run_plan(
     plan: Plan,
     log: Log,
     program: PathBuf,
-    strain: Strain<'_>,
+    soak_options: SoakOptions<'_>,
     progress: &mut dyn FnMut(Duration),
 ) -> Result<Outcome, Fault> {
     let shared = SharedState::new(plan, log);
     let plan = shared.plan.clone();
-    let addresses = endpoints::open(&shared).await.map_err(fault("receivers"))?;
-    let proxied = needs_links(strain.machine);
-    let endpoints = if proxied { endpoint_links(&shared, &addresses).await? } else { Vec::new() };
-    // By sender, where each has links of its own; one for all else.
-    let lists: Vec<Rc<[SocketAddr]>> = match endpoints.is_empty() {
+    let addresses = endpoints::open_all(&shared).await.map_err(error_context("receivers"))?;
+    let needs_proxies = needs_links(soak_options.machine_troubles);
+    let endpoint_proxies =
+        if needs_proxies { open_endpoint_proxies(&shared, &addresses).await? } else { Vec::new() };
+    // One list of endpoint addresses per sender if each has proxies of its own, otherwise one list for all.
+    let endpoint_addresses: Vec<Rc<[SocketAddr]>> = match endpoint_proxies.is_empty() {
         true => vec![addresses.clone()],
-        false => endpoints.iter().map(|links| links.iter().map(|link| link.address).collect()).collect(),
+        false => endpoint_proxies
+            .iter()
+            .map(|proxies| proxies.iter().map(|proxy| proxy.address).collect())
+            .collect(),
     };
-    let mut discovery = discovery::open(&shared, &lists).await.map_err(fault("discovery"))?;
-    let platform = if proxied { platform_links(&shared, &mut discovery).await? } else { Vec::new() };
-    let processes = SenderProcesses::new(&shared, program, &discovery, &lists, strain.ground).await?;
+    let mut discovery =
+        discovery::start_all(&shared, &endpoint_addresses).await.map_err(error_context("discovery"))?;
+    let platform_proxies =
+        if needs_proxies { open_platform_proxies(&shared, &mut discovery).await? } else { Vec::new() };
+    let processes =
+        SenderProcesses::new(&shared, program, &discovery, &endpoint_addresses, soak_options.process_options)
+            .await?;
     let mut links = Vec::new();
-    for (sender, (endpoints, platform)) in endpoints.into_iter().zip(platform).enumerate() {
+    for (sender, (endpoint_proxies, platform_proxy)) in
+        endpoint_proxies.into_iter().zip(platform_proxies).enumerate()
+    {
         let sender = SenderId(sender);
-        let rng = chance(plan.seed, CLIENT_LINKS + sender.0 as u64);
-        let clients = Proxy::open(processes.listens(sender), false, rng).await.map_err(fault("proxy"))?;
-        processes.put_front(sender, clients.address);
-        links.push(Links { clients, platform, endpoints });
+        let rng = chance(plan.seed, FIRST_CLIENT_LINK_STREAM + sender.0 as u64);
+        let client_proxy = Proxy::open(processes.listen_address(sender), false, rng)
+            .await
+            .map_err(error_context("proxy"))?;
+        processes.set_proxy_address(sender, client_proxy.address);
+        links.push(Links { client_proxy, platform_proxy, endpoint_proxies });
     }
     for sender in 0..plan.experiment.senders.count {
         processes.start(SenderId(sender)).await?;
     }
     for sender in 0..plan.experiment.senders.count {
-        processes.ready(SenderId(sender), READY).await?;
+        processes.wait_until_ready(SenderId(sender), READY_TIMEOUT).await?;
     }
-    shared.begin();
-    endpoints::troubles(&shared);
-    Rc::new(Rig { shared: shared.clone(), processes: processes.clone(), links }).strike(strain.machine);
-    spawn_local(processes.clone().watch());
+    shared.start_clock();
+    endpoints::report_outages(&shared);
+    Rc::new(TroubleTargets { shared: shared.clone(), processes: processes.clone(), links })
+        .schedule(soak_options.machine_troubles);
+    spawn_local(processes.clone().restart_crashed_senders());
     let clients = clients::Clients::new(&shared, &processes);
-    spawn_local(clients.clone().hand_all_in());
-    lives(&shared, &processes);
+    spawn_local(clients.clone().submit_all());
+    schedule_restarts(&shared, &processes);
     if let Some(struck) = plan.struck.iter().find(|s| s.trouble.kind == TroubleKind::BadClients) {
-        spawn_local(clients::rude(shared.clone(), processes.clone(), struck.clone()));
+        spawn_local(clients::send_malformed_input(shared.clone(), processes.clone(), struck.clone()));
     }
     let (span, end) = (plan.experiment.span, plan.end());
-    let mut sampled = Duration::ZERO;
-    while shared.now() < end && !(shared.now() > span && shared.settled()) {
-        sleep(LOOK).await;
+    let mut next_sample = Duration::ZERO;
+    while shared.now() < end && !(shared.now() > span && shared.is_settled()) {
+        sleep(POLL_INTERVAL).await;
         progress(shared.now());
-        if shared.now() >= sampled {
-            sampled += Duration::from_secs(1);
+        if shared.now() >= next_sample {
+            next_sample += Duration::from_secs(1);
             shared.tally.borrow_mut().sample(shared.now());
             processes.sample();
         }
     }
-    let cost = processes.end().await;
+    let cost = processes.stop_all().await;
     Ok(shared.finish(Mode::Sockets, PolicyName::Sailcart, cost))
 }
 
-/// For each sender a link to every address.
-async fn endpoint_links(
+/// Opens a proxy to every endpoint address, for each sender.
+async fn open_endpoint_proxies(
     shared: &Rc<SharedState>,
     addresses: &[SocketAddr],
 ) -> Result<Vec<Vec<Rc<Proxy>>>, Fault> {
-    let mut all = Vec::new();
+    let mut proxies_by_sender = Vec::new();
     for sender in 0..shared.plan.experiment.senders.count as u64 {
-        let mut links: Vec<Rc<Proxy>> = Vec::new();
-        for (at, address) in addresses.iter().enumerate() {
-            // Those of a replaced endpoint's address stand there already.
-            let same = addresses[..at].iter().position(|other| other == address);
-            let link = match same {
-                Some(same) => links[same].clone(),
+        let mut proxies: Vec<Rc<Proxy>> = Vec::new();
+        for (index, address) in addresses.iter().enumerate() {
+            // An endpoint that replaces another at the same address uses the proxy that exists.
+            let existing = addresses[..index].iter().position(|other| other == address);
+            let proxy = match existing {
+                Some(existing) => proxies[existing].clone(),
                 None => {
                     let rng = chance(
                         shared.plan.seed,
-                        ENDPOINT_LINKS + sender * addresses.len() as u64 + at as u64,
+                        FIRST_ENDPOINT_LINK_STREAM + sender * addresses.len() as u64 + index as u64,
                     );
-                    Proxy::open(*address, true, rng).await.map_err(fault("proxy"))?
+                    Proxy::open(*address, true, rng).await.map_err(error_context("proxy"))?
                 }
             };
-            links.push(link);
+            proxies.push(proxy);
         }
-        all.push(links);
+        proxies_by_sender.push(proxies);
     }
-    Ok(all)
+    Ok(proxies_by_sender)
 }
 
-/// For each sender a link to discovery, at which it is reached from then on.
-async fn platform_links(
+/// Opens a proxy to discovery for each sender and replaces the address of discovery by that of the proxy.
+async fn open_platform_proxies(
     shared: &Rc<SharedState>,
     discovery: &mut [SocketAddr],
 ) -> Result<Vec<Rc<Proxy>>, Fault> {
-    let mut links = Vec::new();
+    let mut proxies = Vec::new();
     for (sender, address) in discovery.iter_mut().enumerate() {
-        let rng = chance(shared.plan.seed, PLATFORM_LINKS + sender as u64);
-        let link = Proxy::open(*address, false, rng).await.map_err(fault("proxy"))?;
-        *address = link.address;
-        links.push(link);
+        let rng = chance(shared.plan.seed, FIRST_PLATFORM_LINK_STREAM + sender as u64);
+        let proxy = Proxy::open(*address, false, rng).await.map_err(error_context("proxy"))?;
+        *address = proxy.address;
+        proxies.push(proxy);
     }
-    Ok(links)
+    Ok(proxies)
 }
 
-/// Kills, restarts in waves and reloads, each at its time.
-fn lives(shared: &Rc<SharedState>, processes: &Rc<SenderProcesses>) {
+/// Schedules the kills, the restarts in waves and the reloads of the plan.
+fn schedule_restarts(shared: &Rc<SharedState>, processes: &Rc<SenderProcesses>) {
     for struck in shared.plan.struck.iter().filter(|struck| struck.trouble.kind == TroubleKind::Kill) {
-        for (at, sender, down) in struck.deaths(RESTART) {
-            let (processes, due) = (processes.clone(), shared.instant(at));
+        for (at, sender, downtime) in struck.deaths(RESTART_DELAY) {
+            let (processes, start_at) = (processes.clone(), shared.instant(at));
             spawn_local(async move {
-                sleep_until(due).await;
-                processes.restart(sender, None, down).await;
+                sleep_until(start_at).await;
+                processes.restart(sender, None, downtime).await;
             });
         }
     }
     for struck in &shared.plan.struck {
-        let wave = match struck.trouble.kind {
+        let wave_size = match struck.trouble.kind {
             TroubleKind::Roll => struck.trouble.count.unwrap_or(1).max(1),
             TroubleKind::Reload => struck.senders.len().max(1),
             _ => continue,
         };
-        let waves = struck.senders.len().div_ceil(wave) as u32;
-        for (at, senders) in struck.senders.chunks(wave).enumerate() {
-            let begins = match struck.trouble.kind {
-                TroubleKind::Roll => struck.from + (struck.until - struck.from) * at as u32 / waves,
+        let waves = struck.senders.len().div_ceil(wave_size) as u32;
+        for (wave, senders) in struck.senders.chunks(wave_size).enumerate() {
+            let wave_start = match struck.trouble.kind {
+                TroubleKind::Roll => struck.from + (struck.until - struck.from) * wave as u32 / waves,
                 _ => struck.from,
             };
             for sender in senders.iter().copied() {
-                let (processes, due) = (processes.clone(), shared.instant(begins));
+                let (processes, start_at) = (processes.clone(), shared.instant(wave_start));
                 let kind = struck.trouble.kind;
                 spawn_local(async move {
-                    sleep_until(due).await;
+                    sleep_until(start_at).await;
                     match kind {
                         TroubleKind::Reload => processes.reload(sender),
-                        _ => processes.restart(sender, Some(STOPPING), RESTART).await,
+                        _ => processes.restart(sender, Some(STOP_TIMEOUT), RESTART_DELAY).await,
                     }
                 });
             }
@@ -221,54 +250,63 @@
     }
 }
 
-/// The receivers alone, with discovery for one sender at a fixed address, until this process ends: for trying a
-/// sender by hand. Prints what is needed to start one, and what comes.
+/// Runs only the receivers, and discovery for one sender at a fixed address, until this process ends: for
+/// manual tests of a sender. Prints the command that starts the sender, and once a second the counts if they
+/// have changed.
+///
+/// # Errors
+/// If a socket or file cannot be opened.
 pub fn receivers(plan: &Plan, discovery: SocketAddr, sender: SocketAddr, folder: &Path) -> Result<(), Fault> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(fault("runtime"))?;
-    let alone = async {
-        let shared = SharedState::alone(plan.clone());
-        let addresses = endpoints::open(&shared).await.map_err(fault("receivers"))?;
-        let own = discovery::open_at(&shared, &addresses, discovery).await.map_err(fault("discovery"))?;
+    let runtime = runtime.map_err(error_context("runtime"))?;
+    let run_receivers = async {
+        let shared = SharedState::standalone(plan.clone());
+        let addresses = endpoints::open_all(&shared).await.map_err(error_context("receivers"))?;
+        let discovery_address =
+            discovery::start_at(&shared, &addresses, discovery).await.map_err(error_context("discovery"))?;
         let state = folder.join("state");
-        std::fs::create_dir_all(&state).map_err(fault("folder"))?;
-        let config = protocol::config(&shared.plan, SenderId(0), sender, own, &state, &addresses);
-        let file = folder.join("config.json");
-        std::fs::write(&file, config.to_string()).map_err(fault("folder"))?;
-        shared.begin();
-        endpoints::troubles(&shared);
-        println!("{} endpoints, discovery and notices at {own}", shared.plan.places.len());
-        println!("start a sender: sailcart serve --config {}", file.display());
-        let mut told = String::new();
+        std::fs::create_dir_all(&state).map_err(error_context("folder"))?;
+        let config =
+            protocol::sender_config(&shared.plan, SenderId(0), sender, discovery_address, &state, &addresses);
+        let config_path = folder.join("config.json");
+        std::fs::write(&config_path, config.to_string()).map_err(error_context("folder"))?;
+        shared.start_clock();
+        endpoints::report_outages(&shared);
+        println!("{} endpoints; discovery and notices at {discovery_address}", shared.plan.places.len());
+        println!("start the sender with: sailcart serve --config {}", config_path.display());
+        let mut last_printed = String::new();
         loop {
             sleep(Duration::from_secs(1)).await;
-            let words = shared.standing();
-            if words != told {
-                println!("{words}");
-                told = words;
+            let summary = shared.summary();
+            if summary != last_printed {
+                println!("{summary}");
+                last_printed = summary;
             }
         }
     };
-    LocalSet::new().block_on(&runtime, alone)
+    LocalSet::new().block_on(&runtime, run_receivers)
 }
 
-/// The load alone, at a sender that runs already.
+/// Runs only the clients, against a sender that is already running.
+///
+/// # Errors
+/// If the sender does not answer `PING`.
 pub fn load(plan: &Plan, to: SocketAddr, progress: &mut dyn FnMut(Duration)) -> Result<Outcome, Fault> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(fault("runtime"))?;
-    let play = async {
-        let shared = SharedState::alone(plan.clone());
-        let processes = SenderProcesses::elsewhere(&shared, to);
-        processes.ready(SenderId(0), READY).await?;
-        shared.begin();
+    let runtime = runtime.map_err(error_context("runtime"))?;
+    let run_clients = async {
+        let shared = SharedState::standalone(plan.clone());
+        let processes = SenderProcesses::external(&shared, to);
+        processes.wait_until_ready(SenderId(0), READY_TIMEOUT).await?;
+        shared.start_clock();
         let clients = clients::Clients::new(&shared, &processes);
-        spawn_local(clients.clone().hand_all_in());
+        spawn_local(clients.clone().submit_all());
         let end = shared.instant(shared.plan.experiment.span + Duration::from_secs(1));
         while Instant::now() < end {
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
             progress(shared.now());
         }
         Ok(shared.finish(Mode::Sockets, PolicyName::Sailcart, Vec::new()))
     };
-    LocalSet::new().block_on(&runtime, play)
+    LocalSet::new().block_on(&runtime, run_clients)
 }
--- a/crates/sailcart-lab/src/sockets/process.rs
+++ b/crates/sailcart-lab/src/sockets/process.rs
@@ -1,5 +1,5 @@
-//! Sender processes: started, stopped, killed, told to reload, and measured. None outlives the lab: each asks the
-//! kernel to be killed with its parent before it becomes the sender.
+//! The sender processes: starts, stops, kills, reloads and measures them. None outlives the lab: each child
+//! asks the kernel to kill it when its parent ends, before it executes the sender.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -27,196 +27,245 @@
 use crate::results::tally::Count;
 use crate::watcher::Seen;
 
-/// The word on the command line by which the lab starts itself as a sender's keeper.
-pub const KEEP: &str = "keep";
-const LOOK: Duration = Duration::from_millis(20);
-/// From one moment of a start at which a sender is killed to the next, and how many there are.
-const START_STEP: Duration = Duration::from_millis(3);
-const START_STEPS: u32 = 12;
-
-/// The sender's program.
-pub fn find(given: Option<&Path>) -> Result<PathBuf, Fault> {
-    let beside = || {
+/// The subcommand with which the lab starts itself to become a sender.
+pub const KEEP_COMMAND: &str = "keep";
+/// Interval at which the lab checks whether a process has exited or answers `PING`.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// A sender that is killed during its start is killed after a multiple of this time.
+const START_KILL_STEP: Duration = Duration::from_millis(3);
+/// Number of multiples of [`START_KILL_STEP`], from 0, that are used in turn.
+const START_KILL_STEPS: u32 = 12;
+
+/// Path of the sender's program: the given one, or else `sailcart` in the folder of this program or the one
+/// above.
+///
+/// # Errors
+/// If there is no such file.
+pub fn find_program(given: Option<&Path>) -> Result<PathBuf, Fault> {
+    let beside_this_program = || {
         let own = std::env::current_exe().ok()?;
-        // A test's program stands one folder deeper.
+        // The program of a test is one folder deeper.
         own.ancestors().skip(1).take(2).map(|folder| folder.join("sailcart")).find(|path| path.is_file())
     };
-    let path = given.map(Path::to_path_buf).or_else(beside);
+    let path = given.map(Path::to_path_buf).or_else(beside_this_program);
     path.filter(|path| path.is_file()).ok_or_else(|| {
-        let words = "--sender: no sender's program; cargo build --release -p sailcart-sender makes one";
-        Fault(words.to_owned())
+        let message =
+            "--sender: sender program not found; build it with cargo build --release -p sailcart-sender";
+        Fault(message.to_owned())
     })
 }
 
-/// Becomes the program, to be killed when the process `parent` ends. Comes back only with a fault.
-pub fn keep(parent: i32, program: &Path, words: &[String]) -> io::Error {
-    if let Err(fault) = set_pdeathsig(Signal::SIGKILL) {
-        return fault.into();
+/// Replaces this process by the program and has it killed when the process `parent` ends. Returns only on an
+/// error.
+pub fn keep(parent: i32, program: &Path, arguments: &[String]) -> io::Error {
+    if let Err(error) = set_pdeathsig(Signal::SIGKILL) {
+        return error.into();
     }
-    // The parent may have gone before that.
+    // The parent may have ended before the signal was set.
     if getppid() != Pid::from_raw(parent) {
-        return io::Error::other("the lab has gone");
+        return io::Error::other("the lab that started this process has ended");
     }
-    std::process::Command::new(program).args(words).exec()
+    std::process::Command::new(program).args(arguments).exec()
 }
 
+/// One sender, across restarts.
 struct SenderProcess {
-    listen: SocketAddr,
-    config: PathBuf,
+    listen_address: SocketAddr,
+    config_path: PathBuf,
     child: RefCell<Option<Child>>,
-    /// Clients get through to it.
-    taking: Cell<bool>,
-    /// It is meant to be there.
-    wanted: Cell<bool>,
-    /// Of its earlier lives, and of this one as last seen.
-    spent: RefCell<(f64, f64, f64, usize)>,
-    /// Where clients reach it, if not at its own address.
-    front: Cell<Option<SocketAddr>>,
-    /// The page of faults that it runs under.
-    page: Option<Page>,
+    /// Whether clients choose this sender: set once it has answered `PING`, cleared when it is stopped,
+    /// killed or has crashed.
+    accepting: Cell<bool>,
+    /// It has been started and not been stopped or killed by the lab: an exit is a crash.
+    expected_running: Cell<bool>,
+    /// Seconds of processor time of the previous processes, and of this one when last measured; the peak of
+    /// resident memory in MB and the maximum number of open descriptors, of all of them.
+    usage: RefCell<(f64, f64, f64, usize)>,
+    /// Address at which clients reach it, if not its own.
+    proxy_address: Cell<Option<SocketAddr>>,
+    /// The control page of the shim, if it runs under it.
+    control_page: Option<Page>,
 }
 
+/// All senders of a run.
 pub struct SenderProcesses {
     shared: Rc<SharedState>,
     program: PathBuf,
     processes: Vec<SenderProcess>,
-    /// Lives that followed a kill.
-    killed: Cell<u64>,
-    /// Configurations, journals and logs; gone with this run, but for a folder that was given.
-    _folder: Option<tempfile::TempDir>,
+    /// Number of starts after a kill in a soak.
+    starts_after_kill: Cell<u64>,
+    /// Holds configurations, journals and logs, and is removed at the end of the run; `None` if a folder was
+    /// given.
+    _temporary_folder: Option<tempfile::TempDir>,
 }
 
-/// Where processes have their files, and whether they run under pages of faults.
+/// Where the sender processes keep their files, and whether they run under the shim.
 #[derive(Clone, Copy, Default)]
-pub struct Ground<'a> {
-    /// A folder to be kept; one that is gone with the run without it.
+pub struct ProcessOptions<'a> {
+    /// Folder that is kept after the run; a temporary folder if `None`.
     pub folder: Option<&'a Path>,
-    pub faults: bool,
+    /// Loads the fault-injecting shim into the processes.
+    pub inject_faults: bool,
 }
 
 impl SenderProcesses {
+    /// Chooses an address for each sender and writes its configuration. `addresses` holds the addresses of
+    /// the endpoints, as one list per sender or one list for all. Starts no process.
     pub async fn new(
         shared: &Rc<SharedState>,
         program: PathBuf,
         discovery: &[SocketAddr],
         addresses: &[Rc<[SocketAddr]>],
-        ground: Ground<'_>,
+        options: ProcessOptions<'_>,
     ) -> Result<Rc<SenderProcesses>, Fault> {
-        let own = match ground.folder {
+        let temporary_folder = match options.folder {
             Some(_) => None,
             None => Some(
-                tempfile::Builder::new().prefix("sailcart-lab").tempdir().map_err(super::fault("folder"))?,
+                tempfile::Builder::new()
+                    .prefix("sailcart-lab")
+                    .tempdir()
+                    .map_err(super::error_context("folder"))?,
             ),
         };
-        let given = ground.folder.or(own.as_ref().map(tempfile::TempDir::path));
-        let folder = given.unwrap_or(Path::new(".")).canonicalize().map_err(super::fault("folder"))?;
+        let given = options.folder.or(temporary_folder.as_ref().map(tempfile::TempDir::path));
+        let folder =
+            given.unwrap_or(Path::new(".")).canonicalize().map_err(super::error_context("folder"))?;
         let mut processes = Vec::new();
-        for (sender, own) in discovery.iter().enumerate() {
-            let place = format!("127.9.{}.{}:0", sender / 250, sender % 250 + 1);
-            let listener = std::net::TcpListener::bind(&place).map_err(super::fault("senders"))?;
-            let listen = listener.local_addr().map_err(super::fault("senders"))?;
+        for (sender, discovery_address) in discovery.iter().enumerate() {
+            let bind_address = format!("127.9.{}.{}:0", sender / 250, sender % 250 + 1);
+            let listener =
+                std::net::TcpListener::bind(&bind_address).map_err(super::error_context("senders"))?;
+            let listen_address = listener.local_addr().map_err(super::error_context("senders"))?;
             drop(listener);
             let state = folder.join(format!("state-{sender}"));
-            std::fs::create_dir(&state).map_err(super::fault("folder"))?;
-            let config = folder.join(format!("sender-{sender}.json"));
+            std::fs::create_dir(&state).map_err(super::error_context("folder"))?;
+            let config_path = folder.join(format!("sender-{sender}.json"));
             let addresses = &addresses[sender % addresses.len()];
-            let text = protocol::config(&shared.plan, SenderId(sender), listen, *own, &state, addresses);
-            std::fs::write(&config, text.to_string()).map_err(super::fault("folder"))?;
-            let mut process = SenderProcess::new(listen, config);
-            if ground.faults {
-                let page = Page::new(&folder.join(format!("page-{sender}"))).map_err(super::fault("page"))?;
-                page.set(Word::Seed, sender as i64).map_err(super::fault("page"))?;
-                process.page = Some(page);
+            let text = protocol::sender_config(
+                &shared.plan,
+                SenderId(sender),
+                listen_address,
+                *discovery_address,
+                &state,
+                addresses,
+            );
+            std::fs::write(&config_path, text.to_string()).map_err(super::error_context("folder"))?;
+            let mut process = SenderProcess::new(listen_address, config_path);
+            if options.inject_faults {
+                let control_page = Page::new(&folder.join(format!("page-{sender}")))
+                    .map_err(super::error_context("page"))?;
+                control_page.set(Word::Seed, sender as i64).map_err(super::error_context("page"))?;
+                process.control_page = Some(control_page);
             }
             processes.push(process);
         }
-        let killed = Cell::new(0);
-        Ok(Rc::new(SenderProcesses { shared: shared.clone(), program, processes, killed, _folder: own }))
+        let starts_after_kill = Cell::new(0);
+        Ok(Rc::new(SenderProcesses {
+            shared: shared.clone(),
+            program,
+            processes,
+            starts_after_kill,
+            _temporary_folder: temporary_folder,
+        }))
     }
 
-    /// A sender that somebody else started.
-    pub fn elsewhere(shared: &Rc<SharedState>, at: SocketAddr) -> Rc<SenderProcesses> {
-        let processes = vec![SenderProcess::new(at, PathBuf::new())];
+    /// A single sender at this address that the lab has not started.
+    pub fn external(shared: &Rc<SharedState>, address: SocketAddr) -> Rc<SenderProcesses> {
+        let processes = vec![SenderProcess::new(address, PathBuf::new())];
         Rc::new(SenderProcesses {
             shared: shared.clone(),
             program: PathBuf::new(),
             processes,
-            killed: Cell::new(0),
-            _folder: None,
+            starts_after_kill: Cell::new(0),
+            _temporary_folder: None,
         })
     }
 
-    /// Where clients reach a sender.
+    /// The address at which clients reach a sender.
     pub fn address(&self, sender: SenderId) -> SocketAddr {
-        self.processes[sender.0].front.get().unwrap_or(self.processes[sender.0].listen)
+        self.processes[sender.0].proxy_address.get().unwrap_or(self.processes[sender.0].listen_address)
     }
 
     /// The address that a sender listens on.
-    pub fn listens(&self, sender: SenderId) -> SocketAddr {
-        self.processes[sender.0].listen
+    pub fn listen_address(&self, sender: SenderId) -> SocketAddr {
+        self.processes[sender.0].listen_address
     }
 
-    /// From now on clients reach a sender there.
-    pub fn put_front(&self, sender: SenderId, front: SocketAddr) {
-        self.processes[sender.0].front.set(Some(front));
+    /// Makes clients reach a sender at the address of a proxy.
+    pub fn set_proxy_address(&self, sender: SenderId, proxy_address: SocketAddr) {
+        self.processes[sender.0].proxy_address.set(Some(proxy_address));
     }
 
-    /// The page of faults that a sender runs under.
-    pub fn page(&self, sender: SenderId) -> Option<&Page> {
-        self.processes[sender.0].page.as_ref()
+    /// The control page of the shim that a sender runs under, if any.
+    pub fn control_page(&self, sender: SenderId) -> Option<&Page> {
+        self.processes[sender.0].control_page.as_ref()
     }
 
-    /// Holds a sender up, or lets it go on.
-    pub fn hold(&self, sender: SenderId, up: bool) {
+    /// Stops or continues a sender by signal.
+    pub fn set_paused(&self, sender: SenderId, paused: bool) {
         if let Some(pid) = self.pid(sender) {
-            let _ = kill(pid, if up { Signal::SIGSTOP } else { Signal::SIGCONT });
+            let _ = kill(pid, if paused { Signal::SIGSTOP } else { Signal::SIGCONT });
         }
     }
 
-    /// Senders that clients would choose now.
-    pub fn taking(&self) -> Vec<SenderId> {
-        (0..self.processes.len()).filter(|at| self.processes[*at].taking.get()).map(SenderId).collect()
+    /// The senders that accept packets now.
+    pub fn accepting(&self) -> Vec<SenderId> {
+        (0..self.processes.len())
+            .filter(|index| self.processes[*index].accepting.get())
+            .map(SenderId)
+            .collect()
     }
 
+    /// Starts a sender; does not wait until it is ready.
     pub async fn start(&self, sender: SenderId) -> Result<(), Fault> {
         let process = &self.processes[sender.0];
-        let lab = std::env::current_exe().map_err(super::fault("keep"))?;
-        let log = process.config.with_extension("log");
+        let lab_program = std::env::current_exe().map_err(super::error_context("keep"))?;
+        let log = process.config_path.with_extension("log");
         let log = std::fs::OpenOptions::new().create(true).append(true).open(log);
-        let log = log.map_err(super::fault("folder"))?;
-        let mut command = Command::new(lab);
+        let log = log.map_err(super::error_context("folder"))?;
+        let mut command = Command::new(lab_program);
         command
-            .arg(KEEP)
+            .arg(KEEP_COMMAND)
             .arg(std::process::id().to_string())
             .arg(&self.program)
-            .args(["serve".as_ref(), "--config".as_ref(), process.config.as_os_str()])
-            .env("RUST_LOG", if process.page.is_some() { "debug" } else { "info" })
+            .args(["serve".as_ref(), "--config".as_ref(), process.config_path.as_os_str()])
+            .env("RUST_LOG", if process.control_page.is_some() { "debug" } else { "info" })
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log)
             .kill_on_drop(true);
-        if let Some(page) = &process.page {
-            command.envs(page.environment(sailcart_shim::library().map_err(super::fault("shim"))?));
+        if let Some(control_page) = &process.control_page {
+            command.envs(
+                control_page.environment(sailcart_shim::library().map_err(super::error_context("shim"))?),
+            );
         }
         let child = command.spawn();
-        *process.child.borrow_mut() = Some(child.map_err(super::fault("sender"))?);
-        process.wanted.set(true);
+        *process.child.borrow_mut() = Some(child.map_err(super::error_context("sender"))?);
+        process.expected_running.set(true);
         Ok(())
     }
 
-    /// Until it answers `PING`.
-    pub async fn ready(&self, sender: SenderId, within: Duration) -> Result<(), Fault> {
-        let (process, end) = (&self.processes[sender.0], Instant::now() + within);
-        while Instant::now() < end {
-            if let Ok(Ok(())) = timeout(Duration::from_secs(1), ping(process.listen)).await {
-                process.taking.set(true);
+    /// Waits until a sender answers `PING`.
+    ///
+    /// # Errors
+    /// If it does not within this time; the message holds the last lines of its log.
+    pub async fn wait_until_ready(&self, sender: SenderId, within: Duration) -> Result<(), Fault> {
+        let (process, deadline) = (&self.processes[sender.0], Instant::now() + within);
+        while Instant::now() < deadline {
+            if let Ok(Ok(())) = timeout(Duration::from_secs(1), ping(process.listen_address)).await {
+                process.accepting.set(true);
                 return Ok(());
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
-        let log = std::fs::read_to_string(process.config.with_extension("log")).unwrap_or_default();
-        let last: Vec<&str> = log.lines().rev().take(3).collect();
-        Err(Fault(format!("sender {} does not answer at {}: {}", sender.0, process.listen, last.join(" / "))))
+        let log = std::fs::read_to_string(process.config_path.with_extension("log")).unwrap_or_default();
+        let last_lines: Vec<&str> = log.lines().rev().take(3).collect();
+        Err(Fault(format!(
+            "sender {} does not answer PING at {}; end of its log, last line first: {}",
+            sender.0,
+            process.listen_address,
+            last_lines.join(" / ")
+        )))
     }
 
     fn pid(&self, sender: SenderId) -> Option<Pid> {
@@ -224,178 +273,194 @@
         Some(Pid::from_raw(id as i32))
     }
 
+    /// Makes a sender read its configuration again.
     pub fn reload(&self, sender: SenderId) {
         if let Some(pid) = self.pid(sender) {
             let _ = kill(pid, Signal::SIGHUP);
         }
     }
 
-    /// Ends a sender, as told (within a time) or without warning, and starts it again after a while.
-    pub async fn restart(&self, sender: SenderId, told: Option<Duration>, down: Duration) {
+    /// Restarts a sender: stops it, within `stop_within` if that is set, or else kills it, and starts it
+    /// again after `downtime`.
+    pub async fn restart(&self, sender: SenderId, stop_within: Option<Duration>, downtime: Duration) {
         let process = &self.processes[sender.0];
         let Some(pid) = self.pid(sender) else { return };
-        if !process.wanted.replace(false) {
-            return; // it is on its way back from another
+        if !process.expected_running.replace(false) {
+            return; // another restart is in progress
         }
         self.shared.tally.borrow_mut().count(Count::Kills);
         self.measure(sender);
-        self.shared.see(Seen::SenderDown(sender));
-        if let Some(within) = told {
+        self.shared.observe(Seen::SenderDown(sender));
+        if let Some(within) = stop_within {
             let _ = kill(pid, Signal::SIGTERM);
-            if process.page.is_some() {
-                let _ = kill(pid, Signal::SIGHUP); // in the same instant
+            if process.control_page.is_some() {
+                let _ = kill(pid, Signal::SIGHUP); // a reload at the same moment as the stop
             }
             sleep(Duration::from_millis(300)).await;
-            process.taking.set(false);
-            self.ended(sender, within).await;
+            process.accepting.set(false);
+            self.wait_for_exit(sender, within).await;
         }
-        process.taking.set(false);
+        process.accepting.set(false);
         let _ = kill(pid, Signal::SIGKILL);
-        self.ended(sender, Duration::from_secs(1)).await;
+        self.wait_for_exit(sender, Duration::from_secs(1)).await;
         *process.child.borrow_mut() = None;
-        process.end_life();
-        sleep(down).await;
-        if told.is_none() && process.page.is_some() {
-            self.kill_in_its_start(sender).await;
+        process.accumulate_cpu_time();
+        sleep(downtime).await;
+        if stop_within.is_none() && process.control_page.is_some() {
+            self.kill_during_start(sender).await;
         }
         match self.start(sender).await {
-            Ok(()) if self.ready(sender, Duration::from_secs(10)).await.is_ok() => {
-                self.shared.see(Seen::SenderUp(sender));
+            Ok(()) if self.wait_until_ready(sender, Duration::from_secs(10)).await.is_ok() => {
+                self.shared.observe(Seen::SenderUp(sender));
             }
             _ => self.shared.tally.borrow_mut().count(Count::Crashes),
         }
     }
 
-    /// Of the lives in a soak that follow a kill, one in three is killed again within its start, at a moment that moves on.
-    async fn kill_in_its_start(&self, sender: SenderId) {
-        let count = self.killed.replace(self.killed.get() + 1);
+    /// In a soak every third process that follows a kill is killed again during its start, each time
+    /// [`START_KILL_STEP`] later into the start than the time before; after [`START_KILL_STEPS`] of them from
+    /// the beginning again.
+    async fn kill_during_start(&self, sender: SenderId) {
+        let count = self.starts_after_kill.replace(self.starts_after_kill.get() + 1);
         if !count.is_multiple_of(3) || self.start(sender).await.is_err() {
             return;
         }
-        self.processes[sender.0].wanted.set(false); // its end is no crash
-        sleep(START_STEP * (count as u32 / 3 % START_STEPS)).await;
+        self.processes[sender.0].expected_running.set(false); // so that the exit does not count as a crash
+        sleep(START_KILL_STEP * (count as u32 / 3 % START_KILL_STEPS)).await;
         if let Some(pid) = self.pid(sender) {
             let _ = kill(pid, Signal::SIGKILL);
         }
-        self.ended(sender, Duration::from_secs(1)).await;
+        self.wait_for_exit(sender, Duration::from_secs(1)).await;
         *self.processes[sender.0].child.borrow_mut() = None;
     }
 
-    /// Starts a sender anew that ended by itself.
-    async fn revive(&self, sender: SenderId) {
+    /// Restarts a sender that has exited by itself.
+    async fn restart_crashed(&self, sender: SenderId) {
         let process = &self.processes[sender.0];
-        process.wanted.set(false);
-        process.taking.set(false);
-        self.shared.see(Seen::SenderDown(sender));
+        process.expected_running.set(false);
+        process.accepting.set(false);
+        self.shared.observe(Seen::SenderDown(sender));
         *process.child.borrow_mut() = None;
-        process.end_life();
-        sleep(super::RESTART).await;
-        if self.start(sender).await.is_ok() && self.ready(sender, Duration::from_secs(10)).await.is_ok() {
-            self.shared.see(Seen::SenderUp(sender));
+        process.accumulate_cpu_time();
+        sleep(super::RESTART_DELAY).await;
+        if self.start(sender).await.is_ok()
+            && self.wait_until_ready(sender, Duration::from_secs(10)).await.is_ok()
+        {
+            self.shared.observe(Seen::SenderUp(sender));
         }
     }
 
-    async fn ended(&self, sender: SenderId, within: Duration) {
-        let end = Instant::now() + within;
-        while Instant::now() < end {
-            let ended = match &mut *self.processes[sender.0].child.borrow_mut() {
+    /// Waits until the process has exited, but no longer than `within`.
+    async fn wait_for_exit(&self, sender: SenderId, within: Duration) {
+        let deadline = Instant::now() + within;
+        while Instant::now() < deadline {
+            let has_exited = match &mut *self.processes[sender.0].child.borrow_mut() {
                 Some(child) => !matches!(child.try_wait(), Ok(None)),
                 None => true,
             };
-            if ended {
+            if has_exited {
                 return;
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Counts senders that end without being told, and starts them again.
-    pub async fn watch(self: Rc<Self>) {
+    /// Counts and restarts senders that exit although the lab has not stopped them.
+    pub async fn restart_crashed_senders(self: Rc<Self>) {
         loop {
             sleep(Duration::from_millis(100)).await;
-            for (at, process) in self.processes.iter().enumerate().filter(|(_, process)| process.wanted.get())
+            for (index, process) in
+                self.processes.iter().enumerate().filter(|(_, process)| process.expected_running.get())
             {
-                let ended = match &mut *process.child.borrow_mut() {
+                let exit_status = match &mut *process.child.borrow_mut() {
                     Some(child) => child.try_wait().ok().flatten(),
                     None => None,
                 };
-                if let Some(status) = ended {
-                    log::error!("sender {at}: code=crashed {status}");
+                if let Some(status) = exit_status {
+                    log::error!("sender {index}: code=crashed {status}");
                     self.shared.tally.borrow_mut().count(Count::Crashes);
-                    self.revive(SenderId(at)).await;
+                    self.restart_crashed(SenderId(index)).await;
                 }
             }
         }
     }
 
+    /// Updates the resource usage of a sender.
     fn measure(&self, sender: SenderId) {
         let Some(pid) = self.pid(sender) else { return };
         let Ok(process) = procfs::process::Process::new(pid.as_raw()) else { return };
-        let mut spent = self.processes[sender.0].spent.borrow_mut();
+        let mut usage = self.processes[sender.0].usage.borrow_mut();
         if let Ok(stat) = process.stat() {
-            spent.1 = (stat.utime + stat.stime) as f64 / procfs::ticks_per_second() as f64;
+            usage.1 = (stat.utime + stat.stime) as f64 / procfs::ticks_per_second() as f64;
         }
         if let Ok(status) = process.status() {
-            spent.2 = spent.2.max(status.vmhwm.unwrap_or(0) as f64 / 1000.0);
+            usage.2 = usage.2.max(status.vmhwm.unwrap_or(0) as f64 / 1000.0);
         }
         if let Ok(count) = process.fd_count() {
-            spent.3 = spent.3.max(count);
+            usage.3 = usage.3.max(count);
         }
     }
 
+    /// Updates the resource usage of all senders.
     pub fn sample(&self) {
         (0..self.processes.len()).for_each(|sender| self.measure(SenderId(sender)));
     }
 
-    /// Ends all; what each cost, and the lab itself.
-    pub async fn end(&self) -> Vec<Cost> {
+    /// Stops all senders. Returns the resource usage of each and of the lab itself.
+    pub async fn stop_all(&self) -> Vec<Cost> {
         self.sample();
-        for (at, process) in self.processes.iter().enumerate() {
-            process.wanted.set(false);
-            if let Some(pid) = self.pid(SenderId(at)) {
+        for (index, process) in self.processes.iter().enumerate() {
+            process.expected_running.set(false);
+            if let Some(pid) = self.pid(SenderId(index)) {
                 let _ = kill(pid, Signal::SIGTERM);
             }
         }
         let mut cost = Vec::new();
-        for (at, process) in self.processes.iter().enumerate() {
-            self.ended(SenderId(at), super::STOPPING).await;
-            *process.child.borrow_mut() = None; // killed if it has not ended
-            let (before, now, memory_mb, descriptors) = *process.spent.borrow();
-            cost.push(Cost { process: format!("sender {at}"), cpu_s: before + now, memory_mb, descriptors });
+        for (index, process) in self.processes.iter().enumerate() {
+            self.wait_for_exit(SenderId(index), super::STOP_TIMEOUT).await;
+            *process.child.borrow_mut() = None; // kills the process if it still runs
+            let (previous_cpu_s, current_cpu_s, memory_mb, descriptors) = *process.usage.borrow();
+            cost.push(Cost {
+                process: format!("sender {index}"),
+                cpu_s: previous_cpu_s + current_cpu_s,
+                memory_mb,
+                descriptors,
+            });
         }
         if let Ok(own) = procfs::process::Process::myself() {
-            let cpu =
+            let cpu_seconds =
                 own.stat().map_or(0.0, |s| (s.utime + s.stime) as f64 / procfs::ticks_per_second() as f64);
             let memory_mb = own.status().ok().and_then(|s| s.vmhwm).unwrap_or(0) as f64 / 1000.0;
             let descriptors = own.fd_count().unwrap_or(0);
-            cost.push(Cost { process: "the lab".to_owned(), cpu_s: cpu, memory_mb, descriptors });
+            cost.push(Cost { process: "the lab".to_owned(), cpu_s: cpu_seconds, memory_mb, descriptors });
         }
         cost
     }
 }
 
 impl SenderProcess {
-    fn new(listen: SocketAddr, config: PathBuf) -> Self {
+    fn new(listen_address: SocketAddr, config_path: PathBuf) -> Self {
         SenderProcess {
-            listen,
-            config,
+            listen_address,
+            config_path,
             child: RefCell::new(None),
-            taking: Cell::new(false),
-            wanted: Cell::new(false),
-            spent: RefCell::new((0.0, 0.0, 0.0, 0)),
-            front: Cell::new(None),
-            page: None,
+            accepting: Cell::new(false),
+            expected_running: Cell::new(false),
+            usage: RefCell::new((0.0, 0.0, 0.0, 0)),
+            proxy_address: Cell::new(None),
+            control_page: None,
         }
     }
 
-    fn end_life(&self) {
-        let mut spent = self.spent.borrow_mut();
-        spent.0 += std::mem::take(&mut spent.1);
+    /// Adds the processor time of the process that has ended to that of the previous ones.
+    fn accumulate_cpu_time(&self) {
+        let mut usage = self.usage.borrow_mut();
+        usage.0 += std::mem::take(&mut usage.1);
     }
 }
 
-async fn ping(at: SocketAddr) -> io::Result<()> {
-    let mut stream = TcpStream::connect(at).await?;
+async fn ping(address: SocketAddr) -> io::Result<()> {
+    let mut stream = TcpStream::connect(address).await?;
     stream.write_all(b"*1\r\n$4\r\nPING\r\n").await?;
     let mut answer = [0u8; 7];
     stream.read_exact(&mut answer).await?;
--- a/crates/sailcart-lab/src/sockets/shared.rs
+++ b/crates/sailcart-lab/src/sockets/shared.rs
@@ -1,4 +1,5 @@
-//! What all parts of a run on sockets share: the clock, the receivers, the watcher, and every packet by its id.
+//! The state that all parts of a run on sockets share: its clock, the model of the receivers, the watcher,
+//! the tally, and every submission by packet id.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -17,15 +18,17 @@
 use crate::results::{Cost, Outcome};
 use crate::watcher::{CallId, End, GateId, Handed, Seen, Watcher};
 
-/// A packet as handed in once.
+/// One submission of a packet. Each further submission of the same packet has an id of its own.
 pub struct Submission {
     pub origin: OriginId,
     pub sender: SenderId,
-    pub tries: u32,
-    pub taken: bool,
+    /// How often the packet had been resubmitted after a dismissal; 0 until the first dismissal.
+    pub attempt: u32,
+    pub accepted: bool,
     pub end: Option<End>,
 }
 
+/// The state of one run.
 pub struct SharedState {
     pub plan: Rc<Plan>,
     start: Cell<Instant>,
@@ -35,25 +38,32 @@
     log: RefCell<Log>,
     submissions: RefCell<Vec<Submission>>,
     next_call: Cell<u64>,
-    /// Packets handed in, or to be handed in again, that nobody has ended.
-    open: Cell<usize>,
-    /// Clients are elsewhere: packets are known by what calls say of them.
-    alone: Option<RefCell<HashMap<String, OriginId>>>,
-    /// Ends that lead to another handing in: for the clients to fetch.
-    pub again: RefCell<Vec<(OriginId, u32, Duration)>>,
+    /// Number of submissions that have not completed.
+    incomplete: Cell<usize>,
+    /// Set if this process plays only the receivers or only the clients. A packet in a call is then
+    /// identified by its idempotency key or id alone, and gets an origin here when it is first seen.
+    external_origins: Option<RefCell<HashMap<String, OriginId>>>,
+    /// Dismissed packets that the clients are to submit again: origin, the new value of `attempt`, and the time
+    /// since the start of the experiment.
+    pub resubmissions: RefCell<Vec<(OriginId, u32, Duration)>>,
 }
 
 impl SharedState {
+    /// For a run in which this process plays clients and receivers.
     pub fn new(plan: Plan, log: Log) -> Rc<SharedState> {
         Rc::new(Self::build(plan, log, None))
     }
 
-    /// Without clients, or without receivers, of one's own.
-    pub fn alone(plan: Plan) -> Rc<SharedState> {
+    /// For a run in which this process plays only the receivers or only the clients.
+    pub fn standalone(plan: Plan) -> Rc<SharedState> {
         Rc::new(Self::build(plan, Log::default(), Some(RefCell::default())))
     }
 
-    fn build(plan: Plan, log: Log, alone: Option<RefCell<HashMap<String, OriginId>>>) -> SharedState {
+    fn build(
+        plan: Plan,
+        log: Log,
+        external_origins: Option<RefCell<HashMap<String, OriginId>>>,
+    ) -> SharedState {
         SharedState {
             receivers: RefCell::new(Receivers::new(&plan)),
             watcher: RefCell::new(Watcher::new(&plan.experiment.rules)),
@@ -63,72 +73,79 @@
             start: Cell::new(Instant::now()),
             submissions: RefCell::default(),
             next_call: Cell::new(0),
-            open: Cell::new(0),
-            alone,
-            again: RefCell::default(),
+            incomplete: Cell::new(0),
+            external_origins,
+            resubmissions: RefCell::default(),
         }
     }
 
-    /// The experiment's time starts now.
-    pub fn begin(&self) {
+    /// Makes the present moment the start of the experiment.
+    pub fn start_clock(&self) {
         self.start.set(Instant::now());
     }
 
+    /// Time since the start of the experiment.
     pub fn now(&self) -> Duration {
         self.start.get().elapsed()
     }
 
+    /// The instant at a time since the start of the experiment.
     pub fn instant(&self, at: Duration) -> Instant {
         self.start.get() + at
     }
 
-    pub fn see(&self, seen: Seen) {
+    /// Writes an event to the log and reports it to the watcher.
+    pub fn observe(&self, seen: Seen) {
         let now = self.now();
         self.log.borrow_mut().write(now, &seen);
         self.watcher.borrow_mut().see(now, &seen);
     }
 
+    /// The gate of an endpoint: the unit that has a limit of its own.
     pub fn gate(&self, endpoint: EndpointId) -> GateId {
         GateId(self.receivers.borrow().gate(endpoint))
     }
 
+    /// The number of a new call.
     pub fn next_call(&self) -> CallId {
         self.next_call.set(self.next_call.get() + 1);
         CallId(self.next_call.get())
     }
 
-    /// A client hands a packet in; its id on the wire is its number.
-    pub fn hand(&self, origin: OriginId, sender: SenderId, tries: u32) -> PacketId {
+    /// Records a submission. The id that it returns is also the packet's id on the wire.
+    pub fn record_submission(&self, origin_id: OriginId, sender: SenderId, attempt: u32) -> PacketId {
         let mut submissions = self.submissions.borrow_mut();
         let packet = PacketId(submissions.len() as u64);
-        submissions.push(Submission { origin, sender, tries, taken: false, end: None });
+        submissions.push(Submission { origin: origin_id, sender, attempt, accepted: false, end: None });
         drop(submissions);
-        let wanted = &self.plan.origins[origin.0];
+        let origin = &self.plan.origins[origin_id.0];
         self.tally.borrow_mut().count(Count::HandedIn);
-        self.tally.borrow_mut().holds(wanted.destination, true);
-        self.open.set(self.open.get() + 1);
-        self.see(Seen::Handed(Handed::new(&self.plan, packet, origin, sender)));
+        self.tally.borrow_mut().holds(origin.destination, true);
+        self.incomplete.set(self.incomplete.get() + 1);
+        self.observe(Seen::Handed(Handed::new(&self.plan, packet, origin_id, sender)));
         packet
     }
 
-    pub fn taken(&self, packet: PacketId) {
-        let fresh = {
+    /// The sender has accepted the packet.
+    pub fn record_acceptance(&self, packet: PacketId) {
+        let newly_accepted = {
             let mut submissions = self.submissions.borrow_mut();
             let submission = &mut submissions[packet.0 as usize];
-            !std::mem::replace(&mut submission.taken, true)
+            !std::mem::replace(&mut submission.accepted, true)
         };
-        if fresh {
-            self.see(Seen::Taken(packet));
+        if newly_accepted {
+            self.observe(Seen::Taken(packet));
         }
     }
 
-    /// Its client heard nothing, and gives this handing in up.
-    pub fn abandoned(&self, packet: PacketId) {
-        self.close(packet, End::Dismissed);
-        self.see(Seen::Abandoned(packet));
+    /// The client got no usable reply and abandons this submission.
+    pub fn record_abandonment(&self, packet: PacketId) {
+        self.mark_completed(packet, End::Dismissed);
+        self.observe(Seen::Abandoned(packet));
     }
 
-    fn close(&self, packet: PacketId, end: End) -> bool {
+    /// Marks a submission as completed; true if it had not been.
+    fn mark_completed(&self, packet: PacketId, end: End) -> bool {
         let mut submissions = self.submissions.borrow_mut();
         let submission = &mut submissions[packet.0 as usize];
         let first = submission.end.is_none();
@@ -136,21 +153,22 @@
         if first {
             let destination = self.plan.origins[submission.origin.0].destination;
             self.tally.borrow_mut().holds(destination, false);
-            self.open.set(self.open.get() - 1);
+            self.incomplete.set(self.incomplete.get() - 1);
         }
         first
     }
 
-    /// A packet's end was told to its client or by a notice. A dismissal may bring it back.
-    pub fn ended(&self, packet: PacketId, end: End, wait: Duration) {
+    /// The completion of a packet was reported to its client or by a notice. A dismissed packet may be
+    /// submitted again, after `wait` at the earliest.
+    pub fn record_completion(&self, packet: PacketId, end: End, wait: Duration) {
         if packet.0 as usize >= self.submissions.borrow().len() {
             return self.tally.borrow_mut().count(Count::Strays);
         }
-        let first = self.close(packet, end);
-        self.see(Seen::Ended(packet, end));
-        let (origin, tries) = {
+        let first = self.mark_completed(packet, end);
+        self.observe(Seen::Ended(packet, end));
+        let (origin, attempt) = {
             let submissions = self.submissions.borrow();
-            (submissions[packet.0 as usize].origin, submissions[packet.0 as usize].tries)
+            (submissions[packet.0 as usize].origin, submissions[packet.0 as usize].attempt)
         };
         match end {
             End::Done => {
@@ -161,70 +179,76 @@
             End::Scrapped => self.tally.borrow_mut().count(Count::Scrapped),
         }
         let load = &self.plan.experiment.load;
-        if end == End::Dismissed && first && tries < load.again {
-            let pause = load.pause.mul_f64(1.0 + (packet.0 % 50) as f64 / 100.0).max(wait);
-            let at = self.now() + pause;
+        if end == End::Dismissed && first && attempt < load.again {
+            let delay = load.pause.mul_f64(1.0 + (packet.0 % 50) as f64 / 100.0).max(wait);
+            let at = self.now() + delay;
             if at < self.plan.comes_again_until(origin) {
-                self.again.borrow_mut().push((origin, tries + 1, at));
+                self.resubmissions.borrow_mut().push((origin, attempt + 1, at));
             }
         }
     }
 
-    /// Which packet a call names, if a client handed it in.
-    pub fn known(&self, id: &str) -> Option<PacketId> {
+    /// The packet with this id on the wire; `None` if no client of this run submitted it. With external
+    /// clients every hexadecimal number counts as the id of a packet.
+    pub fn find_packet(&self, id: &str) -> Option<PacketId> {
         let number = u64::from_str_radix(id, 16).ok()?;
-        if self.alone.is_some() {
+        if self.external_origins.is_some() {
             return Some(PacketId(number));
         }
         (number < self.submissions.borrow().len() as u64).then_some(PacketId(number))
     }
 
+    /// The sender that the packet was submitted to; the first sender for a packet of an external client.
     pub fn sender(&self, packet: PacketId) -> SenderId {
         self.submissions.borrow().get(packet.0 as usize).map_or(SenderId(0), |submission| submission.sender)
     }
 
-    pub fn piece(&self, packet: PacketId, mark: Option<&str>) -> Piece {
-        if let Some(known) = &self.alone {
-            // Nothing else tells which handings in are one packet.
-            let mut known = known.borrow_mut();
-            let next = OriginId(known.len());
-            let name = mark.map_or_else(|| format!("id {}", packet.0), str::to_owned);
+    /// The packet as the model of the receivers sees it.
+    pub fn piece(&self, packet: PacketId, idempotency_key: Option<&str>) -> Piece {
+        if let Some(origins) = &self.external_origins {
+            // Only the idempotency key or the id shows which submissions belong to the same packet.
+            let mut origins = origins.borrow_mut();
+            let next = OriginId(origins.len());
+            let packet_name = idempotency_key.map_or_else(|| format!("id {}", packet.0), str::to_owned);
             let memory = self.plan.experiment.categories.iter().filter_map(|c| c.memory).max();
-            let repeat = if mark.is_some() { Repeat::Deduplicated } else { Repeat::Idempotent };
-            let memory = if mark.is_some() { memory.unwrap_or_default() } else { Duration::ZERO };
-            return Piece { origin: *known.entry(name).or_insert(next), repeat, memory };
+            let repeat = if idempotency_key.is_some() { Repeat::Deduplicated } else { Repeat::Idempotent };
+            let memory = if idempotency_key.is_some() { memory.unwrap_or_default() } else { Duration::ZERO };
+            return Piece { origin: *origins.entry(packet_name).or_insert(next), repeat, memory };
         }
         Piece::new(&self.plan, self.submissions.borrow()[packet.0 as usize].origin)
     }
 
-    /// A connection that could not come up is not seen here: who had packets for it must have tried.
-    pub fn missed(&self, gate: GateId, endpoints: &[EndpointId]) {
+    /// Reports a failed connection for each sender with incomplete packets for one of these endpoints. The
+    /// lab cannot observe a connection attempt that fails, so it assumes that each such sender has made one.
+    pub fn record_failed_connections(&self, gate: GateId, endpoints: &[EndpointId]) {
         let mut senders: Vec<SenderId> = Vec::new();
         for submission in self.submissions.borrow().iter().filter(|submission| submission.end.is_none()) {
-            let to = self.plan.origins[submission.origin.0].destination;
-            if endpoints.iter().any(|endpoint| self.plan.place(*endpoint).destination == to) {
+            let destination = self.plan.origins[submission.origin.0].destination;
+            if endpoints.iter().any(|endpoint| self.plan.place(*endpoint).destination == destination) {
                 senders.push(submission.sender);
             }
         }
         senders.sort();
         senders.dedup();
         for sender in senders {
-            self.see(Seen::NoConnection { sender, gate });
+            self.observe(Seen::NoConnection { sender, gate });
         }
     }
 
-    /// Nothing is open any more, and nobody is to come again.
-    pub fn settled(&self) -> bool {
-        self.open.get() == 0 && self.again.borrow().is_empty()
+    /// Whether every submission has completed and none is to be repeated.
+    pub fn is_settled(&self) -> bool {
+        self.incomplete.get() == 0 && self.resubmissions.borrow().is_empty()
     }
 
-    pub fn standing(&self) -> String {
+    /// The counts so far as one line of text.
+    pub fn summary(&self) -> String {
         self.tally.borrow().standing()
     }
 
+    /// Ends the checks of the watcher and returns the result of the run.
     pub fn finish(&self, mode: Mode, policy: PolicyName, cost: Vec<Cost>) -> Outcome {
         let mut watcher = self.watcher.borrow_mut();
-        if self.alone.is_none() {
+        if self.external_origins.is_none() {
             watcher.finish(self.plan.end());
         }
         self.log.borrow_mut().finish();
