--- a/crates/sailcart-lab/src/sockets/endpoints.rs
+++ b/crates/sailcart-lab/src/sockets/endpoints.rs
@@ -198,6 +198,7 @@
         fillers
     }
 
+    /// Accepts connections until this future is dropped.
     async fn accept(self: Rc<Self>, listener: &TcpListener) {
         loop {
             match listener.accept().await {
--- a/crates/sailcart-lab/src/sockets/http.rs
+++ b/crates/sailcart-lab/src/sockets/http.rs
@@ -111,7 +111,7 @@
     }))
 }
 
-/// A response with a body and its length. `headers` are complete lines.
+/// A response with a body and its length. `headers` is empty or consists of complete lines.
 pub fn response(status: &str, headers: &str, body: &str) -> Vec<u8> {
     format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
--- a/crates/sailcart-lab/src/sockets/machine_troubles.rs
+++ b/crates/sailcart-lab/src/sockets/machine_troubles.rs
@@ -22,6 +22,7 @@
 const SHORT_CALLS_PER_MILLE: i64 = 200;
 /// Share of the waits that are interrupted, in thousandths.
 const INTERRUPTED_WAITS_PER_MILLE: i64 = 50;
+/// Maximum number of bytes that a short read returns.
 const MAX_SHORT_READ_BYTES: i64 = 40;
 /// How long a sender runs between two pauses.
 const RUN_BETWEEN_PAUSES: Duration = Duration::from_millis(500);
@@ -58,6 +59,7 @@
         }
     }
 
+    /// Pauses a sender again and again until the trouble ends.
     async fn pause_repeatedly(&self, trouble: MachineTrouble, pause: Duration) {
         while self.shared.now() < trouble.until {
             self.processes.set_paused(trouble.sender, true);
@@ -86,6 +88,7 @@
         }
     }
 
+    /// Starts or ends a fault that the shim injects. Does nothing if the sender does not run under the shim.
     fn set_machine_fault(&self, sender: SenderId, what: What, active: bool) {
         let Some(control_page) = self.processes.control_page(sender) else { return };
         if matches!(what, What::Folder { .. }) {
@@ -97,6 +100,7 @@
     }
 }
 
+/// Writes the settings of a fault to the control page, or resets them if it is not active.
 fn write_settings(control_page: &Page, what: What, active: bool) -> std::io::Result<()> {
     let errno_if_active = |errno: i32| if active { errno } else { 0 };
     let share_if_active = |per_mille: i64| if active { per_mille } else { 0 };
--- a/crates/sailcart-lab/src/sockets/mod.rs
+++ b/crates/sailcart-lab/src/sockets/mod.rs
@@ -277,10 +277,10 @@
         let mut last_printed = String::new();
         loop {
             sleep(Duration::from_secs(1)).await;
-            let summary = shared.summary();
-            if summary != last_printed {
-                println!("{summary}");
-                last_printed = summary;
+            let progress_line = shared.progress_line();
+            if progress_line != last_printed {
+                println!("{progress_line}");
+                last_printed = progress_line;
             }
         }
     };
--- a/crates/sailcart-lab/src/sockets/shared.rs
+++ b/crates/sailcart-lab/src/sockets/shared.rs
@@ -241,7 +241,7 @@
     }
 
     /// The counts so far as one line of text.
-    pub fn summary(&self) -> String {
+    pub fn progress_line(&self) -> String {
         self.tally.borrow().standing()
     }
 
