--- a/crates/sailcart-lab/src/sockets/shared.rs
+++ b/crates/sailcart-lab/src/sockets/shared.rs
@@ -43,8 +43,8 @@
     /// Set if this process plays only the receivers or only the clients. A packet in a call is then
     /// identified by its idempotency key or id alone, and gets an origin here when it is first seen.
     external_origins: Option<RefCell<HashMap<String, OriginId>>>,
-    /// Dismissed packets that the clients are to submit again: origin, the new value of `attempt`, and the time
-    /// since the start of the experiment.
+    /// Dismissed packets that the clients are to submit again: origin, the new value of `attempt`, and the
+    /// time since the start of the experiment.
     pub resubmissions: RefCell<Vec<(OriginId, u32, Duration)>>,
 }
 
--- a/crates/sailcart-shim-preload/src/calls.rs
+++ b/crates/sailcart-shim-preload/src/calls.rs
@@ -27,7 +27,11 @@
     ($name:literal, fn($($argument:ty),*) -> $result:ty) => {{
         static CACHE: AtomicUsize = AtomicUsize::new(0);
         // SAFETY: the C library's function of this name has this signature.
-        unsafe { std::mem::transmute::<usize, unsafe extern "C" fn($($argument),*) -> $result>(next_definition(&CACHE, $name)) }
+        unsafe {
+            std::mem::transmute::<usize, unsafe extern "C" fn($($argument),*) -> $result>(
+                next_definition(&CACHE, $name)
+            )
+        }
     }};
 }
 
