--- /dev/null
+++ b/crates/sailcart-lab/src/sockets/endpoints.rs
@@ -0,0 +1,467 @@
+//! The endpoints on loopback: sockets in front of the model of [`crate::receivers`], which decides how each
+//! connection and each call is answered.
+
+use std::io;
+use std::net::{IpAddr, Ipv4Addr, SocketAddr};
+use std::rc::Rc;
+use std::time::Duration;
+
+use sailcart::{EndpointId, PacketId};
+use tokio::io::AsyncWriteExt;
+use tokio::net::{TcpListener, TcpSocket, TcpStream};
+use tokio::task::spawn_local;
+use tokio::time::{sleep, sleep_until, timeout};
+
+use super::http::{CallReader, response};
+use super::protocol::{packets_in_call, response_bytes};
+use super::shared::SharedState;
+use crate::plan::SenderId;
+use crate::receivers::{Answer, Connect, Reception, TroubleSchedule};
+use crate::results::tally::Count;
+use crate::watcher::{CallId, End, GateId, Heard, Seen};
+
+/// Maximum number of connections that wait to be accepted at an endpoint that is up.
+const LISTEN_BACKLOG: u32 = 1024;
+/// Number of connections with which the lab fills the accept queue of a black hole, so that no other
+/// connection is established.
+const QUEUE_FILLERS: usize = 4;
+
+/// Opens a listening socket for each address of the plan and serves it. Returns the addresses by endpoint
+/// number. An endpoint that replaces another one at the same address shares its socket.
+pub async fn open_all(shared: &Rc<SharedState>) -> io::Result<Rc<[SocketAddr]>> {
+    let mut addresses: Vec<SocketAddr> = Vec::new();
+    for place in &shared.plan.places {
+        if place.address != place.endpoint {
+            addresses.push(addresses[place.address.0 as usize]);
+            continue;
+        }
+        let number = place.endpoint.0;
+        let ip = Ipv4Addr::new(
+            127,
+            10 + (number / 62_500) as u8,
+            (number / 250 % 250) as u8,
+            (number % 250 + 1) as u8,
+        );
+        let listener = bind(SocketAddr::new(IpAddr::V4(ip), 0), LISTEN_BACKLOG)?;
+        let address = listener.local_addr()?;
+        addresses.push(address);
+        spawn_local(
+            Rc::new(ListeningAddress { shared: shared.clone(), address, first_endpoint: place.endpoint })
+                .serve(listener),
+        );
+    }
+    Ok(addresses.into())
+}
+
+fn bind(address: SocketAddr, backlog: u32) -> io::Result<TcpListener> {
+    let socket = TcpSocket::new_v4()?;
+    socket.set_reuseaddr(true)?;
+    socket.bind(address)?;
+    socket.listen(backlog)
+}
+
+/// Reports the beginning of each outage to the watcher and, at the end of an outage in which the endpoint
+/// accepted no connections, the senders that must have failed to connect.
+pub fn report_outages(shared: &Rc<SharedState>) {
+    let schedule = TroubleSchedule::new(&shared.plan);
+    for place in &shared.plan.places {
+        let gate = shared.gate(place.endpoint);
+        for (from, until) in schedule.outages(place.endpoint) {
+            let (shared, endpoint) = (shared.clone(), place.endpoint);
+            spawn_local(async move {
+                sleep_until(shared.instant(from)).await;
+                shared.observe(Seen::OutageFrom(gate));
+                let refuses_connections = {
+                    let conditions = shared.receivers.borrow().conditions(from, endpoint);
+                    conditions.down || conditions.black_hole
+                };
+                sleep_until(shared.instant(until)).await;
+                if refuses_connections {
+                    shared.record_failed_connections(gate, &[endpoint]);
+                }
+            });
+        }
+    }
+}
+
+/// One listening address. Endpoints that replace one another use it in turn.
+struct ListeningAddress {
+    shared: Rc<SharedState>,
+    address: SocketAddr,
+    /// The first endpoint at this address; the plan refers to the address by it.
+    first_endpoint: EndpointId,
+}
+
+/// What happens to connection attempts.
+#[derive(Clone, Copy, PartialEq)]
+enum ListenState {
+    /// They are accepted.
+    Open,
+    /// They are refused: no socket listens.
+    Closed,
+    /// They get no answer: the accept queue is full.
+    BlackHole,
+}
+
+impl ListeningAddress {
+    /// The endpoint that uses the address now.
+    fn current_endpoint(&self, now: Duration) -> Option<EndpointId> {
+        let at_this_address = |place: &&crate::plan::Place| place.address == self.first_endpoint;
+        let in_use = |place: &&crate::plan::Place| place.from <= now && now < place.gone;
+        self.shared.plan.places.iter().filter(at_this_address).find(in_use).map(|place| place.endpoint)
+    }
+
+    fn listen_state(&self, now: Duration) -> ListenState {
+        let Some(endpoint) = self.current_endpoint(now) else { return ListenState::Closed };
+        let conditions = self.shared.receivers.borrow().conditions(now, endpoint);
+        match (conditions.down, conditions.black_hole) {
+            (true, _) => ListenState::Closed,
+            (_, true) => ListenState::BlackHole,
+            _ => ListenState::Open,
+        }
+    }
+
+    /// The time before which the state does not change; `None` if no change is planned.
+    fn next_change(&self, now: Duration) -> Option<Duration> {
+        let places = self.shared.plan.places.iter().filter(|place| place.address == self.first_endpoint);
+        let receivers = self.shared.receivers.borrow();
+        places.filter_map(|place| receivers.next_change(&self.shared.plan, now, place.endpoint)).min()
+    }
+
+    /// Follows the state of the address for the whole run.
+    async fn serve(self: Rc<Self>, initial_listener: TcpListener) {
+        let mut open_listener = Some(initial_listener);
+        loop {
+            let now = self.shared.now();
+            let listen_state = self.listen_state(now);
+            let next_change = self.next_change(now);
+            let wake_at = next_change
+                .map_or(self.shared.instant(now + Duration::from_secs(3600)), |at| self.shared.instant(at));
+            // Long sleeps are bounded, as the clock of the run restarts when all senders are ready.
+            let latest = tokio::time::Instant::now()
+                + Duration::from_millis(if next_change.is_some() { 500 } else { 60_000 });
+            let wake_at = wake_at.min(latest);
+            match listen_state {
+                ListenState::Open => {
+                    if open_listener.is_none() {
+                        open_listener = self.listen(LISTEN_BACKLOG).await;
+                    }
+                    if let Some(listener) = &open_listener {
+                        tokio::select! {
+                            () = self.clone().accept(listener) => {}
+                            () = sleep_until(wake_at) => {}
+                        }
+                    }
+                }
+                ListenState::Closed => {
+                    open_listener = None;
+                    sleep_until(wake_at).await;
+                }
+                ListenState::BlackHole => {
+                    drop(open_listener.take());
+                    let full_listener = self.listen(0).await;
+                    let fillers = self.fill_accept_queue().await;
+                    while self.listen_state(self.shared.now()) == ListenState::BlackHole {
+                        sleep_until(wake_at.min(tokio::time::Instant::now() + Duration::from_millis(20)))
+                            .await;
+                    }
+                    drop((full_listener, fillers));
+                }
+            }
+        }
+    }
+
+    /// Listens on the address again. Retries up to 50 times, 10 ms apart; `None` if all attempts fail.
+    async fn listen(&self, backlog: u32) -> Option<TcpListener> {
+        for _ in 0..50 {
+            match bind(self.address, backlog) {
+                Ok(listener) => return Some(listener),
+                Err(error) => {
+                    log::debug!("endpoint {}: code=no_listen {error}", self.address);
+                    sleep(Duration::from_millis(10)).await;
+                }
+            }
+        }
+        log::error!("endpoint {}: code=no_listen", self.address);
+        None
+    }
+
+    /// Fills the accept queue; the connections must be kept while the black hole lasts.
+    async fn fill_accept_queue(&self) -> Vec<TcpStream> {
+        let mut fillers = Vec::new();
+        for _ in 0..QUEUE_FILLERS {
+            match timeout(Duration::from_millis(50), TcpStream::connect(self.address)).await {
+                Ok(Ok(stream)) => fillers.push(stream),
+                _ => break,
+            }
+        }
+        fillers
+    }
+
+    /// Accepts connections until this future is dropped.
+    async fn accept(self: Rc<Self>, listener: &TcpListener) {
+        loop {
+            match listener.accept().await {
+                Ok((stream, _)) => {
+                    spawn_local(self.clone().serve_connection(stream));
+                }
+                Err(error) => {
+                    log::warn!("endpoint {}: code=no_accept {error}", self.address);
+                    sleep(Duration::from_millis(20)).await;
+                }
+            }
+        }
+    }
+
+    /// Serves one connection, as the model decides.
+    async fn serve_connection(self: Rc<Self>, stream: TcpStream) {
+        let now = self.shared.now();
+        let Some(endpoint) = self.current_endpoint(now) else { return reset(stream) };
+        let decision = self.shared.receivers.borrow_mut().connect(&self.shared.plan, now, endpoint);
+        let Connect::Up(handshake) = decision else { return reset(stream) };
+        self.shared.tally.borrow_mut().count(Count::Connections);
+        if !handshake.is_zero() {
+            sleep(handshake).await;
+        }
+        let _ = stream.set_nodelay(true);
+        let mut connection =
+            Connection { shared: &self.shared, endpoint, stream, reader: CallReader::default() };
+        let needs_reset = connection.serve_calls().await;
+        let stream = connection.stream;
+        self.shared.receivers.borrow_mut().disconnected(endpoint);
+        if needs_reset {
+            reset(stream);
+        }
+    }
+}
+
+/// Closes a connection with a reset.
+fn reset(stream: TcpStream) {
+    #[allow(deprecated)] // the blocking form of linger, with zero, does not block
+    let _ = stream.set_linger(Some(Duration::ZERO));
+}
+
+/// An accepted connection; its calls are served one after the other.
+struct Connection<'a> {
+    shared: &'a Rc<SharedState>,
+    endpoint: EndpointId,
+    stream: TcpStream,
+    reader: CallReader,
+}
+
+impl Connection<'_> {
+    /// Returns when the endpoint becomes unreachable, which breaks its open connections.
+    async fn wait_until_stopped(shared: &Rc<SharedState>, endpoint: EndpointId) {
+        loop {
+            let now = shared.now();
+            if !shared.receivers.borrow().reachable(&shared.plan, now, endpoint) {
+                return;
+            }
+            let next = shared.receivers.borrow().next_change(&shared.plan, now, endpoint);
+            let latest = tokio::time::Instant::now() + Duration::from_millis(500);
+            sleep_until(next.map_or(latest, |next| shared.instant(next).min(latest))).await;
+        }
+    }
+
+    /// Serves calls until the connection ends. True if it is to be closed with a reset.
+    async fn serve_calls(&mut self) -> bool {
+        let idle_timeout =
+            self.shared.plan.group(self.shared.plan.place(self.endpoint).destination).idle_close;
+        loop {
+            let call = tokio::select! {
+                call = timeout(idle_timeout, self.reader.read_call(&mut self.stream)) => call,
+                () = Self::wait_until_stopped(self.shared, self.endpoint) => return true,
+            };
+            let call = match call {
+                Err(_) => return self.reader.has_partial_call(),
+                Ok(Ok(Some(call))) => call,
+                Ok(Ok(None)) => return false,
+                Ok(Err(error)) if error.kind() == io::ErrorKind::InvalidData => {
+                    self.shared.tally.borrow_mut().count(Count::Strays);
+                    let _ = self.stream.write_all(&response("400 Bad Request", "", "")).await;
+                    return false;
+                }
+                Ok(Err(_)) => return true,
+            };
+            let now = self.shared.now();
+            if self.shared.receivers.borrow_mut().cuts_before(now, self.endpoint) {
+                return true;
+            }
+            let named_packets = packets_in_call(&call);
+            let packets: Option<Vec<(PacketId, Option<String>)>> =
+                named_packets.as_ref().and_then(|named_packets| {
+                    named_packets
+                        .iter()
+                        .map(|(id, key)| Some((self.shared.find_packet(id)?, key.clone())))
+                        .collect()
+                });
+            let (Some(named_packets), Some(packets)) = (named_packets, packets) else {
+                self.shared.tally.borrow_mut().count(Count::Strays);
+                let _ = self.stream.write_all(&response("400 Bad Request", "", "")).await;
+                return false;
+            };
+            let ids: Vec<String> = named_packets.into_iter().map(|(id, _)| id).collect();
+            match self.serve_call(now, &ids, &packets).await {
+                AfterCall::KeepOpen => {}
+                AfterCall::Close => return false,
+                AfterCall::Reset => return true,
+            }
+        }
+    }
+
+    /// Serves one call, whose last byte has been received.
+    async fn serve_call(
+        &mut self,
+        now: Duration,
+        ids: &[String],
+        packets: &[(PacketId, Option<String>)],
+    ) -> AfterCall {
+        let shared = self.shared;
+        let (id, gate) = (shared.next_call(), shared.gate(self.endpoint));
+        let destination = shared.plan.place(self.endpoint).destination;
+        let sender = shared.sender(packets[0].0);
+        let pieces: Vec<_> = packets
+            .iter()
+            .map(|(id, idempotency_key)| shared.piece(*id, idempotency_key.as_deref()))
+            .collect();
+        let reception = shared.receivers.borrow_mut().arrive(&shared.plan, now, self.endpoint, &pieces);
+        shared.tally.borrow_mut().dispatched(now, destination, packets.len());
+        shared.tally.borrow_mut().calls_out(destination, true);
+        let packet_ids: Vec<PacketId> = packets.iter().map(|(id, _)| *id).collect();
+        self.record_arrival(id, sender, gate, &packet_ids, &reception);
+        let after_call = self.respond(id, ids, &packet_ids, reception).await;
+        shared.tally.borrow_mut().calls_out(destination, false);
+        after_call
+    }
+
+    /// Reports the arrival of a call and its effects to the watcher.
+    fn record_arrival(
+        &self,
+        call: CallId,
+        sender: SenderId,
+        gate: GateId,
+        packets: &[PacketId],
+        reception: &Reception,
+    ) {
+        let packets = packets.to_vec();
+        self.shared.observe(Seen::Came { call, sender, endpoint: self.endpoint, gate, packets });
+        if reception.effects.contains(&true) {
+            self.shared.observe(Seen::Ran(call, reception.effects.clone()));
+        }
+        if reception.fell {
+            self.shared.observe(Seen::Fell(gate));
+        }
+    }
+
+    /// Waits until the response is due and writes it, or records that the call ended without one.
+    async fn respond(
+        &mut self,
+        id: CallId,
+        ids: &[String],
+        packets: &[PacketId],
+        reception: Reception,
+    ) -> AfterCall {
+        let due = reception.answer.as_ref().map(|(at, _)| *at);
+        if let Some((count, after_call)) = self.wait_for_interruption(due).await {
+            return self.end_without_response(id, count, after_call);
+        }
+        let Some((_, answer)) = reception.answer else { return AfterCall::Reset };
+        let Some(bytes) = response_bytes(&answer, ids, reception.report) else {
+            return self.end_without_response(id, Count::Errors, AfterCall::Reset);
+        };
+        // The completion is recorded first, as the sender may act on the response as soon as it is written.
+        let heard = self.record_response(&answer, packets);
+        self.shared.observe(Seen::Over { call: id, heard });
+        // A malformed response may be longer than the sender reads. Then the sender closes, or the write
+        // times out.
+        let written = timeout(Duration::from_secs(1), self.stream.write_all(&bytes)).await;
+        match (&answer, written) {
+            (Answer::Spoilt(_), _) => {
+                let _ = timeout(Duration::from_secs(1), peer_closed(&self.stream)).await;
+                AfterCall::Close
+            }
+            (_, Ok(Ok(()))) => AfterCall::KeepOpen,
+            _ => AfterCall::Reset,
+        }
+    }
+
+    /// Waits until the response is due, without limit if there is none. Returns how the call is to be counted
+    /// if the sender closes or the endpoint stops before that.
+    async fn wait_for_interruption(&self, due: Option<Duration>) -> Option<(Count, AfterCall)> {
+        let due = async {
+            match due {
+                Some(at) => sleep_until(self.shared.instant(at)).await,
+                None => std::future::pending().await,
+            }
+        };
+        tokio::select! {
+            () = due => None,
+            () = peer_closed(&self.stream) => Some((Count::Unanswered, AfterCall::Close)),
+            () = Self::wait_until_stopped(self.shared, self.endpoint) => Some((Count::Errors, AfterCall::Reset)),
+        }
+    }
+
+    /// Records that a call has ended without a response.
+    fn end_without_response(&self, id: CallId, count: Count, after_call: AfterCall) -> AfterCall {
+        self.shared.tally.borrow_mut().count(count);
+        self.shared.observe(Seen::Over { call: id, heard: Heard::Unsure });
+        after_call
+    }
+
+    /// Records the packets that this response completes and the counts; returns what the sender learns from
+    /// it.
+    fn record_response(&self, answer: &Answer, packets: &[PacketId]) -> Heard {
+        let shared = self.shared;
+        let complete = |packet: &PacketId| shared.record_completion(*packet, End::Done, Duration::ZERO);
+        let count = |counter| shared.tally.borrow_mut().count(counter);
+        match answer {
+            Answer::Done => {
+                packets.iter().for_each(complete);
+                Heard::Done
+            }
+            Answer::Spoilt(kind) if kind.settles(packets.len() > 1) => {
+                packets.iter().for_each(complete);
+                Heard::Done
+            }
+            Answer::Full(wait) => {
+                let destination = shared.plan.place(self.endpoint).destination;
+                shared.tally.borrow_mut().refused(shared.now(), destination);
+                Heard::Full(*wait)
+            }
+            Answer::Mixed(each, wait) => {
+                let accepted = packets.iter().zip(each);
+                let accepted = accepted
+                    .filter(|(_, piece_answer)| **piece_answer == crate::receivers::PieceAnswer::Accepted);
+                accepted.map(|(packet, _)| packet).for_each(complete);
+                wait.map_or(Heard::Done, |wait| Heard::Full(Some(wait)))
+            }
+            // A malformed response is a response all the same: the call is no longer in progress at the
+            // endpoint.
+            Answer::Error | Answer::Spoilt(_) => {
+                count(Count::Errors);
+                Heard::Error
+            }
+            Answer::Reset => {
+                count(Count::Errors);
+                Heard::Unsure
+            }
+        }
+    }
+}
+
+/// What happens to a connection after a call.
+enum AfterCall {
+    KeepOpen,
+    Close,
+    Reset,
+}
+
+/// Returns when the peer has closed or reset the connection. Never returns if it sends more data first; the
+/// data stays unread.
+async fn peer_closed(stream: &TcpStream) {
+    let mut byte = [0u8; 1];
+    match stream.peek(&mut byte).await {
+        Ok(0) | Err(_) => {}
+        Ok(_) => std::future::pending().await,
+    }
+}
--- /dev/null
+++ b/crates/sailcart-lab/src/sockets/machine_troubles.rs
@@ -0,0 +1,136 @@
+//! Applies the troubles of a soak that affect a sender's machine or its links, each at its scheduled time.
+//! Links are disturbed by their proxies, the machine by the control page of the shim and by stopping the
+//! process.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use sailcart_shim::{Page, Word};
+use tokio::task::spawn_local;
+use tokio::time::{sleep, sleep_until};
+
+use super::process::SenderProcesses;
+use super::shared::SharedState;
+use crate::plan::SenderId;
+use crate::soak::machine::{MachineTrouble, What};
+use crate::soak::proxy::{Manner, Proxy};
+use crate::watcher::Seen;
+
+/// Share of the calls that fail with a local error of the sender's host, in thousandths.
+const LOCAL_ERRORS_PER_MILLE: i64 = 150;
+/// Share of the reads and of the writes that are short, in thousandths.
+const SHORT_CALLS_PER_MILLE: i64 = 200;
+/// Share of the waits that are interrupted, in thousandths.
+const INTERRUPTED_WAITS_PER_MILLE: i64 = 50;
+/// Maximum number of bytes that a short read returns.
+const MAX_SHORT_READ_BYTES: i64 = 40;
+/// How long a sender runs between two pauses.
+const RUN_BETWEEN_PAUSES: Duration = Duration::from_millis(500);
+
+/// The proxies on the links of one sender.
+pub struct Links {
+    pub client_proxy: Rc<Proxy>,
+    pub platform_proxy: Rc<Proxy>,
+    pub endpoint_proxies: Vec<Rc<Proxy>>,
+}
+
+/// What the troubles of a run act on.
+pub struct TroubleTargets {
+    pub shared: Rc<SharedState>,
+    pub processes: Rc<SenderProcesses>,
+    /// By sender; empty if no trouble affects a link.
+    pub links: Vec<Links>,
+}
+
+impl TroubleTargets {
+    /// Starts one task per trouble, which applies it from its start to its end.
+    pub fn schedule(self: &Rc<Self>, troubles: &[MachineTrouble]) {
+        for trouble in troubles.iter().copied() {
+            let targets = self.clone();
+            spawn_local(async move {
+                sleep_until(targets.shared.instant(trouble.from)).await;
+                if let What::Pause(pause) = trouble.what {
+                    return targets.pause_repeatedly(trouble, pause).await;
+                }
+                targets.apply(trouble.sender, trouble.what, true);
+                sleep_until(targets.shared.instant(trouble.until)).await;
+                targets.apply(trouble.sender, trouble.what, false);
+            });
+        }
+    }
+
+    /// Pauses a sender again and again until the trouble ends.
+    async fn pause_repeatedly(&self, trouble: MachineTrouble, pause: Duration) {
+        while self.shared.now() < trouble.until {
+            self.processes.set_paused(trouble.sender, true);
+            sleep(pause).await;
+            self.processes.set_paused(trouble.sender, false);
+            sleep(RUN_BETWEEN_PAUSES).await;
+        }
+    }
+
+    /// Starts or ends one trouble.
+    fn apply(&self, sender: SenderId, what: What, active: bool) {
+        let links = self.links.get(sender.0);
+        let if_active = |manner: Manner| active.then_some(manner);
+        match what {
+            What::ClientLink(manner) => {
+                links.into_iter().for_each(|links| links.client_proxy.set(if_active(manner)))
+            }
+            What::PlatformLink(manner) => {
+                links.into_iter().for_each(|links| links.platform_proxy.set(if_active(manner)))
+            }
+            What::EndpointLink(manner) => {
+                let proxies = links.into_iter().flat_map(|links| &links.endpoint_proxies);
+                proxies.for_each(|proxy| proxy.set(if_active(manner)));
+            }
+            _ => self.set_machine_fault(sender, what, active),
+        }
+    }
+
+    /// Starts or ends a fault that the shim injects. Does nothing if the sender does not run under the shim.
+    fn set_machine_fault(&self, sender: SenderId, what: What, active: bool) {
+        let Some(control_page) = self.processes.control_page(sender) else { return };
+        if matches!(what, What::Folder { .. }) {
+            self.shared.observe(Seen::Folder { sender, fails: active });
+        }
+        if let Err(error) = write_settings(control_page, what, active) {
+            log::error!("sender {}: code=no_page {error}", sender.0);
+        }
+    }
+}
+
+/// Writes the settings of a fault to the control page, or resets them if it is not active.
+fn write_settings(control_page: &Page, what: What, active: bool) -> std::io::Result<()> {
+    let errno_if_active = |errno: i32| if active { errno } else { 0 };
+    let share_if_active = |per_mille: i64| if active { per_mille } else { 0 };
+    match what {
+        What::Folder { errno, window, period } => {
+            control_page.set_file_fault_windows(window, period)?;
+            control_page.files_fail(errno_if_active(errno))
+        }
+        What::ShortCalls { broken } => {
+            control_page.set(Word::ReadCutMost, MAX_SHORT_READ_BYTES)?;
+            control_page.set(Word::ReadCut, share_if_active(SHORT_CALLS_PER_MILLE))?;
+            control_page.set(Word::WriteCut, share_if_active(SHORT_CALLS_PER_MILLE))?;
+            control_page.set(Word::WaitInterrupted, share_if_active(INTERRUPTED_WAITS_PER_MILLE))?;
+            control_page.set(Word::ConnectionResetErrno, errno_if_active(broken).into())
+        }
+        What::OwnFaults { accept, socket, connect } => {
+            control_page.share(
+                (Word::Accept, accept),
+                (Word::AcceptPerMille, share_if_active(LOCAL_ERRORS_PER_MILLE)),
+            )?;
+            control_page.share(
+                (Word::Socket, socket),
+                (Word::SocketPerMille, share_if_active(LOCAL_ERRORS_PER_MILLE)),
+            )?;
+            control_page.share(
+                (Word::Connect, connect),
+                (Word::ConnectPerMille, share_if_active(LOCAL_ERRORS_PER_MILLE)),
+            )
+        }
+        What::Clock(step) => control_page.set(Word::WallStep, if active { step } else { 0 }),
+        _ => Ok(()),
+    }
+}
