--- a/crates/sailcart-lab/src/simulated/call.rs
+++ b/crates/sailcart-lab/src/simulated/call.rs
@@ -1,4 +1,4 @@
-//! A call on its way from a sender to a receiver and back.
+//! A call in flight between a sender and a receiver.
 
 use std::time::Duration;
 
@@ -7,65 +7,65 @@
 use crate::plan::SenderId;
 use crate::receivers::Answer;
 
-/// How far a call has come; one that is over is no longer among the world's calls.
+/// Progress of a call. Completed calls are removed from the world.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Stage {
-    /// It waits for its connection.
+    /// The call waits for its connection.
     Connecting,
-    /// Written, on its way to the receiver.
-    Going,
-    /// It came to its receiver.
+    /// The call is written and on its way to the receiver.
+    InTransit,
+    /// The call has arrived at its receiver.
     Arrived {
-        /// What it will be answered, if it will.
+        /// The answer that the receiver will send, if any.
         answer: Option<Answer>,
-        /// What the answer tells of the limit, if it does.
+        /// The state of the limit that the answer reports, if any.
         report: Option<Report>,
     },
 }
 
-/// Packets that travel together to one endpoint.
+/// Packets sent together to one endpoint.
 pub struct Call {
     pub sender: SenderId,
     pub endpoint: EndpointId,
     pub packets: Vec<PacketId>,
-    /// When its sender asked for it.
-    pub start: Duration,
+    /// When the sender requested the call.
+    pub started_at: Duration,
     stage: Stage,
-    /// Its connection counts at the endpoint.
-    pub connected: bool,
+    /// Whether the call holds a connection that counts against the limit of the endpoint.
+    pub holds_connection: bool,
 }
 
 impl Call {
-    /// A call that waits for its connection.
-    pub fn new(sender: SenderId, endpoint: EndpointId, packets: Vec<PacketId>, start: Duration) -> Self {
-        Call { sender, endpoint, packets, start, stage: Stage::Connecting, connected: false }
+    /// Creates a call that waits for its connection.
+    pub fn new(sender: SenderId, endpoint: EndpointId, packets: Vec<PacketId>, started_at: Duration) -> Self {
+        Call { sender, endpoint, packets, started_at, stage: Stage::Connecting, holds_connection: false }
     }
 
-    /// How far it has come.
     pub fn stage(&self) -> &Stage {
         &self.stage
     }
 
-    /// The one place where a call's stage changes: from one to the next, none left out and none twice.
-    pub fn advance(&mut self, to: Stage) {
-        let next = matches!(
-            (&self.stage, &to),
-            (Stage::Connecting, Stage::Going) | (Stage::Going, Stage::Arrived { .. })
+    /// Moves the call to its next stage. All changes of the stage go through here, so that no stage is
+    /// skipped or repeated.
+    pub fn advance(&mut self, next_stage: Stage) {
+        let is_next_stage = matches!(
+            (&self.stage, &next_stage),
+            (Stage::Connecting, Stage::InTransit) | (Stage::InTransit, Stage::Arrived { .. })
         );
-        debug_assert!(next, "a call goes from {:?} to {to:?}", self.stage);
-        self.stage = to;
+        debug_assert!(is_next_stage, "invalid transition of a call from {:?} to {next_stage:?}", self.stage);
+        self.stage = next_stage;
     }
 
-    /// Its receiver has seen it.
+    /// Whether the call has reached its receiver.
     pub fn has_arrived(&self) -> bool {
         matches!(self.stage, Stage::Arrived { .. })
     }
 }
 
-/// A call that a round asks for: what it carries, and how long it may take.
-pub struct CallOrder {
+/// A call requested by a round of decisions.
+pub struct CallRequest {
     pub endpoint: EndpointId,
     pub packets: Vec<PacketId>,
-    /// From now until it is given up.
-    pub time_out: Duration,
+    /// Time from now after which the call is aborted.
+    pub timeout: Duration,
 }
--- a/crates/sailcart-lab/src/simulated/clients.rs
+++ b/crates/sailcart-lab/src/simulated/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: which sender they hand a packet in to, what they hear, and when they come again.
+//! Clients: how they choose a sender for a packet, which answers they receive and when they resubmit.
 
 use std::time::Duration;
 
@@ -7,86 +7,88 @@
 use sailcart::PacketId;
 
 use super::event::Event;
-use super::submission::{Ended, Submission};
+use super::submission::{Completion, Submission};
 use super::world::World;
 use crate::experiment::choose_by_key;
 use crate::plan::{OriginId, SenderId};
 use crate::results::tally::Count;
 use crate::watcher::{End, Handed, Seen};
 
-/// How long a client waits for its answer before it hands the packet in elsewhere.
-const CLIENT_TIME_OUT: Duration = Duration::from_millis(400);
-/// A client that finds no sender tries again so soon.
-const NO_SENDER_PAUSE: Duration = Duration::from_millis(100);
-/// A client's pause before it comes again is drawn between once and so many times the one in the experiment.
-const MOST_PAUSE_FACTOR: f64 = 1.5;
+/// Time after which a client without an answer submits its packet to another sender.
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(400);
+/// Delay before a client that finds no accepting sender tries again.
+const NO_SENDER_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// The delay before a resubmission is drawn uniformly from the configured pause to this multiple of it.
+const MAX_PAUSE_FACTOR: f64 = 1.5;
+
 impl World<'_> {
-    /// A client hands its packet in to a sender of its choice.
-    pub fn hand_in(&mut self, id: OriginId, tries: u32) {
+    /// A client submits its packet to a sender of its choice, unless the deadline of the packet has passed.
+    pub fn submit(&mut self, id: OriginId, resubmissions: u32) {
         let origin = &self.plan.origins[id.0];
-        let ends = origin.at + self.plan.category(origin.category).patience;
-        if self.now >= ends {
+        let deadline = origin.at + self.plan.category(origin.category).patience;
+        if self.now >= deadline {
             return;
         }
         let Some(sender) = self.choose_sender(id) else {
-            self.queue.push(self.now + NO_SENDER_PAUSE, Event::HandIn { origin: id, tries });
+            self.queue.push(self.now + NO_SENDER_RETRY_DELAY, Event::Submit { origin: id, resubmissions });
             return;
         };
         let packet = PacketId(self.submissions.len() as u64);
-        self.submissions.push(Submission::new(id, sender, tries, self.now, ends));
-        self.see(Seen::Handed(Handed::new(self.plan, packet, id, sender)));
+        self.submissions.push(Submission::new(id, sender, resubmissions, self.now, deadline));
+        self.observe(Seen::Handed(Handed::new(self.plan, packet, id, sender)));
         self.tally.count(Count::HandedIn);
         if self.senders[sender.0].held.len() >= self.plan.terms.hold {
             let retry_after = self.plan.terms.retry_after;
-            return self.end_packet(Ended { packet, end: End::Dismissed, retry_after });
+            return self.complete_packet(Completion { packet, end: End::Dismissed, retry_after });
         }
         self.tally.holds(origin.destination, true);
-        self.take(sender, packet);
+        self.accept(sender, packet);
     }
 
-    /// By key where it has one, so that one sender gets all of a key while it runs; else any.
+    /// Chooses an accepting sender: by key if the packet has one, so that all packets of a key go to the same
+    /// sender while it runs, otherwise at random.
     fn choose_sender(&mut self, id: OriginId) -> Option<SenderId> {
         let senders = (0..self.senders.len()).map(SenderId);
-        let taking: Vec<SenderId> = senders.filter(|sender| self.senders[sender.0].taking).collect();
+        let accepting: Vec<SenderId> = senders.filter(|sender| self.senders[sender.0].accepting).collect();
         match self.plan.origins[id.0].key {
-            Some(key) => choose_by_key(key, &taking),
-            None => taking.choose(&mut self.rng).copied(),
+            Some(key) => choose_by_key(key, &accepting),
+            None => accepting.choose(&mut self.rng).copied(),
         }
     }
 
-    /// The client hears the answer to its handing in.
+    /// The client receives the answer to its submission; records the time it has waited.
     pub fn answer_client(&mut self, packet: PacketId) {
         let first = self.origin_of(packet).at;
         let submission = self.submission_mut(packet);
         submission.answered = true;
-        // The first handing in counts from the intended moment, a later one from its own.
-        let from = if submission.tries == 0 { first } else { submission.handed };
-        self.tally.answered(self.now.saturating_sub(from));
+        // The first submission is measured from its planned time, a resubmission from its own time.
+        let measured_from = if submission.resubmissions == 0 { first } else { submission.submitted_at };
+        self.tally.answered(self.now.saturating_sub(measured_from));
     }
 
-    /// A packet's end: its client hears of it, and may come again after a dismissal.
-    pub fn end_packet(&mut self, ended: Ended) {
-        let Ended { packet, end, retry_after } = ended;
-        let first_end = self.submission_mut(packet).end.replace(end).is_none();
-        if first_end {
+    /// Completes a packet: notifies its client, which may resubmit after a dismissal.
+    pub fn complete_packet(&mut self, completion: Completion) {
+        let Completion { packet, end, retry_after } = completion;
+        let is_first_completion = self.submission_mut(packet).end.replace(end).is_none();
+        if is_first_completion {
             self.release(packet);
         }
-        let heard = self.submission(packet).answered;
-        self.see(Seen::Ended(packet, end));
+        let was_answered = self.submission(packet).answered;
+        self.observe(Seen::Ended(packet, end));
         match end {
             End::Done => {}
             End::Dismissed => self.tally.count(Count::Dismissed),
             End::Scrapped => self.tally.count(Count::Scrapped),
         }
-        if !heard && end != End::Done {
+        if !was_answered && end != End::Done {
             self.answer_client(packet);
         }
-        if end == End::Dismissed && first_end {
-            self.come_again(packet, retry_after);
+        if end == End::Dismissed && is_first_completion {
+            self.schedule_resubmission(packet, retry_after);
         }
     }
 
-    /// The packet's sender holds it no longer.
+    /// Removes a packet from those that its sender holds.
     pub fn release(&mut self, packet: PacketId) {
         let sender = self.submission(packet).sender;
         if self.senders[sender.0].held.remove(&packet) {
@@ -94,30 +96,32 @@
         }
     }
 
-    /// After a dismissal the client hands in again, a limited number of times and while its patience lasts.
-    fn come_again(&mut self, packet: PacketId, retry_after: Option<Duration>) {
+    /// Schedules a resubmission after a dismissal, up to the configured number and while the packet is still
+    /// wanted.
+    fn schedule_resubmission(&mut self, packet: PacketId, retry_after: Option<Duration>) {
         let submission = &self.submissions[packet.0 as usize];
         let load = &self.plan.experiment.load;
-        if submission.tries >= load.again {
+        if submission.resubmissions >= load.again {
             return;
         }
-        let drawn = load.pause.mul_f64(self.rng.random_range(1.0..MOST_PAUSE_FACTOR));
-        let at = self.now + drawn.max(retry_after.unwrap_or_default());
-        let (origin, tries) = (submission.origin, submission.tries);
-        if at < submission.ends.min(self.plan.comes_again_until(origin)) {
-            self.queue.push(at, Event::HandIn { origin, tries: tries + 1 });
+        let pause = load.pause.mul_f64(self.rng.random_range(1.0..MAX_PAUSE_FACTOR));
+        let at = self.now + pause.max(retry_after.unwrap_or_default());
+        let (origin, resubmissions) = (submission.origin, submission.resubmissions);
+        if at < submission.deadline.min(self.plan.comes_again_until(origin)) {
+            self.queue.push(at, Event::Submit { origin, resubmissions: resubmissions + 1 });
         }
     }
 
-    /// A client heard nothing before its sender died: it hands in again, elsewhere.
+    /// The sender of a packet died before its client had an answer: the client submits the packet again after
+    /// its timeout, possibly to another sender.
     pub fn abandon(&mut self, packet: PacketId) {
-        let open = self.submission_mut(packet).end.replace(End::Dismissed).is_none();
-        self.see(Seen::Abandoned(packet));
-        if open {
+        let was_open = self.submission_mut(packet).end.replace(End::Dismissed).is_none();
+        self.observe(Seen::Abandoned(packet));
+        if was_open {
             self.release(packet);
         }
         let submission = self.submission(packet);
-        let (origin, tries) = (submission.origin, submission.tries);
-        self.queue.push(self.now + CLIENT_TIME_OUT, Event::HandIn { origin, tries });
+        let (origin, resubmissions) = (submission.origin, submission.resubmissions);
+        self.queue.push(self.now + CLIENT_TIMEOUT, Event::Submit { origin, resubmissions });
     }
 }
--- a/crates/sailcart-lab/src/simulated/dispatching.rs
+++ b/crates/sailcart-lab/src/simulated/dispatching.rs
@@ -1,10 +1,10 @@
-//! Calls' way out: dispatches of a round become calls, each gets a connection and is written.
+//! The sending side of calls: groups the dispatches of a round into calls, connects each call and writes it.
 
 use std::time::Duration;
 
 use sailcart::{EndpointId, Outcome};
 
-use super::call::{Call, CallOrder, Stage};
+use super::call::{Call, CallRequest, Stage};
 use super::event::Event;
 use super::sender::Dispatch;
 use super::world::World;
@@ -14,36 +14,39 @@
 use crate::watcher::CallId;
 
 impl World<'_> {
-    /// Dispatches of one round to one endpoint travel as one call, up to the kind's batch.
+    /// Sends the dispatches of one round. Dispatches to the same endpoint share a call, up to the batch size
+    /// of the kind.
     pub fn dispatch(&mut self, sender: SenderId, dispatches: Vec<Dispatch>) {
-        let mut orders: Vec<CallOrder> = Vec::new();
-        for Dispatch { packet, endpoint, time_out } in dispatches {
-            let batch = self.batch(endpoint);
-            let has_room = |order: &&mut CallOrder| order.endpoint == endpoint && order.packets.len() < batch;
-            match orders.iter_mut().rev().find(has_room) {
-                Some(order) => {
-                    order.packets.push(packet);
-                    order.time_out = order.time_out.min(time_out);
+        let mut requests: Vec<CallRequest> = Vec::new();
+        for Dispatch { packet, endpoint, timeout } in dispatches {
+            let max_batch = self.max_batch(endpoint);
+            let has_room = |request: &&mut CallRequest| {
+                request.endpoint == endpoint && request.packets.len() < max_batch
+            };
+            match requests.iter_mut().rev().find(has_room) {
+                Some(request) => {
+                    request.packets.push(packet);
+                    request.timeout = request.timeout.min(timeout);
                 }
-                None => orders.push(CallOrder { endpoint, packets: vec![packet], time_out }),
+                None => requests.push(CallRequest { endpoint, packets: vec![packet], timeout }),
             }
         }
-        for order in orders {
-            self.begin_call(sender, order);
+        for request in requests {
+            self.start_call(sender, request);
         }
     }
 
-    /// How many packets a call to an endpoint may carry.
-    fn batch(&self, endpoint: EndpointId) -> usize {
+    /// Maximum number of packets in a call to an endpoint.
+    fn max_batch(&self, endpoint: EndpointId) -> usize {
         let destination = self.plan.place(endpoint).destination;
         let kind = self.plan.destination(destination).kind;
         self.plan.experiment.kinds[kind.0].batch.max(1)
     }
 
-    fn begin_call(&mut self, sender: SenderId, order: CallOrder) {
-        let CallOrder { endpoint, packets, time_out } = order;
-        let id = CallId(self.next_call);
-        self.next_call += 1;
+    fn start_call(&mut self, sender: SenderId, request: CallRequest) {
+        let CallRequest { endpoint, packets, timeout } = request;
+        let id = CallId(self.next_call_id);
+        self.next_call_id += 1;
         for packet in &packets {
             let submission = self.submission_mut(*packet);
             submission.dispatches += 1;
@@ -51,16 +54,16 @@
         }
         self.tally.calls_out(self.plan.place(endpoint).destination, true);
         let mut call = Call::new(sender, endpoint, packets, self.now);
-        call.connected = self.connect(id, &call, time_out);
+        call.holds_connection = self.connect(id, &call, timeout);
         let gate = self.gate(endpoint);
-        self.going[gate.0] += 1;
+        self.calls_not_arrived[gate.0] += 1;
         self.calls.insert(id, call);
-        self.queue.push(self.now + time_out, Event::GiveUp(id, Outcome::TimedOut));
+        self.queue.push(self.now + timeout, Event::AbortCall(id, Outcome::TimedOut));
     }
 
-    /// Gets a call its connection, one that is idle or a new one, and schedules when it stands or fails. Tells
-    /// whether it counts at the endpoint.
-    fn connect(&mut self, id: CallId, call: &Call, time_out: Duration) -> bool {
+    /// Reuses an idle connection for a call or opens a new one, and schedules when the attempt succeeds or
+    /// fails. Returns whether the connection counts against the limit of the endpoint.
+    fn connect(&mut self, id: CallId, call: &Call, timeout: Duration) -> bool {
         if self.reuse_idle(call.sender, call.endpoint) {
             self.queue.push(self.now, Event::Connected(id));
             return true;
@@ -73,45 +76,45 @@
                 true
             }
             Connect::Refused => {
-                self.queue.push(self.now + round_trip, Event::NotConnected(id));
+                self.queue.push(self.now + round_trip, Event::ConnectFailed(id));
                 false
             }
             Connect::Never => {
-                let limit = self.plan.terms.connect_time_out.min(time_out);
-                self.queue.push(self.now + limit, Event::NotConnected(id));
+                let timeout = self.plan.terms.connect_time_out.min(timeout);
+                self.queue.push(self.now + timeout, Event::ConnectFailed(id));
                 false
             }
         }
     }
 
-    /// The connection stands: the sender is asked once more, then the call is written.
-    pub fn connected(&mut self, id: CallId) {
+    /// The connection of a call is established: writes the call if the policy still allows its dispatch.
+    pub fn on_connected(&mut self, id: CallId) {
         let Some(call) = self.calls.get(&id) else { return };
         let Some(policy) = &self.senders[call.sender.0].policy else { return };
         if !call.packets.iter().all(|packet| policy.may_still_go(self.now, *packet)) {
-            return self.finish(id, Outcome::NoSlot);
+            return self.finish_call(id, Outcome::NoSlot);
         }
         if self.receivers.cuts_before(self.now, call.endpoint) {
-            return self.finish(id, Outcome::NoConnection);
+            return self.finish_call(id, Outcome::NoConnection);
         }
         self.write(id);
     }
 
-    /// Writes a call; from now on its packets may have run.
+    /// Writes a call. From now on its packets may have been executed.
     fn write(&mut self, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         for packet in &call.packets {
             let submission = &mut self.submissions[packet.0 as usize];
-            submission.doubt = submission.doubt.or(Some(self.now));
+            submission.possibly_executed_at = submission.possibly_executed_at.or(Some(self.now));
         }
-        call.advance(Stage::Going);
+        call.advance(Stage::InTransit);
         self.queue.push(self.now + self.plan.experiment.network.transit, Event::Arrived(id));
     }
 
-    /// A call is given up, unless it is over. Before its last byte it never began.
-    pub fn give_up(&mut self, id: CallId, outcome: Outcome) {
+    /// Aborts a call that is still in flight. A call that was not yet written counts as not connected.
+    pub fn abort_call(&mut self, id: CallId, outcome: Outcome) {
         let Some(call) = self.calls.get(&id) else { return };
-        let began = *call.stage() != Stage::Connecting;
-        self.finish(id, if began { outcome } else { Outcome::NoConnection });
+        let was_written = *call.stage() != Stage::Connecting;
+        self.finish_call(id, if was_written { outcome } else { Outcome::NoConnection });
     }
 }
--- a/crates/sailcart-lab/src/simulated/event.rs
+++ b/crates/sailcart-lab/src/simulated/event.rs
@@ -1,37 +1,37 @@
-//! What happens at a point of simulated time, and calls as these events know them.
+//! Events of the simulation.
 
 use sailcart::Outcome;
 
 use crate::plan::{OriginId, SenderId};
 use crate::watcher::{CallId, GateId};
 
-/// What happens at a time.
+/// Something that happens at a point of simulated time.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A client hands a packet in; `tries` earlier handings in were dismissed.
-    HandIn { origin: OriginId, tries: u32 },
-    /// A sender's round is due, if its life is still the one that asked for it.
-    Round { sender: SenderId, life: u32 },
-    /// A call's connection stands.
+    /// A client submits a packet that has been resubmitted `resubmissions` times so far after a dismissal.
+    Submit { origin: OriginId, resubmissions: u32 },
+    /// A round of a sender is due. It is ignored if the process that requested it has ended.
+    Round { sender: SenderId, process_number: u32 },
+    /// The connection of a call is established.
     Connected(CallId),
-    /// A call gets no connection.
-    NotConnected(CallId),
-    /// A call's last byte has come to its receiver.
+    /// A call could not be connected.
+    ConnectFailed(CallId),
+    /// The last byte of a call has arrived at its receiver.
     Arrived(CallId),
-    /// A call's answer has come back.
+    /// The answer to a call has arrived at its sender.
     Answered(CallId),
-    /// A call is given up, unless it is over.
-    GiveUp(CallId, Outcome),
-    /// A sender hears of a change of the list, which the plan holds at this place.
+    /// A call is aborted with this outcome, unless it has completed.
+    AbortCall(CallId, Outcome),
+    /// A sender receives a change of the list; `change` is its index in the plan.
     ListChange { sender: SenderId, change: usize },
-    /// Clients no longer get through to a sender.
-    StopTaking(SenderId),
-    /// A sender dies without warning.
+    /// A sender stops accepting packets from clients.
+    StopAccepting(SenderId),
+    /// A sender process dies without warning.
     Kill(SenderId),
-    /// A sender starts, if it does not run.
+    /// A sender process starts, unless one is running.
     Start(SenderId),
     /// An outage begins at a receiver.
-    OutageFrom(GateId),
-    /// The figures of a second are taken.
+    OutageBegins(GateId),
+    /// The figures of the past second are sampled.
     Sample,
 }
--- a/crates/sailcart-lab/src/simulated/mod.rs
+++ b/crates/sailcart-lab/src/simulated/mod.rs
@@ -1,17 +1,18 @@
-//! The module in simulated time: hundreds of senders on one event queue, each with its own seed and sharing
-//! nothing. The same seed gives the same result, to the byte.
+//! Runs an experiment in simulated time: hundreds of senders on one event queue, each with its own seed and
+//! no shared state. The same seed gives the same result, byte for byte.
 //!
-//! `world` holds the state; `schedule` puts into the `queue` what is known ahead. The rest is what happens, by
-//! concern: `clients` hand packets in, `lives` starts and kills senders, `rounds` lets them decide, `dispatching`
-//! sends their calls over `connections`, `reception` is the receivers' side, and `outcomes` brings calls back.
+//! `world` holds the state; `schedule` puts the events known in advance into the `queue`. The other modules
+//! each handle one concern: `clients` submit packets, `processes` starts and kills senders, `rounds` runs
+//! their decisions, `dispatching` sends calls over `connections`, `reception` is the receiving side, and
+//! `outcomes` completes calls.
 
 mod call;
 mod clients;
 mod connections;
 mod dispatching;
 mod event;
-mod lives;
 mod outcomes;
+mod processes;
 mod queue;
 mod reception;
 mod rounds;
@@ -33,15 +34,15 @@
 use event::Event;
 use world::{MakePolicy, World};
 
-/// How much simulated time passes at least from one word on progress to the next.
-const PROGRESS: Duration = Duration::from_millis(200);
+/// Minimum simulated time between two progress reports.
+const PROGRESS_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Plays an experiment; tells what came of it. `progress` hears the simulated time, now and then.
+/// Runs an experiment and returns its outcome. `progress` is called with the simulated time at intervals.
 pub fn run(plan: &Plan, policy: PolicyName, log: Log, progress: &mut dyn FnMut(Duration)) -> Outcome {
     run_with(plan, policy, log, progress, &|seed| policies::start(policy, &plan.terms, seed))
 }
 
-/// The same with senders of one's own making, as tests do with wrong ones.
+/// Like [`run`], with senders made by `make_policy`. Tests use it to run faulty senders.
 pub fn run_with(
     plan: &Plan,
     policy: PolicyName,
@@ -52,22 +53,22 @@
     let mut world = World::new(plan, log, make_policy);
     world.schedule();
     for sender in 0..world.senders.len() {
-        world.start(SenderId(sender));
+        world.start_sender(SenderId(sender));
     }
-    world.play(progress);
+    world.run_until_end(progress);
     world.tally.outcome(plan, Mode::Virtual, policy, &world.watcher, Vec::new())
 }
 
 impl World<'_> {
-    /// Lets everything happen that is due before the plan's end.
-    fn play(&mut self, progress: &mut dyn FnMut(Duration)) {
+    /// Handles all events up to the end of the plan.
+    fn run_until_end(&mut self, progress: &mut dyn FnMut(Duration)) {
         let end = self.plan.end();
-        let mut told = Duration::ZERO;
+        let mut last_progress = Duration::ZERO;
         while let Some((at, event)) = self.queue.pop().filter(|(at, _)| *at <= end) {
             self.now = at;
             self.handle(event);
-            if at > told + PROGRESS {
-                told = at;
+            if at > last_progress + PROGRESS_INTERVAL {
+                last_progress = at;
                 progress(at);
             }
         }
@@ -77,23 +78,23 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::HandIn { origin, tries } => self.hand_in(origin, tries),
-            Event::Round { sender, life } => self.round(sender, life),
-            Event::Connected(call) => self.connected(call),
-            Event::NotConnected(call) => self.finish(call, CallOutcome::NoConnection),
-            Event::Arrived(call) => self.arrived(call),
-            Event::Answered(call) => self.answered(call),
-            Event::GiveUp(call, outcome) => self.give_up(call, outcome),
-            Event::ListChange { sender, change } => self.list_change(sender, change),
-            Event::StopTaking(sender) => self.senders[sender.0].taking = false,
-            Event::Kill(sender) => self.kill(sender),
-            Event::Start(sender) => self.start(sender),
-            Event::OutageFrom(gate) => self.see(Seen::OutageFrom(gate)),
+            Event::Submit { origin, resubmissions } => self.submit(origin, resubmissions),
+            Event::Round { sender, process_number } => self.run_round(sender, process_number),
+            Event::Connected(call) => self.on_connected(call),
+            Event::ConnectFailed(call) => self.finish_call(call, CallOutcome::NoConnection),
+            Event::Arrived(call) => self.on_arrived(call),
+            Event::Answered(call) => self.on_answered(call),
+            Event::AbortCall(call, outcome) => self.abort_call(call, outcome),
+            Event::ListChange { sender, change } => self.apply_list_change(sender, change),
+            Event::StopAccepting(sender) => self.senders[sender.0].accepting = false,
+            Event::Kill(sender) => self.kill_sender(sender),
+            Event::Start(sender) => self.start_sender(sender),
+            Event::OutageBegins(gate) => self.observe(Seen::OutageFrom(gate)),
             Event::Sample => self.sample(),
         }
     }
 
-    /// Once a second.
+    /// Samples the counters and closes expired connections, once a second.
     fn sample(&mut self) {
         self.tally.sample(self.now);
         self.close_expired();
--- a/crates/sailcart-lab/src/simulated/outcomes.rs
+++ b/crates/sailcart-lab/src/simulated/outcomes.rs
@@ -1,84 +1,85 @@
-//! Calls' way back: a call is over, its connection is kept or lost, and each packet's outcome is told.
+//! Completion of calls: releases the connection and reports the outcome of each packet.
 
 use sailcart::{Outcome, PacketId};
 
 use super::call::{Call, Stage};
-use super::submission::Ended;
+use super::submission::Completion;
 use super::world::World;
 use crate::results::tally::Count;
 use crate::watcher::{CallId, End, Heard, Seen};
 
-/// What a sender has learnt from an answer that came to it.
-fn heard(outcomes: &[Outcome]) -> Heard {
-    let full = outcomes.iter().find_map(|outcome| match outcome {
+/// What a sender has learnt from an answer it received.
+fn observed_result(outcomes: &[Outcome]) -> Heard {
+    let rejection = outcomes.iter().find_map(|outcome| match outcome {
         Outcome::Full(wait) => Some(Heard::Full(*wait)),
         _ => None,
     });
-    full.unwrap_or(match outcomes.first() {
+    rejection.unwrap_or(match outcomes.first() {
         Some(Outcome::Done) => Heard::Done,
         Some(Outcome::Error) => Heard::Error,
         _ => Heard::Unsure,
     })
 }
 
-/// Whether a connection is lost with a call that had this outcome.
+/// Whether the connection of a call with this outcome is closed.
 fn breaks_connection(outcome: Outcome) -> bool {
     matches!(outcome, Outcome::Reset | Outcome::TimedOut | Outcome::Cancelled | Outcome::NoConnection)
 }
 
-/// Whether a packet may have run after this outcome.
-fn may_have_run(outcome: Outcome) -> bool {
+/// Whether a packet with this outcome may have been executed.
+fn may_have_executed(outcome: Outcome) -> bool {
     matches!(outcome, Outcome::Error | Outcome::Reset | Outcome::TimedOut | Outcome::Cancelled)
 }
 
 impl World<'_> {
-    /// A call is over, with one outcome for all its packets.
-    pub fn finish(&mut self, id: CallId, outcome: Outcome) {
-        let several = self.calls.get(&id).map_or(0, |call| call.packets.len());
-        self.finish_each(id, vec![outcome; several]);
+    /// Completes a call with one outcome for all its packets.
+    pub fn finish_call(&mut self, id: CallId, outcome: Outcome) {
+        let packet_count = self.calls.get(&id).map_or(0, |call| call.packets.len());
+        self.finish_call_with(id, vec![outcome; packet_count]);
     }
 
-    /// A call is over, with an outcome for each of its packets.
-    pub fn finish_each(&mut self, id: CallId, outcomes: Vec<Outcome>) {
+    /// Completes a call with one outcome per packet.
+    pub fn finish_call_with(&mut self, id: CallId, outcomes: Vec<Outcome>) {
         let Some(call) = self.remove_call(id) else { return };
-        let first = outcomes.first().copied().unwrap_or(Outcome::NoSlot);
-        self.hand_back_connection(&call, first);
+        let first_outcome = outcomes.first().copied().unwrap_or(Outcome::NoSlot);
+        self.release_connection(&call, first_outcome);
         self.tally.calls_out(self.plan.place(call.endpoint).destination, false);
-        self.count_failure(first);
+        self.count_failure(first_outcome);
         if call.has_arrived() {
-            self.see(Seen::Over { call: id, heard: heard(&outcomes) });
-        } else if first == Outcome::NoConnection {
+            self.observe(Seen::Over { call: id, heard: observed_result(&outcomes) });
+        } else if first_outcome == Outcome::NoConnection {
             let gate = self.gate(call.endpoint);
-            self.see(Seen::NoConnection { sender: call.sender, gate });
+            self.observe(Seen::NoConnection { sender: call.sender, gate });
         }
         for (packet, outcome) in call.packets.iter().zip(outcomes) {
-            self.packet_outcome(&call, *packet, outcome);
+            self.record_packet_outcome(&call, *packet, outcome);
         }
         self.request_round(call.sender);
     }
 
-    /// Takes a call that is over out of the world. What was written and has not come to its receiver still comes.
+    /// Removes a completed call. A call that was written but has not arrived yet still arrives at its
+    /// receiver.
     pub fn remove_call(&mut self, id: CallId) -> Option<Call> {
         let call = self.calls.remove(&id)?;
         if !call.has_arrived() {
             let gate = self.gate(call.endpoint);
-            self.going[gate.0] -= 1;
+            self.calls_not_arrived[gate.0] -= 1;
         }
-        if *call.stage() == Stage::Going {
-            self.arrived_unheard(id, &call);
+        if *call.stage() == Stage::InTransit {
+            self.arrive_abandoned(id, &call);
         }
         Some(call)
     }
 
-    /// The connection of a call that is over is idle again or has ended.
-    fn hand_back_connection(&mut self, call: &Call, outcome: Outcome) {
-        if !call.connected {
+    /// Closes the connection of a completed call or returns it to the idle connections.
+    fn release_connection(&mut self, call: &Call, outcome: Outcome) {
+        if !call.holds_connection {
             return;
         }
         if breaks_connection(outcome) {
             self.receivers.disconnected(call.endpoint);
         } else {
-            self.keep(call.sender, call.endpoint);
+            self.add_idle(call.sender, call.endpoint);
         }
     }
 
@@ -91,32 +92,35 @@
         }
     }
 
-    /// One packet's outcome is noted and told to its sender.
-    fn packet_outcome(&mut self, call: &Call, packet: PacketId, outcome: Outcome) {
+    /// Records the outcome of one packet and reports it to its sender.
+    fn record_packet_outcome(&mut self, call: &Call, packet: PacketId, outcome: Outcome) {
         let submission = self.submission_mut(packet);
         submission.call = None;
-        if !may_have_run(outcome) && submission.doubt.is_some_and(|doubt| doubt >= call.start) {
-            submission.doubt = None; // this one never ran, and no other was in doubt
+        if !may_have_executed(outcome)
+            && submission.possibly_executed_at.is_some_and(|at| at >= call.started_at)
+        {
+            // This dispatch was not executed, and no earlier one may have been.
+            submission.possibly_executed_at = None;
         }
-        let over = submission.end.is_some();
+        let was_completed = submission.end.is_some();
         let done = outcome == Outcome::Done;
         if done {
-            self.delivered(packet);
+            self.record_delivery(packet);
         }
-        let elapsed = self.now - call.start;
+        let elapsed = self.now - call.started_at;
         if let Some(policy) = &mut self.senders[call.sender.0].policy {
-            policy.outcome(self.now, packet, elapsed, outcome, over || done);
+            policy.outcome(self.now, packet, elapsed, outcome, was_completed || done);
         }
     }
 
-    /// A packet has run: that is its end, unless it had one.
-    fn delivered(&mut self, packet: PacketId) {
-        let after = self.now.saturating_sub(self.origin_of(packet).at);
+    /// Records that a packet was executed. That completes it, unless it was completed before.
+    fn record_delivery(&mut self, packet: PacketId) {
+        let delay = self.now.saturating_sub(self.origin_of(packet).at);
         let submission = self.submission(packet);
-        let over = submission.end.is_some();
-        self.tally.delivered(submission.origin, after);
-        if !over {
-            self.end_packet(Ended { packet, end: End::Done, retry_after: None });
+        let was_completed = submission.end.is_some();
+        self.tally.delivered(submission.origin, delay);
+        if !was_completed {
+            self.complete_packet(Completion { packet, end: End::Done, retry_after: None });
         }
     }
 }
--- a/crates/sailcart-lab/src/simulated/lives.rs
+++ b/crates/sailcart-lab/src/simulated/processes.rs
@@ -1,4 +1,4 @@
-//! Senders' lives: how one starts, hears of changes of the list, and dies.
+//! Sender processes: how one starts, receives changes of the list, and dies.
 
 use rand::Rng;
 use sailcart::{Listing, Packet};
@@ -8,51 +8,52 @@
 use crate::results::tally::Count;
 use crate::watcher::{CallId, Heard, Seen};
 
-/// The stream of chance that the first sender's seed is drawn from; the others' follow it.
+/// Random stream that the seed of the first sender is drawn from. The streams of the other senders follow it.
 const FIRST_SENDER_STREAM: u64 = 100;
 
 impl World<'_> {
-    /// A life begins, unless the sender runs: with the list as it stands, and with what the journal holds.
-    pub fn start(&mut self, sender: SenderId) {
+    /// Starts a process of a sender, unless one is running, with the current list and the packets in its
+    /// journal.
+    pub fn start_sender(&mut self, sender: SenderId) {
         if self.senders[sender.0].policy.is_some() {
             return;
         }
         let mut policy = (self.make_policy)(self.sender_seed(sender));
-        let lines = self.plan.list_at(self.now);
-        policy.list(self.now, true, &lines);
+        let entries = self.plan.list_at(self.now);
+        policy.list(self.now, true, &entries);
         for packet in &self.senders[sender.0].held {
             policy.take(self.now, Packet { taken_on: true, ..self.describe(*packet) });
         }
-        self.senders[sender.0].begin(policy, self.now);
-        self.see_start(sender, &lines);
+        self.senders[sender.0].start(policy, self.now);
+        self.observe_start(sender, &entries);
         self.request_round(sender);
     }
 
-    /// Another seed for each sender and each of its lives.
+    /// A different seed for each sender and each of its processes.
     fn sender_seed(&self, sender: SenderId) -> u64 {
-        let life = u64::from(self.senders[sender.0].life);
+        let process_number = u64::from(self.senders[sender.0].process_number);
         let stream = FIRST_SENDER_STREAM + sender.0 as u64;
-        chance(self.plan.seed ^ (life << 32), stream).random()
+        chance(self.plan.seed ^ (process_number << 32), stream).random()
     }
 
-    fn see_start(&mut self, sender: SenderId, lines: &[Listing]) {
+    fn observe_start(&mut self, sender: SenderId, entries: &[Listing]) {
         if !self.now.is_zero() {
-            self.see(Seen::SenderUp(sender));
+            self.observe(Seen::SenderUp(sender));
         }
-        for line in lines.iter().filter(|line| !line.live) {
-            self.see(Seen::ToldOff(sender, line.endpoint));
+        for entry in entries.iter().filter(|entry| !entry.live) {
+            self.observe(Seen::ToldOff(sender, entry.endpoint));
         }
     }
 
-    /// A sender that runs hears of a change of the list, which the plan holds at this place.
-    pub fn list_change(&mut self, sender: SenderId, change: usize) {
+    /// Applies a change of the list to a running sender; `change` is its index in the plan.
+    pub fn apply_list_change(&mut self, sender: SenderId, change: usize) {
         let Some(policy) = &mut self.senders[sender.0].policy else {
-            return; // it reads the whole list as it starts
+            return; // a process reads the full list when it starts
         };
         let change = self.plan.changes[change];
         let live = change.standing == Standing::Ready;
         policy.list(self.now, false, &[self.plan.listing(change.endpoint, live)]);
-        self.see(if live {
+        self.observe(if live {
             Seen::ToldOn(sender, change.endpoint)
         } else {
             Seen::ToldOff(sender, change.endpoint)
@@ -60,8 +61,8 @@
         self.request_round(sender);
     }
 
-    /// Dies without warning: what it knew is gone, its journal stays.
-    pub fn kill(&mut self, sender: SenderId) {
+    /// Kills the process of a sender without warning. Its journal remains; everything else is lost.
+    pub fn kill_sender(&mut self, sender: SenderId) {
         if self.senders[sender.0].policy.is_none() {
             return;
         }
@@ -70,13 +71,13 @@
         }
         self.close_all_idle(sender);
         self.tally.count(Count::Kills);
-        self.see(Seen::SenderDown(sender));
-        for packet in self.senders[sender.0].end() {
+        self.observe(Seen::SenderDown(sender));
+        for packet in self.senders[sender.0].stop() {
             self.abandon(packet);
         }
     }
 
-    /// A sender's calls, in the order in which they began.
+    /// The calls of a sender, in the order in which they were started.
     fn calls_of(&self, sender: SenderId) -> Vec<CallId> {
         let own = self.calls.iter().filter(|(_, call)| call.sender == sender);
         let mut ids: Vec<CallId> = own.map(|(id, _)| *id).collect();
@@ -84,10 +85,10 @@
         ids
     }
 
-    /// A call breaks as its sender dies; nobody hears of an outcome.
+    /// Removes a call whose sender died. No outcome is reported for it.
     fn drop_call(&mut self, id: CallId) {
         let Some(call) = self.remove_call(id) else { return };
-        if call.connected {
+        if call.holds_connection {
             self.receivers.disconnected(call.endpoint);
         }
         self.tally.calls_out(self.plan.place(call.endpoint).destination, false);
@@ -95,7 +96,7 @@
             self.submission_mut(*packet).call = None;
         }
         if call.has_arrived() {
-            self.see(Seen::Over { call: id, heard: Heard::Unsure });
+            self.observe(Seen::Over { call: id, heard: Heard::Unsure });
         }
     }
 }
--- a/crates/sailcart-lab/src/simulated/queue.rs
+++ b/crates/sailcart-lab/src/simulated/queue.rs
@@ -1,4 +1,4 @@
-//! Events in order of time; those of one time in the order in which they were put.
+//! A queue of events ordered by time; events of the same time keep the order in which they were added.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -29,26 +29,26 @@
     }
 }
 
-/// Events that are still to come.
+/// The events that have not happened yet.
 pub struct Queue<E> {
     heap: BinaryHeap<Entry<E>>,
-    next: u64,
+    next_sequence: u64,
 }
 
 impl<E> Default for Queue<E> {
     fn default() -> Self {
-        Queue { heap: BinaryHeap::new(), next: 0 }
+        Queue { heap: BinaryHeap::new(), next_sequence: 0 }
     }
 }
 
 impl<E> Queue<E> {
-    /// Puts an event that happens at a time.
+    /// Adds an event that happens at `at`.
     pub fn push(&mut self, at: Duration, event: E) {
-        self.heap.push(Entry { key: Reverse((at, self.next)), event });
-        self.next += 1;
+        self.heap.push(Entry { key: Reverse((at, self.next_sequence)), event });
+        self.next_sequence += 1;
     }
 
-    /// Takes the event that comes first, with its time.
+    /// Removes the earliest event and returns it with its time.
     pub fn pop(&mut self) -> Option<(Duration, E)> {
         self.heap.pop().map(|entry| (entry.key.0.0, entry.event))
     }
--- a/crates/sailcart-lab/src/simulated/reception.rs
+++ b/crates/sailcart-lab/src/simulated/reception.rs
@@ -1,4 +1,4 @@
-//! The receivers' side: calls come in, run, and are answered.
+//! The receiving side: calls arrive, are executed and answered.
 
 use sailcart::Outcome;
 
@@ -9,22 +9,22 @@
 use crate::watcher::{CallId, Heard, Seen};
 
 impl World<'_> {
-    /// A call's last byte has come to its receiver.
-    pub fn arrived(&mut self, id: CallId) {
+    /// Handles the arrival of the last byte of a call.
+    pub fn on_arrived(&mut self, id: CallId) {
         let Some(call) = self.calls.get(&id) else { return };
         let (sender, endpoint, packets) = (call.sender, call.endpoint, call.packets.clone());
         let gate = self.gate(endpoint);
-        self.going[gate.0] -= 1;
+        self.calls_not_arrived[gate.0] -= 1;
         let destination = self.plan.place(endpoint).destination;
         self.tally.dispatched(self.now, destination, packets.len());
-        let pieces = self.pieces(&packets);
-        let reception = self.receivers.arrive(self.plan, self.now, endpoint, &pieces);
-        self.see(Seen::Came { call: id, sender, endpoint, gate, packets });
+        let call_packets = self.call_packets(&packets);
+        let reception = self.receivers.arrive(self.plan, self.now, endpoint, &call_packets);
+        self.observe(Seen::Came { call: id, sender, endpoint, gate, packets });
         if reception.effects.contains(&true) {
-            self.see(Seen::Ran(id, reception.effects));
+            self.observe(Seen::Ran(id, reception.effects));
         }
         if reception.fell {
-            self.see(Seen::Fell(gate));
+            self.observe(Seen::Fell(gate));
         }
         let (due, answer) = reception.answer.unzip();
         if let Some(call) = self.calls.get_mut(&id) {
@@ -35,51 +35,51 @@
         }
     }
 
-    /// The last byte of a call was written before its sender died or gave it up: it still comes.
-    pub fn arrived_unheard(&mut self, id: CallId, call: &Call) {
+    /// Handles the arrival of a call that was written before its sender died or aborted it.
+    pub fn arrive_abandoned(&mut self, id: CallId, call: &Call) {
         let gate = self.gate(call.endpoint);
-        let pieces = self.pieces(&call.packets);
-        let reception = self.receivers.arrive(self.plan, self.now, call.endpoint, &pieces);
-        self.see(Seen::Came {
+        let call_packets = self.call_packets(&call.packets);
+        let reception = self.receivers.arrive(self.plan, self.now, call.endpoint, &call_packets);
+        self.observe(Seen::Came {
             call: id,
             sender: call.sender,
             endpoint: call.endpoint,
             gate,
             packets: call.packets.clone(),
         });
-        self.see(Seen::Ran(id, reception.effects));
-        self.see(Seen::Over { call: id, heard: Heard::Unsure });
+        self.observe(Seen::Ran(id, reception.effects));
+        self.observe(Seen::Over { call: id, heard: Heard::Unsure });
     }
 
-    /// What a call was answered has come back.
-    pub fn answered(&mut self, id: CallId) {
+    /// Handles the arrival of an answer at the sender.
+    pub fn on_answered(&mut self, id: CallId) {
         let Some(call) = self.calls.get(&id) else { return };
         let Stage::Arrived { answer: Some(answer), .. } = call.stage().clone() else { return };
-        let several = call.packets.len() > 1;
+        let several_packets = call.packets.len() > 1;
         let destination = self.plan.place(call.endpoint).destination;
         self.pass_report(id, &answer);
         if let Answer::Full(_) = answer {
             self.tally.refused(self.now, destination);
         }
         match answer {
-            Answer::Done => self.finish(id, Outcome::Done),
-            Answer::Error => self.finish(id, Outcome::Error),
-            Answer::Full(wait) => self.finish(id, Outcome::Full(wait)),
-            Answer::Reset => self.finish(id, Outcome::Reset),
-            Answer::Spoilt(manner) if manner.settles(several) => self.finish(id, Outcome::Done),
-            Answer::Spoilt(_) => self.finish(id, Outcome::Error),
-            Answer::Mixed(each, wait) => {
-                let each = each.into_iter().map(|piece| match piece {
+            Answer::Done => self.finish_call(id, Outcome::Done),
+            Answer::Error => self.finish_call(id, Outcome::Error),
+            Answer::Full(wait) => self.finish_call(id, Outcome::Full(wait)),
+            Answer::Reset => self.finish_call(id, Outcome::Reset),
+            Answer::Spoilt(manner) if manner.settles(several_packets) => self.finish_call(id, Outcome::Done),
+            Answer::Spoilt(_) => self.finish_call(id, Outcome::Error),
+            Answer::Mixed(answers, wait) => {
+                let answers = answers.into_iter().map(|packet_answer| match packet_answer {
                     PieceAnswer::Accepted => Outcome::Done,
                     PieceAnswer::Fault => Outcome::Error,
                     PieceAnswer::Deferred => Outcome::Full(wait),
                 });
-                self.finish_each(id, each.collect());
+                self.finish_call_with(id, answers.collect());
             }
         }
     }
 
-    /// The policy hears what a readable answer tells of the limit.
+    /// Passes the limit reported by a readable answer to the policy.
     fn pass_report(&mut self, id: CallId, answer: &Answer) {
         let Some(call) = self.calls.get(&id).filter(|_| answer.is_readable()) else { return };
         let Stage::Arrived { report: Some(report), .. } = call.stage() else { return };
--- a/crates/sailcart-lab/src/simulated/rounds.rs
+++ b/crates/sailcart-lab/src/simulated/rounds.rs
@@ -1,46 +1,46 @@
-//! A sender's rounds: when one is due, what it sees, and what it asks for.
+//! Rounds of a sender: when one is due, what its policy can see, and how its requests are carried out.
 
 use std::time::Duration;
 
 use sailcart::{EndpointId, Outcome, PacketId};
 
 use super::event::Event;
-use super::sender::{Acts, Cancel};
+use super::sender::{Cancellation, RoundActions};
 use super::world::World;
 use crate::plan::{Plan, SenderId};
 use crate::policies::OracleView;
 use crate::receivers::Receivers;
 use crate::watcher::Seen;
 
-/// What a round may look at, if its policy is the oracle.
+/// The state of the world that the oracle policy may look at.
 struct WorldView<'a> {
     plan: &'a Plan,
     receivers: &'a Receivers,
-    /// Calls on their way, by gate.
-    going: &'a [usize],
+    /// Calls that have not reached their receiver yet, by upstream.
+    calls_not_arrived: &'a [usize],
 }
 
 impl OracleView for WorldView<'_> {
-    fn would_finish(&self, now: Duration, endpoint: EndpointId, also: usize) -> Option<Duration> {
-        let behind = self.going[self.receivers.gate(endpoint)] + also;
-        self.receivers.would_finish(self.plan, now, endpoint, behind)
+    fn would_finish(&self, now: Duration, endpoint: EndpointId, additional: usize) -> Option<Duration> {
+        let ahead = self.calls_not_arrived[self.receivers.gate(endpoint)] + additional;
+        self.receivers.would_finish(self.plan, now, endpoint, ahead)
     }
 }
 
 impl World<'_> {
-    /// A sender takes a packet that a client handed in.
-    pub fn take(&mut self, sender: SenderId, packet: PacketId) {
-        let taken = self.describe(packet);
+    /// A sender accepts a submitted packet. Its client is answered after the next round.
+    pub fn accept(&mut self, sender: SenderId, packet: PacketId) {
+        let description = self.describe(packet);
         let state = &mut self.senders[sender.0];
         state.held.insert(packet);
-        state.fresh.push(packet);
+        state.unconfirmed.push(packet);
         if let Some(policy) = &mut state.policy {
-            policy.take(self.now, taken);
+            policy.take(self.now, description);
         }
         self.request_round(sender);
     }
 
-    /// A packet as its sender knows it.
+    /// The description of a packet that its sender passes to the policy.
     pub fn describe(&self, packet: PacketId) -> sailcart::Packet {
         let submission = self.submission(packet);
         let origin = self.origin_of(packet);
@@ -50,83 +50,88 @@
             category: origin.category,
             customer: origin.customer,
             key: origin.key,
-            ends: submission.ends,
+            ends: submission.deadline,
             dispatches: submission.dispatches,
-            doubt: submission.doubt,
+            doubt: submission.possibly_executed_at,
             taken_on: false,
         }
     }
 
-    /// Something came in: a round is due, but not too soon after the last.
+    /// Requests a round as soon as the minimum interval since the previous one allows.
     pub fn request_round(&mut self, sender: SenderId) {
         let state = &mut self.senders[sender.0];
-        let at = state.next_round.max(self.now);
-        if state.round_at.is_none_or(|due| due > at) {
-            state.round_at = Some(at);
-            self.queue.push(at, Event::Round { sender, life: state.life });
+        let at = state.earliest_round_at.max(self.now);
+        if state.round_due_at.is_none_or(|due| due > at) {
+            state.round_due_at = Some(at);
+            self.queue.push(at, Event::Round { sender, process_number: state.process_number });
         }
     }
 
-    /// A round that was asked for in a certain life of a sender; nothing if that life is over.
-    pub fn round(&mut self, sender: SenderId, life: u32) {
+    /// Runs a round, unless the process that requested it has ended.
+    pub fn run_round(&mut self, sender: SenderId, process_number: u32) {
         let state = &self.senders[sender.0];
-        let lives_on = state.life == life && state.policy.is_some();
-        if !lives_on || state.round_at.is_none_or(|due| due > self.now) {
+        let is_current = state.process_number == process_number && state.policy.is_some();
+        if !is_current || state.round_due_at.is_none_or(|due| due > self.now) {
             return;
         }
-        let acts = self.decide(sender);
-        self.schedule_wake(sender, acts.wake);
-        for ended in acts.ends {
-            self.end_packet(ended);
+        let actions = self.decide(sender);
+        self.schedule_wake(sender, actions.wake);
+        for completion in actions.completions {
+            self.complete_packet(completion);
         }
-        self.confirm_taken(sender);
-        for cancel in acts.cancels {
-            self.cancel(cancel);
+        self.confirm_accepted(sender);
+        for cancellation in actions.cancellations {
+            self.cancel(cancellation);
         }
-        for endpoint in acts.closings {
+        for endpoint in actions.idle_closes {
             self.close_idle(sender, endpoint);
         }
-        self.dispatch(sender, acts.dispatches);
+        self.dispatch(sender, actions.dispatches);
     }
 
-    /// Asks the policy what it wants.
-    fn decide(&mut self, sender: SenderId) -> Acts {
-        let mut acts = Acts::default();
-        let view = WorldView { plan: self.plan, receivers: &self.receivers, going: &self.going };
+    /// Runs the decisions of the policy and collects its requests.
+    fn decide(&mut self, sender: SenderId) -> RoundActions {
+        let mut actions = RoundActions::default();
+        let view = WorldView {
+            plan: self.plan,
+            receivers: &self.receivers,
+            calls_not_arrived: &self.calls_not_arrived,
+        };
         let state = &mut self.senders[sender.0];
         state.begin_round(self.now, self.plan.experiment.senders.round);
         if let Some(policy) = &mut state.policy {
-            policy.decide(self.now, &view, &mut acts);
+            policy.decide(self.now, &view, &mut actions);
         }
-        acts
+        actions
     }
 
-    /// Has the sender woken when its policy asked for it, now or earlier.
+    /// Schedules the next round for the time that the policy requested, in this round or an earlier one.
     fn schedule_wake(&mut self, sender: SenderId, after: Option<Duration>) {
         let state = &mut self.senders[sender.0];
         if let Some(after) = after {
             state.wake_by(self.now + after);
         }
         if let Some(at) = state.wake_at {
-            let at = at.max(state.next_round);
-            state.round_at = Some(at);
-            self.queue.push(at, Event::Round { sender, life: state.life });
+            let at = at.max(state.earliest_round_at);
+            state.round_due_at = Some(at);
+            self.queue.push(at, Event::Round { sender, process_number: state.process_number });
         }
     }
 
-    /// What was taken since the last round, and is not over, is written: its clients hear so.
-    fn confirm_taken(&mut self, sender: SenderId) {
-        for packet in std::mem::take(&mut self.senders[sender.0].fresh) {
+    /// Answers the clients of packets accepted since the previous round that have not completed in the
+    /// meantime.
+    fn confirm_accepted(&mut self, sender: SenderId) {
+        for packet in std::mem::take(&mut self.senders[sender.0].unconfirmed) {
             if self.submission(packet).end.is_none() {
                 self.answer_client(packet);
-                self.see(Seen::Taken(packet));
+                self.observe(Seen::Taken(packet));
             }
         }
     }
 
-    fn cancel(&mut self, cancel: Cancel) {
-        if let Some(call) = self.submission(cancel.packet).call_of(cancel.dispatch) {
-            self.queue.push(self.now, Event::GiveUp(call, Outcome::Cancelled));
+    fn cancel(&mut self, cancellation: Cancellation) {
+        if let Some(call) = self.submission(cancellation.packet).call_of(cancellation.dispatch) {
+            self.queue.push(self.now, Event::AbortCall(call, Outcome::Cancelled));
         }
     }
 }
--- a/crates/sailcart-lab/src/simulated/schedule.rs
+++ b/crates/sailcart-lab/src/simulated/schedule.rs
@@ -1,4 +1,4 @@
-//! What is known ahead of a run: load, changes of the list, troubles of senders and receivers, samples.
+//! Events that are known before a run: load, changes of the list, troubles of senders and receivers, samples.
 
 use std::time::Duration;
 
@@ -9,13 +9,13 @@
 use crate::plan::{OriginId, Plan, SenderId, Struck};
 use crate::receivers::TroubleSchedule;
 
-/// A sender that stops as told lets calls come back for so long.
-const STOPPING: Duration = Duration::from_secs(3);
-/// From a sender's end to its being ready again.
-const RESTART: Duration = Duration::from_millis(600);
+/// Time that a sender stopped in an orderly way has to complete its calls.
+const STOP_TIME: Duration = Duration::from_secs(3);
+/// Time from the end of a sender process until its successor is ready.
+const RESTART_TIME: Duration = Duration::from_millis(600);
 
 impl World<'_> {
-    /// Puts all that is known ahead into the queue.
+    /// Adds all events that are known in advance to the queue.
     pub fn schedule(&mut self) {
         self.schedule_load();
         self.schedule_list_changes();
@@ -25,25 +25,25 @@
     }
 
     fn schedule_load(&mut self) {
-        for (at, origin) in self.plan.origins.iter().enumerate() {
-            self.queue.push(origin.at, Event::HandIn { origin: OriginId(at), tries: 0 });
+        for (index, origin) in self.plan.origins.iter().enumerate() {
+            self.queue.push(origin.at, Event::Submit { origin: OriginId(index), resubmissions: 0 });
         }
     }
 
     fn schedule_list_changes(&mut self) {
         for sender in (0..self.senders.len()).map(SenderId) {
-            for (nth, change) in self.plan.changes.iter().enumerate() {
+            for (index, change) in self.plan.changes.iter().enumerate() {
                 let at = self.plan.told_at(change, sender);
-                self.queue.push(at, Event::ListChange { sender, change: nth });
+                self.queue.push(at, Event::ListChange { sender, change: index });
             }
         }
     }
 
     fn schedule_sender_troubles(&mut self) {
-        for struck in &self.plan.struck {
-            match struck.trouble.kind {
-                TroubleKind::Kill => schedule_kills(struck, &mut self.queue),
-                TroubleKind::Roll => schedule_rolling_restart(struck, &mut self.queue),
+        for scheduled in &self.plan.struck {
+            match scheduled.trouble.kind {
+                TroubleKind::Kill => schedule_kills(scheduled, &mut self.queue),
+                TroubleKind::Roll => schedule_rolling_restart(scheduled, &mut self.queue),
                 _ => {}
             }
         }
@@ -55,7 +55,7 @@
         for place in &plan.places {
             let gate = self.gate(place.endpoint);
             for (from, _) in troubles.outages(place.endpoint) {
-                self.queue.push(from, Event::OutageFrom(gate));
+                self.queue.push(from, Event::OutageBegins(gate));
             }
         }
     }
@@ -67,24 +67,24 @@
     }
 }
 
-/// Senders die and start again.
-fn schedule_kills(struck: &Struck, queue: &mut Queue<Event>) {
-    for (at, sender, down) in struck.deaths(RESTART) {
+/// Adds the deaths of senders and their restarts.
+fn schedule_kills(scheduled: &Struck, queue: &mut Queue<Event>) {
+    for (at, sender, down) in scheduled.deaths(RESTART_TIME) {
         queue.push(at, Event::Kill(sender));
         queue.push(at + down, Event::Start(sender));
     }
 }
 
-/// Senders are stopped as told and started again, some at a time.
-fn schedule_rolling_restart(struck: &Struck, queue: &mut Queue<Event>) {
-    let wave = struck.trouble.count.unwrap_or(1).max(1);
-    let waves = struck.senders.len().div_ceil(wave) as u32;
-    for (at, senders) in struck.senders.chunks(wave).enumerate() {
-        let begins = struck.from + (struck.until - struck.from) * at as u32 / waves;
+/// Adds orderly stops and restarts of senders, in waves of `count` senders.
+fn schedule_rolling_restart(scheduled: &Struck, queue: &mut Queue<Event>) {
+    let wave_size = scheduled.trouble.count.unwrap_or(1).max(1);
+    let waves = scheduled.senders.len().div_ceil(wave_size) as u32;
+    for (wave_index, senders) in scheduled.senders.chunks(wave_size).enumerate() {
+        let starts_at = scheduled.from + (scheduled.until - scheduled.from) * wave_index as u32 / waves;
         for sender in senders {
-            queue.push(begins, Event::StopTaking(*sender));
-            queue.push(begins + STOPPING, Event::Kill(*sender));
-            queue.push(begins + STOPPING + RESTART, Event::Start(*sender));
+            queue.push(starts_at, Event::StopAccepting(*sender));
+            queue.push(starts_at + STOP_TIME, Event::Kill(*sender));
+            queue.push(starts_at + STOP_TIME + RESTART_TIME, Event::Start(*sender));
         }
     }
 }
--- a/crates/sailcart-lab/src/simulated/sender.rs
+++ b/crates/sailcart-lab/src/simulated/sender.rs
@@ -1,125 +1,124 @@
-//! One sender's place in the simulated world: its life, its connections, and what a round of it asks for.
+//! The state of one sender in the simulation: its process, its connections, and the requests of a round.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use sailcart::{EndpointId, Host, PacketId};
 
-use super::submission::Ended;
+use super::submission::Completion;
 use crate::policies::Policy;
 use crate::watcher::End;
 
-/// One sender, over all its lives.
+/// The state of one sender across its processes.
 #[derive(Default)]
 pub struct SenderState {
-    /// How many lives ended before this one.
-    pub life: u32,
-    /// `None` between two lives.
+    /// Number of processes of this sender that have ended.
+    pub process_number: u32,
+    /// The decisions of the running process; `None` while no process runs.
     pub policy: Option<Box<dyn Policy>>,
-    /// Clients get through to it.
-    pub taking: bool,
-    /// Packets in its journal without an end.
+    /// Whether clients can submit packets.
+    pub accepting: bool,
+    /// Packets in its journal that have not completed.
     pub held: BTreeSet<PacketId>,
-    /// Taken since the last round: their clients wait for an answer.
-    pub fresh: Vec<PacketId>,
-    /// Since when each kept connection is idle.
-    pub idle: BTreeMap<EndpointId, Vec<Duration>>,
-    /// The earliest time of the next round.
-    pub next_round: Duration,
-    /// When the next round is due, if one was asked for.
-    pub round_at: Option<Duration>,
-    /// When the policy asked to be woken.
+    /// Packets accepted since the previous round, whose clients wait for an answer.
+    pub unconfirmed: Vec<PacketId>,
+    /// When each idle connection became idle, by endpoint.
+    pub idle_connections: BTreeMap<EndpointId, Vec<Duration>>,
+    pub earliest_round_at: Duration,
+    /// When the next round is due, if one was requested.
+    pub round_due_at: Option<Duration>,
+    /// When the policy requested to be woken.
     pub wake_at: Option<Duration>,
 }
 
 impl SenderState {
-    /// A life begins.
-    pub fn begin(&mut self, policy: Box<dyn Policy>, now: Duration) {
+    /// Starts a process.
+    pub fn start(&mut self, policy: Box<dyn Policy>, now: Duration) {
         self.policy = Some(policy);
-        self.taking = true;
-        self.next_round = now;
-        self.forget_rounds();
+        self.accepting = true;
+        self.earliest_round_at = now;
+        self.clear_rounds();
     }
 
-    /// A life ends; tells whose clients had heard nothing.
-    pub fn end(&mut self) -> Vec<PacketId> {
+    /// Ends the process. Returns the packets whose clients have received no answer.
+    pub fn stop(&mut self) -> Vec<PacketId> {
         self.policy = None;
-        self.taking = false;
-        self.life += 1;
-        self.forget_rounds();
-        std::mem::take(&mut self.fresh)
+        self.accepting = false;
+        self.process_number += 1;
+        self.clear_rounds();
+        std::mem::take(&mut self.unconfirmed)
     }
 
-    fn forget_rounds(&mut self) {
-        self.round_at = None;
+    fn clear_rounds(&mut self) {
+        self.round_due_at = None;
         self.wake_at = None;
     }
 
-    /// The round that was due begins; the next one comes a `pause` later at the earliest.
-    pub fn begin_round(&mut self, now: Duration, pause: Duration) {
-        self.round_at = None;
-        self.next_round = now + pause;
+    /// Records that a round begins; the next one is at least `min_interval` later.
+    pub fn begin_round(&mut self, now: Duration, min_interval: Duration) {
+        self.round_due_at = None;
+        self.earliest_round_at = now + min_interval;
         self.wake_at = self.wake_at.filter(|at| *at > now);
     }
 
-    /// The policy asks to be woken. An earlier time asked for still stands, whatever rounds came between.
+    /// Requests a wake-up at `at`. An earlier request stays in effect, whatever rounds happen in between.
     pub fn wake_by(&mut self, at: Duration) {
-        self.wake_at = Some(self.wake_at.map_or(at, |before| before.min(at)));
+        self.wake_at = Some(self.wake_at.map_or(at, |earlier| earlier.min(at)));
     }
 }
 
-/// A dispatch that a round asks for.
+/// A dispatch requested by a round.
 pub struct Dispatch {
     pub packet: PacketId,
     pub endpoint: EndpointId,
-    /// From now until its call is given up.
-    pub time_out: Duration,
+    /// Time from now after which the call is aborted.
+    pub timeout: Duration,
 }
 
-/// A call that a round no longer wants for a packet.
-pub struct Cancel {
+/// The cancellation of a dispatch, requested by a round.
+pub struct Cancellation {
     pub packet: PacketId,
-    /// Which of the packet's dispatches, from zero.
+    /// Number of the dispatch among those of the packet, from 0.
     pub dispatch: u32,
 }
 
-/// What one round asks for, carried out once the policy has returned.
+/// The requests of one round, carried out after the policy has returned.
 #[derive(Default)]
-pub struct Acts {
+pub struct RoundActions {
     pub dispatches: Vec<Dispatch>,
-    pub cancels: Vec<Cancel>,
-    pub ends: Vec<Ended>,
-    /// Endpoints whose idle connections are closed.
-    pub closings: Vec<EndpointId>,
-    /// After how long the policy wants to be asked again.
+    pub cancellations: Vec<Cancellation>,
+    pub completions: Vec<Completion>,
+    /// Endpoints whose idle connections are to be closed.
+    pub idle_closes: Vec<EndpointId>,
+    /// Time after which the policy requests another round.
     pub wake: Option<Duration>,
 }
 
-impl Host for Acts {
-    fn dispatch(&mut self, packet: PacketId, endpoint: EndpointId, time_out: Duration) {
-        self.dispatches.push(Dispatch { packet, endpoint, time_out });
+impl Host for RoundActions {
+    fn dispatch(&mut self, packet: PacketId, endpoint: EndpointId, timeout: Duration) {
+        self.dispatches.push(Dispatch { packet, endpoint, timeout });
     }
 
     fn cancel(&mut self, packet: PacketId, dispatch: u32) {
-        self.cancels.push(Cancel { packet, dispatch });
+        self.cancellations.push(Cancellation { packet, dispatch });
     }
 
     fn dismiss(&mut self, packet: PacketId, retry_after: Option<Duration>) {
-        self.ends.push(Ended { packet, end: End::Dismissed, retry_after });
+        self.completions.push(Completion { packet, end: End::Dismissed, retry_after });
     }
 
     fn scrap(&mut self, packet: PacketId) {
-        self.ends.push(Ended { packet, end: End::Scrapped, retry_after: None });
+        self.completions.push(Completion { packet, end: End::Scrapped, retry_after: None });
     }
 
     fn close_idle(&mut self, endpoint: EndpointId) {
-        self.closings.push(endpoint);
+        self.idle_closes.push(endpoint);
     }
 
-    /// The lab's lists come unasked.
+    /// The simulation sends lists without being asked.
     fn ask_list(&mut self) {}
 
     fn wake(&mut self, after: Duration) {
-        self.wake = Some(self.wake.map_or(after, |before| before.min(after)));
+        self.wake = Some(self.wake.map_or(after, |earlier| earlier.min(after)));
     }
 }
--- a/crates/sailcart-lab/src/simulated/submission.rs
+++ b/crates/sailcart-lab/src/simulated/submission.rs
@@ -1,4 +1,4 @@
-//! A packet as one handing in makes it; a client that hands in again makes another.
+//! One submission of a packet; a client that resubmits creates another submission with a new packet id.
 
 use std::time::Duration;
 
@@ -7,55 +7,59 @@
 use crate::plan::{OriginId, SenderId};
 use crate::watcher::{CallId, End};
 
-/// A packet as handed in once.
+/// A packet as submitted once to one sender.
 pub struct Submission {
     pub origin: OriginId,
     pub sender: SenderId,
-    /// How often it was handed in before, under other numbers.
-    pub tries: u32,
-    /// When it was handed in.
-    pub handed: Duration,
-    /// When its patience ends.
-    pub ends: Duration,
-    /// How often it was dispatched.
+    /// Number of earlier submissions of the same planned packet that were dismissed.
+    pub resubmissions: u32,
+    pub submitted_at: Duration,
+    pub deadline: Duration,
+    /// Number of dispatches so far.
     pub dispatches: u32,
-    /// Since when it may have run without its sender knowing, if it may.
-    pub doubt: Option<Duration>,
-    /// The call that it travels with, if it does.
+    /// When the first dispatch that may have been executed was written, if any.
+    pub possibly_executed_at: Option<Duration>,
+    /// The call that carries the packet, while one is in flight.
     pub call: Option<CallId>,
-    /// Its client has heard.
+    /// Whether its client has received an answer.
     pub answered: bool,
-    /// How it ended, if it has.
+    /// The way in which it completed, if it has.
     pub end: Option<End>,
 }
 
 impl Submission {
-    /// A packet that a sender is being handed now.
-    pub fn new(origin: OriginId, sender: SenderId, tries: u32, handed: Duration, ends: Duration) -> Self {
+    /// Creates a submission to a sender.
+    pub fn new(
+        origin: OriginId,
+        sender: SenderId,
+        resubmissions: u32,
+        submitted_at: Duration,
+        deadline: Duration,
+    ) -> Self {
         Submission {
             origin,
             sender,
-            tries,
-            handed,
-            ends,
+            resubmissions,
+            submitted_at,
+            deadline,
             dispatches: 0,
-            doubt: None,
+            possibly_executed_at: None,
             call: None,
             answered: false,
             end: None,
         }
     }
 
-    /// The call of a certain dispatch, numbered from zero, while that is the last one and out.
+    /// The call of a dispatch, numbered from 0, if it is the latest dispatch and in flight.
     pub fn call_of(&self, dispatch: u32) -> Option<CallId> {
         self.call.filter(|_| self.dispatches == dispatch + 1)
     }
 }
 
-/// How a packet ended.
-pub struct Ended {
+/// The completion of a packet.
+pub struct Completion {
     pub packet: PacketId,
     pub end: End,
-    /// For how long its client is asked to wait before it hands in again.
+    /// Time that the client is asked to wait before it resubmits.
     pub retry_after: Option<Duration>,
 }
--- a/crates/sailcart-lab/src/simulated/world.rs
+++ b/crates/sailcart-lab/src/simulated/world.rs
@@ -1,5 +1,5 @@
-//! The simulated world: all state of a run, and what every other module here needs of it. What happens in it stands
-//! beside it, by concern: each module adds its methods to [`World`].
+//! The state of a simulation, and the operations that the other modules of this folder share. Each of them
+//! adds methods for one concern to [`World`].
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -19,13 +19,13 @@
 use crate::results::tally::Tally;
 use crate::watcher::{CallId, GateId, Seen, Watcher};
 
-/// The stream of chance that clients draw from.
+/// Random stream that clients draw from.
 const CLIENTS_STREAM: u64 = 5;
 
-/// Makes a sender's decisions at its start, from a seed.
+/// Creates the policy of a sender process from a seed.
 pub type MakePolicy<'a> = dyn Fn(u64) -> Box<dyn Policy> + 'a;
 
-/// All state of a run.
+/// The state of a run.
 pub struct World<'a> {
     pub plan: &'a Plan,
     pub make_policy: &'a MakePolicy<'a>,
@@ -36,18 +36,18 @@
     pub tally: Tally,
     pub log: Log,
     pub senders: Vec<SenderState>,
-    /// Calls that have not reached their receiver yet, by gate.
-    pub going: Vec<usize>,
-    /// By packet.
+    /// Calls that have not reached their receiver yet, by upstream.
+    pub calls_not_arrived: Vec<usize>,
+    /// Indexed by packet id.
     pub submissions: Vec<Submission>,
-    /// Calls that are not over.
+    /// Calls in flight.
     pub calls: HashMap<CallId, Call>,
-    pub next_call: u64,
+    pub next_call_id: u64,
     pub rng: ChaCha8Rng,
 }
 
 impl<'a> World<'a> {
-    /// The world before its first event; nothing is scheduled, no sender runs.
+    /// Creates the world before its first event: nothing is scheduled and no sender runs.
     pub fn new(plan: &'a Plan, log: Log, make_policy: &'a MakePolicy<'a>) -> Self {
         World {
             plan,
@@ -59,42 +59,42 @@
             tally: Tally::new(plan),
             log,
             senders: (0..plan.experiment.senders.count).map(|_| SenderState::default()).collect(),
-            going: vec![0; plan.places.len()],
+            calls_not_arrived: vec![0; plan.places.len()],
             submissions: Vec::new(),
             calls: HashMap::new(),
-            next_call: 0,
+            next_call_id: 0,
             rng: chance(plan.seed, CLIENTS_STREAM),
         }
     }
 
-    /// Tells the watcher, and the event log, of something that happens now.
-    pub fn see(&mut self, seen: Seen) {
+    /// Reports an observation to the watcher and writes it to the event log.
+    pub fn observe(&mut self, seen: Seen) {
         self.log.write(self.now, &seen);
         self.watcher.see(self.now, &seen);
     }
 
-    /// A packet as handed in.
+    /// The submission of a packet.
     pub fn submission(&self, packet: PacketId) -> &Submission {
         &self.submissions[packet.0 as usize]
     }
 
-    /// A packet as handed in, to change.
+    /// Mutable access to the submission of a packet.
     pub fn submission_mut(&mut self, packet: PacketId) -> &mut Submission {
         &mut self.submissions[packet.0 as usize]
     }
 
-    /// What a client wanted to send with a packet.
+    /// The planned packet that a submitted packet stands for.
     pub fn origin_of(&self, packet: PacketId) -> &'a Origin {
         &self.plan.origins[self.submission(packet).origin.0]
     }
 
-    /// Which receiver answers at an endpoint.
+    /// The upstream that an endpoint belongs to.
     pub fn gate(&self, endpoint: EndpointId) -> GateId {
         GateId(self.receivers.gate(endpoint))
     }
 
-    /// What a receiver sees of each packet.
-    pub fn pieces(&self, packets: &[PacketId]) -> Vec<Piece> {
+    /// The packets of a call as its receiver sees them.
+    pub fn call_packets(&self, packets: &[PacketId]) -> Vec<Piece> {
         packets.iter().map(|packet| Piece::new(self.plan, self.submission(*packet).origin)).collect()
     }
 }
