--- a/crates/sailcart-lab/src/policies/baseline.rs
+++ b/crates/sailcart-lab/src/policies/baseline.rs
@@ -1,5 +1,7 @@
-//! What the module is measured against. A baseline keeps no waits, guards no return and learns no limit; it keeps
-//! to what every careful client does: one end for each packet, no second copy, nothing to what is not listed.
+//! The baselines that the module is measured against. A baseline tracks no Retry-After waits (except for the
+//! oracle), does not protect recovering destinations and does not learn limits. It does what every careful
+//! client does: one completion per packet, no second copy in flight, nothing to endpoints that are not
+//! listed.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -11,206 +13,233 @@
 
 use super::{OracleView, Policy, PolicyName};
 
-/// The first step of a backoff, and the longest.
-const BACKOFF: (Duration, Duration) = (Duration::from_millis(250), Duration::from_secs(8));
-/// Failures in a row that open a breaker, and for how long.
-const BREAKER: (u32, Duration) = (5, Duration::from_secs(5));
-/// How often the oracle looks again at packets that nobody would take just now.
-const LOOK: Duration = Duration::from_millis(20);
-/// Times the expected answer time, after which the oracle holds an answer for lost.
-const LOST: u32 = 8;
-/// Part of the patience at its end in which nothing new goes out.
-const LAST: u32 = 40;
+/// Initial and maximum backoff delay.
+const BACKOFF_INITIAL_AND_MAX: (Duration, Duration) = (Duration::from_millis(250), Duration::from_secs(8));
+/// Consecutive failures that open a circuit breaker, and how long it stays open.
+const BREAKER_FAILURES_AND_OPEN_TIME: (u32, Duration) = (5, Duration::from_secs(5));
+/// Interval at which the oracle reconsiders packets that no endpoint would accept at present. All baselines
+/// use it for packets that cannot be dispatched yet.
+const RECONSIDER_INTERVAL: Duration = Duration::from_millis(20);
+/// Multiple of the expected answer time after which the oracle regards an answer as lost.
+const ORACLE_TIMEOUT_FACTOR: u32 = 8;
+/// No dispatch is started in the last part of the patience: one part in this many.
+const FINAL_PATIENCE_DIVISOR: u32 = 40;
 
 #[derive(Clone, Copy, PartialEq)]
-enum State {
+enum PacketState {
     Held,
-    Out(EndpointId),
+    InFlight(EndpointId),
 }
 
-struct Kept {
+struct TrackedPacket {
     packet: Packet,
-    state: State,
+    state: PacketState,
     not_before: Duration,
-    /// Until when a repeat is known, once it may have run.
-    known_until: Option<Duration>,
+    /// Until when the receiver recognises a repeat, once the packet may have been executed.
+    deduplicated_until: Option<Duration>,
 }
 
 #[derive(Default)]
-struct Seen {
+struct EndpointState {
     destination: Option<DestinationId>,
     live: bool,
-    out: usize,
+    in_flight: usize,
     failures: u32,
-    open_until: Duration,
+    breaker_open_until: Duration,
 }
 
-impl Seen {
-    /// A call to it has come back; failures in a row open its breaker.
-    fn call_over(&mut self, now: Duration, outcome: Outcome) {
-        self.out = self.out.saturating_sub(1);
+impl EndpointState {
+    /// Records the outcome of a call; consecutive failures open the breaker.
+    fn record_outcome(&mut self, now: Duration, outcome: Outcome) {
+        self.in_flight = self.in_flight.saturating_sub(1);
         self.failures = if outcome == Outcome::Done { 0 } else { self.failures + 1 };
-        if self.failures >= BREAKER.0 {
-            (self.open_until, self.failures) = (now + BREAKER.1, BREAKER.0 - 1);
+        if self.failures >= BREAKER_FAILURES_AND_OPEN_TIME.0 {
+            (self.breaker_open_until, self.failures) =
+                (now + BREAKER_FAILURES_AND_OPEN_TIME.1, BREAKER_FAILURES_AND_OPEN_TIME.0 - 1);
         }
     }
 }
 
-/// One sender that decides by a baseline.
+/// A sender that decides by a baseline policy.
 pub struct Baseline {
     name: PolicyName,
     terms: Terms,
     rng: ChaCha8Rng,
-    packets: BTreeMap<PacketId, Kept>,
-    line: VecDeque<PacketId>,
-    endpoints: BTreeMap<EndpointId, Seen>,
-    of: BTreeMap<DestinationId, Vec<EndpointId>>,
-    /// The oracle keeps waits that were told: it would be the top otherwise by breaking a rule.
-    waits: BTreeMap<DestinationId, Duration>,
-    turns: BTreeMap<sailcart::KeyId, (VecDeque<PacketId>, Duration)>,
-    out: usize,
+    packets: BTreeMap<PacketId, TrackedPacket>,
+    queue: VecDeque<PacketId>,
+    endpoints: BTreeMap<EndpointId, EndpointState>,
+    endpoints_by_destination: BTreeMap<DestinationId, Vec<EndpointId>>,
+    /// Until when each destination asked for no calls. Only the oracle obeys it: it would otherwise come out
+    /// best by breaking a rule.
+    retry_after_until: BTreeMap<DestinationId, Duration>,
+    key_queues: BTreeMap<sailcart::KeyId, (VecDeque<PacketId>, Duration)>,
+    in_flight: usize,
 }
 
 impl Baseline {
-    /// A sender at its start; `name` is one of the baselines.
+    /// Creates a sender; `name` is one of the baselines.
     pub fn new(name: PolicyName, terms: Terms, seed: u64) -> Self {
         Baseline {
             name,
             terms,
             rng: ChaCha8Rng::seed_from_u64(seed),
             packets: BTreeMap::new(),
-            line: VecDeque::new(),
+            queue: VecDeque::new(),
             endpoints: BTreeMap::new(),
-            of: BTreeMap::new(),
-            waits: BTreeMap::new(),
-            turns: BTreeMap::new(),
-            out: 0,
+            endpoints_by_destination: BTreeMap::new(),
+            retry_after_until: BTreeMap::new(),
+            key_queues: BTreeMap::new(),
+            in_flight: 0,
         }
     }
 
-    fn last_start(&self, kept: &Kept) -> Duration {
-        let patience = self.terms.categories[kept.packet.category.0].patience;
-        let last = kept.packet.ends.saturating_sub(patience / LAST);
-        kept.known_until.map_or(last, |known| last.min(known.saturating_sub(patience / LAST)))
+    fn last_dispatch_at(&self, tracked: &TrackedPacket) -> Duration {
+        let patience = self.terms.categories[tracked.packet.category.0].patience;
+        let last_dispatch_at = tracked.packet.ends.saturating_sub(patience / FINAL_PATIENCE_DIVISOR);
+        tracked.deduplicated_until.map_or(last_dispatch_at, |recognised_until| {
+            last_dispatch_at.min(recognised_until.saturating_sub(patience / FINAL_PATIENCE_DIVISOR))
+        })
     }
 
-    fn end(&mut self, id: PacketId, host: &mut dyn Host) {
-        let Some(kept) = self.packets.remove(&id) else { return };
-        let repeat = self.terms.categories[kept.packet.category.0].repeat;
-        if kept.known_until.is_some() && repeat == Repeat::Unrepeatable {
+    fn fail_packet(&mut self, id: PacketId, host: &mut dyn Host) {
+        let Some(tracked) = self.packets.remove(&id) else { return };
+        let repeat = self.terms.categories[tracked.packet.category.0].repeat;
+        if tracked.deduplicated_until.is_some() && repeat == Repeat::Unrepeatable {
             host.scrap(id);
         } else {
-            host.dismiss(id, self.terms.retry_after.map(|most| most.min(BACKOFF.0)));
+            host.dismiss(
+                id,
+                self.terms.retry_after.map(|max_delay| max_delay.min(BACKOFF_INITIAL_AND_MAX.0)),
+            );
         }
-        self.line.retain(|other| *other != id);
-        self.leave_turn(&kept.packet);
+        self.queue.retain(|other| *other != id);
+        self.leave_key_queue(&tracked.packet);
     }
 
-    fn leave_turn(&mut self, packet: &Packet) {
-        if let Some((queue, _)) = packet.key.and_then(|key| self.turns.get_mut(&key)) {
-            queue.retain(|other| *other != packet.id);
+    fn leave_key_queue(&mut self, packet: &Packet) {
+        if let Some((packets, _)) = packet.key.and_then(|key| self.key_queues.get_mut(&key)) {
+            packets.retain(|other| *other != packet.id);
         }
     }
 
-    fn in_turn(&self, now: Duration, packet: &Packet) -> bool {
+    fn is_first_of_key(&self, now: Duration, packet: &Packet) -> bool {
         let in_order = self.terms.categories[packet.category.0].in_order;
-        let turn = packet.key.filter(|_| in_order).and_then(|key| self.turns.get(&key));
-        turn.is_none_or(|(queue, rests)| queue.front() == Some(&packet.id) && *rests <= now)
+        let key_queue = packet.key.filter(|_| in_order).and_then(|key| self.key_queues.get(&key));
+        key_queue.is_none_or(|(packets, blocked_until)| {
+            packets.front() == Some(&packet.id) && *blocked_until <= now
+        })
     }
 
-    fn pick(
+    fn choose_endpoint(
         &mut self,
         now: Duration,
         to: DestinationId,
-        also: usize,
+        additional: usize,
         view: &dyn OracleView,
     ) -> Option<(EndpointId, Option<Duration>)> {
-        let live: Vec<EndpointId> = self.of.get(&to).into_iter().flatten().copied().collect();
+        let live: Vec<EndpointId> =
+            self.endpoints_by_destination.get(&to).into_iter().flatten().copied().collect();
         let live: Vec<EndpointId> = live.into_iter().filter(|id| self.endpoints[id].live).collect();
         match self.name {
             PolicyName::Oracle => {
-                if self.waits.get(&to).is_some_and(|until| *until > now) {
+                if self.retry_after_until.get(&to).is_some_and(|until| *until > now) {
                     return None;
                 }
-                let finish = |id: &EndpointId| view.would_finish(now, *id, also).map(|at| (at, *id));
-                live.iter().filter_map(finish).min().map(|(at, id)| (id, Some((at - now) * LOST)))
+                let finish_time =
+                    |id: &EndpointId| view.would_finish(now, *id, additional).map(|at| (at, *id));
+                live.iter()
+                    .filter_map(finish_time)
+                    .min()
+                    .map(|(at, id)| (id, Some((at - now) * ORACLE_TIMEOUT_FACTOR)))
             }
             PolicyName::Breaker => {
-                let open = |id: &&EndpointId| self.endpoints[id].open_until <= now;
-                live.iter().filter(open).min_by_key(|id| (self.endpoints[id].out, **id)).map(|id| (*id, None))
+                let is_closed = |id: &&EndpointId| self.endpoints[id].breaker_open_until <= now;
+                live.iter()
+                    .filter(is_closed)
+                    .min_by_key(|id| (self.endpoints[id].in_flight, **id))
+                    .map(|id| (*id, None))
             }
             _ => live.choose(&mut self.rng).map(|id| (*id, None)),
         }
     }
 
-    /// What can still come in time goes first, the first to be wanted before others.
-    fn wanted_first(&mut self, now: Duration) {
+    /// Sorts the queue by soft limit, with the packets that can still meet theirs first.
+    fn sort_by_soft_limit(&mut self, now: Duration) {
         let rank = |id: &PacketId| {
-            let kept = self.packets.get(id)?;
-            let category = &self.terms.categories[kept.packet.category.0];
-            let soft = kept.packet.ends.saturating_sub(category.patience - category.soft_limit);
-            Some((soft < now + LOOK, soft, *id))
+            let tracked = self.packets.get(id)?;
+            let category = &self.terms.categories[tracked.packet.category.0];
+            let soft_deadline = tracked.packet.ends.saturating_sub(category.patience - category.soft_limit);
+            Some((soft_deadline < now + RECONSIDER_INTERVAL, soft_deadline, *id))
         };
-        let mut ranked: Vec<_> = self.line.iter().filter_map(rank).collect();
+        let mut ranked: Vec<_> = self.queue.iter().filter_map(rank).collect();
         ranked.sort();
-        self.line = ranked.into_iter().map(|(_, _, id)| id).collect();
+        self.queue = ranked.into_iter().map(|(_, _, id)| id).collect();
     }
 
-    /// After a call that may have run: a repeat is known for a time, and its key rests.
-    fn may_have_run(&mut self, now: Duration, packet: &Packet, elapsed: Duration) {
-        let memory = memory(self.terms.categories[packet.category.0].repeat);
-        let known = now.saturating_sub(elapsed).saturating_add(memory);
-        if let Some(kept) = self.packets.get_mut(&packet.id) {
-            kept.known_until = Some(kept.known_until.map_or(known, |before| before.min(known)));
+    /// Records that a packet may have been executed: starts the deduplication window of its receiver and
+    /// blocks its key.
+    fn record_possible_execution(&mut self, now: Duration, packet: &Packet, elapsed: Duration) {
+        let deduplication_window = deduplication_window(self.terms.categories[packet.category.0].repeat);
+        let recognised_until = now.saturating_sub(elapsed).saturating_add(deduplication_window);
+        if let Some(tracked) = self.packets.get_mut(&packet.id) {
+            tracked.deduplicated_until = Some(
+                tracked.deduplicated_until.map_or(recognised_until, |before| before.min(recognised_until)),
+            );
         }
-        if let Some((_, rests)) = packet.key.and_then(|key| self.turns.get_mut(&key)) {
-            *rests = now + self.terms.settle;
+        if let Some((_, blocked_until)) = packet.key.and_then(|key| self.key_queues.get_mut(&key)) {
+            *blocked_until = now + self.terms.settle;
         }
     }
 
-    /// Nothing more goes out for a packet.
-    fn is_spent(&self, now: Duration, kept: &Kept) -> bool {
-        let repeat = self.terms.categories[kept.packet.category.0].repeat;
-        let unsure = kept.known_until.is_some() && repeat == Repeat::Unrepeatable;
-        let once = self.name == PolicyName::OneTry && kept.packet.dispatches > 0;
-        unsure || once || kept.packet.dispatches >= self.terms.dispatches || self.last_start(kept) <= now
+    /// Whether a packet gets no further dispatch.
+    fn is_exhausted(&self, now: Duration, tracked: &TrackedPacket) -> bool {
+        let repeat = self.terms.categories[tracked.packet.category.0].repeat;
+        let may_repeat_effect = tracked.deduplicated_until.is_some() && repeat == Repeat::Unrepeatable;
+        let one_try_used = self.name == PolicyName::OneTry && tracked.packet.dispatches > 0;
+        may_repeat_effect
+            || one_try_used
+            || tracked.packet.dispatches >= self.terms.dispatches
+            || self.last_dispatch_at(tracked) <= now
     }
 
-    /// How long a call may take; `lost` is when its answer is held for lost.
-    fn time_out(&self, now: Duration, packet: &Packet, lost: Option<Duration>) -> Duration {
+    /// Timeout of a call, at most `answer_timeout` if given.
+    fn timeout(&self, now: Duration, packet: &Packet, answer_timeout: Option<Duration>) -> Duration {
         let left = packet.ends.saturating_sub(now);
         let category = self.terms.categories[packet.category.0];
-        let time_out = match category.repeat {
+        let timeout = match category.repeat {
             Repeat::Unrepeatable => left,
             _ => left.min(category.patience / 3),
         };
-        lost.map_or(time_out, |lost| time_out.min(lost))
+        answer_timeout.map_or(timeout, |answer_timeout| timeout.min(answer_timeout))
     }
 
-    /// A call with a packet goes out.
-    fn send(&mut self, id: PacketId, endpoint: EndpointId) {
-        if let Some(kept) = self.packets.get_mut(&id) {
-            kept.packet.dispatches += 1;
-            kept.state = State::Out(endpoint);
+    /// Records a dispatch of a packet.
+    fn record_dispatch(&mut self, id: PacketId, endpoint: EndpointId) {
+        if let Some(tracked) = self.packets.get_mut(&id) {
+            tracked.packet.dispatches += 1;
+            tracked.state = PacketState::InFlight(endpoint);
         }
-        self.out += 1;
-        self.endpoints.entry(endpoint).or_default().out += 1;
+        self.in_flight += 1;
+        self.endpoints.entry(endpoint).or_default().in_flight += 1;
     }
 
-    fn after(&mut self, now: Duration, dispatches: u32) -> Duration {
+    fn next_attempt_at(&mut self, now: Duration, dispatches: u32) -> Duration {
         match self.name {
             PolicyName::Backoff => {
-                let most = BACKOFF.0.saturating_mul(1 << dispatches.min(16)).min(BACKOFF.1);
-                now + most.mul_f64(self.rng.random())
+                let max_delay = BACKOFF_INITIAL_AND_MAX
+                    .0
+                    .saturating_mul(1 << dispatches.min(16))
+                    .min(BACKOFF_INITIAL_AND_MAX.1);
+                now + max_delay.mul_f64(self.rng.random())
             }
-            PolicyName::Oracle => now + LOOK,
+            PolicyName::Oracle => now + RECONSIDER_INTERVAL,
             _ => now,
         }
     }
 }
 
-/// For how long a receiver knows a repeat as one.
-fn memory(repeat: Repeat) -> Duration {
+/// How long a receiver recognises a repeat.
+fn deduplication_window(repeat: Repeat) -> Duration {
     match repeat {
         Repeat::Deduplicated { memory } => memory,
         _ => Duration::MAX,
@@ -218,15 +247,15 @@
 }
 
 impl Policy for Baseline {
-    fn list(&mut self, _: Duration, whole: bool, lines: &[Listing]) {
-        if whole {
-            self.endpoints.values_mut().for_each(|seen| seen.live = false);
+    fn list(&mut self, _: Duration, full: bool, entries: &[Listing]) {
+        if full {
+            self.endpoints.values_mut().for_each(|endpoint_state| endpoint_state.live = false);
         }
-        for line in lines {
-            let seen = self.endpoints.entry(line.endpoint).or_default();
-            seen.live = line.live;
-            if seen.destination.replace(line.destination).is_none() {
-                self.of.entry(line.destination).or_default().push(line.endpoint);
+        for entry in entries {
+            let endpoint_state = self.endpoints.entry(entry.endpoint).or_default();
+            endpoint_state.live = entry.live;
+            if endpoint_state.destination.replace(entry.destination).is_none() {
+                self.endpoints_by_destination.entry(entry.destination).or_default().push(entry.endpoint);
             }
         }
     }
@@ -234,74 +263,94 @@
     fn take(&mut self, _: Duration, packet: Packet) {
         let category = self.terms.categories[packet.category.0];
         if let (true, Some(key)) = (category.in_order, packet.key) {
-            self.turns.entry(key).or_default().0.push_back(packet.id);
+            self.key_queues.entry(key).or_default().0.push_back(packet.id);
         }
-        let known_until = packet.doubt.map(|doubt| doubt.saturating_add(memory(category.repeat)));
+        let deduplicated_until =
+            packet.doubt.map(|doubt| doubt.saturating_add(deduplication_window(category.repeat)));
         let id = packet.id;
-        self.packets.insert(id, Kept { packet, state: State::Held, not_before: Duration::ZERO, known_until });
-        self.line.push_back(id);
+        self.packets.insert(
+            id,
+            TrackedPacket {
+                packet,
+                state: PacketState::Held,
+                not_before: Duration::ZERO,
+                deduplicated_until,
+            },
+        );
+        self.queue.push_back(id);
     }
 
-    fn outcome(&mut self, now: Duration, id: PacketId, elapsed: Duration, outcome: Outcome, over: bool) {
-        let Some(kept) = self.packets.get_mut(&id) else { return };
-        let State::Out(endpoint) = kept.state else { return };
-        kept.state = State::Held;
-        let packet = kept.packet.clone();
-        self.out = self.out.saturating_sub(1);
-        if let Some(seen) = self.endpoints.get_mut(&endpoint) {
-            seen.call_over(now, outcome);
+    fn outcome(&mut self, now: Duration, id: PacketId, elapsed: Duration, outcome: Outcome, completed: bool) {
+        let Some(tracked) = self.packets.get_mut(&id) else { return };
+        let PacketState::InFlight(endpoint) = tracked.state else { return };
+        tracked.state = PacketState::Held;
+        let packet = tracked.packet.clone();
+        self.in_flight = self.in_flight.saturating_sub(1);
+        if let Some(endpoint_state) = self.endpoints.get_mut(&endpoint) {
+            endpoint_state.record_outcome(now, outcome);
         }
-        if over || outcome == Outcome::Done {
+        if completed || outcome == Outcome::Done {
             self.packets.remove(&id);
-            return self.leave_turn(&packet);
+            return self.leave_key_queue(&packet);
         }
         if matches!(outcome, Outcome::Error | Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
-            self.may_have_run(now, &packet, elapsed);
+            self.record_possible_execution(now, &packet, elapsed);
         }
         if let Outcome::Full(Some(wait)) = outcome {
-            let until = self.waits.entry(packet.destination).or_default();
+            let until = self.retry_after_until.entry(packet.destination).or_default();
             *until = (now + wait).max(*until);
         }
-        let again = self.after(now, packet.dispatches);
-        if let Some(kept) = self.packets.get_mut(&id) {
-            kept.not_before = again;
+        let next_attempt_at = self.next_attempt_at(now, packet.dispatches);
+        if let Some(tracked) = self.packets.get_mut(&id) {
+            tracked.not_before = next_attempt_at;
         }
-        self.line.push_back(id);
+        self.queue.push_back(id);
     }
 
     fn may_still_go(&self, _: Duration, id: PacketId) -> bool {
-        let Some(State::Out(endpoint)) = self.packets.get(&id).map(|kept| kept.state) else { return false };
-        self.endpoints.get(&endpoint).is_some_and(|seen| seen.live)
+        let Some(PacketState::InFlight(endpoint)) = self.packets.get(&id).map(|tracked| tracked.state) else {
+            return false;
+        };
+        self.endpoints.get(&endpoint).is_some_and(|endpoint_state| endpoint_state.live)
     }
 
     fn decide(&mut self, now: Duration, view: &dyn OracleView, host: &mut dyn Host) {
-        let (mut looked, mut wake) = (VecDeque::new(), Duration::MAX);
-        let mut chosen: BTreeMap<DestinationId, usize> = BTreeMap::new();
+        let (mut deferred, mut wake) = (VecDeque::new(), Duration::MAX);
+        let mut dispatched_to: BTreeMap<DestinationId, usize> = BTreeMap::new();
         if self.name == PolicyName::Oracle {
-            self.wanted_first(now);
+            self.sort_by_soft_limit(now);
         }
-        while let Some(id) = self.line.pop_front() {
-            let Some(kept) = self.packets.get(&id).filter(|kept| kept.state == State::Held) else { continue };
-            if self.is_spent(now, kept) {
-                self.end(id, host);
+        while let Some(id) = self.queue.pop_front() {
+            let Some(tracked) = self.packets.get(&id).filter(|tracked| tracked.state == PacketState::Held)
+            else {
+                continue;
+            };
+            if self.is_exhausted(now, tracked) {
+                self.fail_packet(id, host);
                 continue;
             }
-            let (packet, last, not_before) = (kept.packet.clone(), self.last_start(kept), kept.not_before);
-            let ready = not_before <= now && self.out < self.terms.slots && self.in_turn(now, &packet);
-            let also = chosen.get(&packet.destination).copied().unwrap_or(0);
-            let endpoint = if ready { self.pick(now, packet.destination, also, view) } else { None };
-            let Some((endpoint, lost)) = endpoint else {
-                let look = if not_before > now { not_before } else { now + LOOK };
-                wake = wake.min(look).min(last);
-                looked.push_back(id);
+            let (packet, last_dispatch_at, not_before) =
+                (tracked.packet.clone(), self.last_dispatch_at(tracked), tracked.not_before);
+            let may_dispatch =
+                not_before <= now && self.in_flight < self.terms.slots && self.is_first_of_key(now, &packet);
+            let additional = dispatched_to.get(&packet.destination).copied().unwrap_or(0);
+            let endpoint = if may_dispatch {
+                self.choose_endpoint(now, packet.destination, additional, view)
+            } else {
+                None
+            };
+            let Some((endpoint, answer_timeout)) = endpoint else {
+                let reconsider_at = if not_before > now { not_before } else { now + RECONSIDER_INTERVAL };
+                wake = wake.min(reconsider_at).min(last_dispatch_at);
+                deferred.push_back(id);
                 continue;
             };
-            *chosen.entry(packet.destination).or_default() += 1;
-            let time_out = self.time_out(now, &packet, lost);
-            self.send(id, endpoint);
-            host.dispatch(id, endpoint, time_out);
+            *dispatched_to.entry(packet.destination).or_default() += 1;
+            let timeout = self.timeout(now, &packet, answer_timeout);
+            self.record_dispatch(id, endpoint);
+            host.dispatch(id, endpoint, timeout);
         }
-        self.line = looked;
+        self.queue = deferred;
         if wake < Duration::MAX {
             host.wake(wake.saturating_sub(now).max(Duration::from_millis(1)));
         }
--- a/crates/sailcart-lab/src/policies/mod.rs
+++ b/crates/sailcart-lab/src/policies/mod.rs
@@ -1,4 +1,5 @@
-//! Who decides in virtual mode: the module itself, or one of the baselines it is measured against.
+//! Policies: what makes the decisions of a sender in virtual mode, either the module itself or one of the
+//! baselines that it is measured against.
 
 mod baseline;
 
@@ -12,24 +13,25 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, clap::ValueEnum,
 )]
-/// Who decides, as named on the command line and in results.
+/// A policy, under the name that the command line and results use.
 #[serde(rename_all = "kebab-case")]
 pub enum PolicyName {
-    /// The module.
+    /// The module itself.
     #[default]
     Sailcart,
-    /// Each packet once, in order of arrival.
+    /// One dispatch per packet, in order of arrival.
     OneTry,
-    /// Exponential backoff with full jitter, and no limit: what webhook services do.
+    /// Exponential backoff with full jitter and no limit, as webhook services do.
     Backoff,
-    /// The endpoint with the least calls out, and a breaker for failures in a row: what proxies do.
+    /// The endpoint with the fewest calls in flight, and a circuit breaker for consecutive failures, as
+    /// proxies do.
     Breaker,
-    /// Sees every endpoint's true state: the top.
+    /// Knows the true state of every endpoint: an upper bound for the other policies.
     Oracle,
 }
 
 impl PolicyName {
-    /// Every policy, the module first.
+    /// All policies, the module first.
     pub const ALL: [PolicyName; 5] = [
         PolicyName::Sailcart,
         PolicyName::OneTry,
@@ -38,7 +40,7 @@
         PolicyName::Oracle,
     ];
 
-    /// The name as the command line has it.
+    /// The name on the command line.
     pub fn word(self) -> &'static str {
         match self {
             PolicyName::Sailcart => "sailcart",
@@ -50,34 +52,36 @@
     }
 }
 
-/// What only the oracle may look at.
+/// The state of the receivers, which only the oracle may use.
 pub trait OracleView {
-    /// When a call that came now, behind those on their way and `also` others, would be answered with success, if
-    /// it would.
-    fn would_finish(&self, now: Duration, endpoint: EndpointId, also: usize) -> Option<Duration>;
+    /// When a call sent now, after those in flight and `additional` others, would be answered with success;
+    /// `None` if it would not.
+    fn would_finish(&self, now: Duration, endpoint: EndpointId, additional: usize) -> Option<Duration>;
 }
 
-/// One sender's decisions; the calls of [`Sender`], and what a baseline needs in their place.
+/// The decisions of one sender: the methods of [`Sender`], and what a baseline needs instead.
 pub trait Policy {
-    /// The list of endpoints, or changes of it, as [`Sender::list`] hears them.
-    fn list(&mut self, now: Duration, whole: bool, lines: &[Listing]);
-    /// A packet that a client handed in, or that the journal held at the start.
+    /// Applies the list of endpoints, or changes of it, as [`Sender::list`] does.
+    fn list(&mut self, now: Duration, full: bool, entries: &[Listing]);
+    /// Accepts a packet that a client submitted or that the journal held at the start.
     fn take(&mut self, now: Duration, packet: Packet);
-    /// How a dispatch came back after `elapsed`; `over` if the packet has its end.
-    fn outcome(&mut self, now: Duration, id: PacketId, elapsed: Duration, outcome: Outcome, over: bool);
-    /// What the answer of a dispatch tells of the limit, before its outcome. No baseline heeds it.
+    /// Reports the outcome of a dispatch after `elapsed`; `completed` if the packet needs no further
+    /// dispatch.
+    fn outcome(&mut self, now: Duration, id: PacketId, elapsed: Duration, outcome: Outcome, completed: bool);
+    /// Reports the limit stated by the answer to a dispatch, before its outcome. No baseline uses it.
     fn report(&mut self, _: PacketId, _: Report) {}
-    /// Asked before the first byte of a call that waited for its connection.
+    /// Whether a call that waited for its connection may still be written. Called before its first byte.
     fn may_still_go(&self, now: Duration, id: PacketId) -> bool;
+    /// Runs a round of decisions and passes its requests to `host`.
     fn decide(&mut self, now: Duration, view: &dyn OracleView, host: &mut dyn Host);
 }
 
-/// Lets the module act through a host known only by its trait.
-struct Through<'a>(&'a mut dyn Host);
+/// Adapter that passes a `dyn Host` to the module, which takes a sized host.
+struct DynHost<'a>(&'a mut dyn Host);
 
-impl Host for Through<'_> {
-    fn dispatch(&mut self, packet: PacketId, endpoint: EndpointId, time_out: Duration) {
-        self.0.dispatch(packet, endpoint, time_out);
+impl Host for DynHost<'_> {
+    fn dispatch(&mut self, packet: PacketId, endpoint: EndpointId, timeout: Duration) {
+        self.0.dispatch(packet, endpoint, timeout);
     }
 
     fn cancel(&mut self, packet: PacketId, dispatch: u32) {
@@ -106,16 +110,16 @@
 }
 
 impl Policy for Sender {
-    fn list(&mut self, now: Duration, whole: bool, lines: &[Listing]) {
-        Sender::list(self, now, whole, lines);
+    fn list(&mut self, now: Duration, full: bool, entries: &[Listing]) {
+        Sender::list(self, now, full, entries);
     }
 
     fn take(&mut self, now: Duration, packet: Packet) {
         Sender::take(self, now, packet);
     }
 
-    fn outcome(&mut self, now: Duration, id: PacketId, elapsed: Duration, outcome: Outcome, over: bool) {
-        Sender::outcome(self, now, id, elapsed, outcome, over);
+    fn outcome(&mut self, now: Duration, id: PacketId, elapsed: Duration, outcome: Outcome, completed: bool) {
+        Sender::outcome(self, now, id, elapsed, outcome, completed);
     }
 
     fn report(&mut self, id: PacketId, report: Report) {
@@ -127,11 +131,11 @@
     }
 
     fn decide(&mut self, now: Duration, _: &dyn OracleView, host: &mut dyn Host) {
-        Sender::decide(self, now, &mut Through(host));
+        Sender::decide(self, now, &mut DynHost(host));
     }
 }
 
-/// A sender's decisions at its start.
+/// Creates the decisions of a sender that starts.
 pub fn start(name: PolicyName, terms: &Terms, seed: u64) -> Box<dyn Policy> {
     match name {
         PolicyName::Sailcart => Box::new(Sender::new(terms.clone(), seed)),
--- a/crates/sailcart-lab/src/receivers/limit.rs
+++ b/crates/sailcart-lab/src/receivers/limit.rs
@@ -1,4 +1,4 @@
-//! A limit that all senders share: an even rate, or a count in each span.
+//! A rate limit that all senders share: calls at an even rate, or a number of calls per span.
 
 use std::time::Duration;
 
@@ -6,92 +6,98 @@
 
 use crate::experiment::{Limit, LimitBy};
 
-/// Seconds of its rate that an even limit grants at once.
-const BURST: f64 = 1.0;
+/// Burst of an even limit, in seconds of its rate.
+const BURST_SECONDS: f64 = 1.0;
 
-/// A limit on calls, and how much of it is used.
+/// A limit on calls and its current use.
 #[derive(Clone, Debug)]
 pub struct RateLimiter {
     limit: Limit,
-    /// The rate that is usual.
-    rate: f64,
-    /// Calls left, where the rate is even; calls so far in this span otherwise.
+    /// The rate without any reduction, in calls per second.
+    usual_rate: f64,
+    /// Calls left at `updated_at` if the rate is even, otherwise calls used in the span of `updated_at`.
     level: f64,
-    at: Duration,
+    updated_at: Duration,
 }
 
 impl RateLimiter {
-    /// A limit of which nothing is used yet.
+    /// Creates a limit of which nothing is used yet.
     pub fn new(limit: &Limit) -> Self {
-        let level = if limit.by == LimitBy::Rate { (limit.rate * BURST).max(1.0) } else { 0.0 };
-        RateLimiter { limit: limit.clone(), rate: limit.rate, level, at: Duration::ZERO }
+        let level = if limit.by == LimitBy::Rate { (limit.rate * BURST_SECONDS).max(1.0) } else { 0.0 };
+        RateLimiter { limit: limit.clone(), usual_rate: limit.rate, level, updated_at: Duration::ZERO }
     }
 
-    /// From now on its limit is this share of the usual. What is left by now stays, or what is used.
-    pub fn lower(&mut self, now: Duration, share: f64) {
-        if self.limit.rate != self.rate * share {
-            let left = self.read(now);
-            self.level = if self.limit.by == LimitBy::Rate { left } else { self.most() - left };
-            (self.limit.rate, self.at) = (self.rate * share, now);
+    /// Sets the limit to this share of the usual one from now on. What is left (even rate) or used (count per
+    /// span) stays as it is.
+    pub fn set_share(&mut self, now: Duration, share: f64) {
+        if self.limit.rate != self.usual_rate * share {
+            let left = self.calls_left(now);
+            self.level = if self.limit.by == LimitBy::Rate { left } else { self.max_calls() - left };
+            (self.limit.rate, self.updated_at) = (self.usual_rate * share, now);
         }
     }
 
-    fn most(&self) -> f64 {
+    /// Calls that a full burst or a whole span grants.
+    fn max_calls(&self) -> f64 {
         match self.limit.by {
-            LimitBy::Rate => (self.limit.rate * BURST).max(1.0),
+            LimitBy::Rate => (self.limit.rate * BURST_SECONDS).max(1.0),
             _ => (self.limit.rate * self.limit.span.as_secs_f64()).max(1.0).floor(),
         }
     }
 
-    fn span(&self, now: Duration) -> u128 {
+    /// Number of the span that contains `now`.
+    fn span_index(&self, now: Duration) -> u128 {
         now.as_micros() / self.limit.span.as_micros().max(1)
     }
 
-    fn read(&self, now: Duration) -> f64 {
+    /// Calls left now; below zero while counted rejections have used more than the burst.
+    fn calls_left(&self, now: Duration) -> f64 {
         match self.limit.by {
             LimitBy::Rate => {
-                let accrued = now.saturating_sub(self.at).as_secs_f64() * self.limit.rate;
-                (self.level + accrued).min(self.most())
+                let accrued = now.saturating_sub(self.updated_at).as_secs_f64() * self.limit.rate;
+                (self.level + accrued).min(self.max_calls())
             }
-            _ if self.span(now) == self.span(self.at) => self.most() - self.level,
-            _ => self.most(),
+            _ if self.span_index(now) == self.span_index(self.updated_at) => self.max_calls() - self.level,
+            _ => self.max_calls(),
         }
     }
 
-    /// Whether one more call would be taken behind so many others.
-    pub fn has_room(&self, now: Duration, behind: usize) -> bool {
-        self.limit.by == LimitBy::None || self.read(now) >= 1.0 + behind as f64
+    /// Whether one more call would be accepted after `ahead` others.
+    pub fn has_room(&self, now: Duration, ahead: usize) -> bool {
+        self.limit.by == LimitBy::None || self.calls_left(now) >= 1.0 + ahead as f64
     }
 
-    /// A call comes. If it is above the limit: how long until there is room.
+    /// Registers a call. If it exceeds the limit, returns the time until a call would be accepted.
     pub fn take(&mut self, now: Duration) -> Result<(), Duration> {
         if self.limit.by == LimitBy::None {
             return Ok(());
         }
-        let left = self.read(now);
-        let taken = left >= 1.0;
-        // Refused calls that count dig no deeper than one burst.
-        let least = if self.limit.by == LimitBy::Rate { -self.most() } else { 0.0 };
-        let used = if taken || self.limit.refused_count { 1.0 } else { 0.0 };
-        let left = (left - used).max(least);
-        self.level = if self.limit.by == LimitBy::Rate { left } else { self.most() - left };
-        self.at = now;
-        if taken { Ok(()) } else { Err(self.room_in(now)) }
+        let left = self.calls_left(now);
+        let accepted = left >= 1.0;
+        // Counted refusals reduce the calls left by at most one burst below zero.
+        let min_left = if self.limit.by == LimitBy::Rate { -self.max_calls() } else { 0.0 };
+        let used = if accepted || self.limit.refused_count { 1.0 } else { 0.0 };
+        let left = (left - used).max(min_left);
+        self.level = if self.limit.by == LimitBy::Rate { left } else { self.max_calls() - left };
+        self.updated_at = now;
+        if accepted { Ok(()) } else { Err(self.time_until_available(now)) }
     }
 
-    fn room_in(&self, now: Duration) -> Duration {
+    fn time_until_available(&self, now: Duration) -> Duration {
         match self.limit.by {
-            LimitBy::Rate => Duration::from_secs_f64(((1.0 - self.read(now)) / self.limit.rate).max(0.0)),
+            LimitBy::Rate => {
+                Duration::from_secs_f64(((1.0 - self.calls_left(now)) / self.limit.rate).max(0.0))
+            }
             _ => {
-                let next = (self.span(now) + 1) * self.limit.span.as_micros();
-                Duration::from_micros(next as u64).saturating_sub(now)
+                let next_span_at = (self.span_index(now) + 1) * self.limit.span.as_micros();
+                Duration::from_micros(next_span_at as u64).saturating_sub(now)
             }
         }
     }
 
-    /// Share of the limit that is left, and the limit in calls a second.
+    /// The unused share of the limit, and the limit in calls per second; `None` without a limit.
     pub fn report(&self, now: Duration) -> Option<Report> {
-        let left = (self.read(now) / self.most()).clamp(0.0, 1.0);
+        let left = (self.calls_left(now) / self.max_calls()).clamp(0.0, 1.0);
         (self.limit.by != LimitBy::None).then_some(Report { left, limit: self.limit.rate })
     }
 }
--- a/crates/sailcart-lab/src/receivers/mod.rs
+++ b/crates/sailcart-lab/src/receivers/mod.rs
@@ -1,6 +1,6 @@
-//! The model of receivers: destinations and their endpoints, as senders meet them. No I/O and no clock: time is
-//! handed in, and every answer is known the moment a call's last byte comes, with the time at which it is due.
-//! The same code answers in both modes.
+//! The model of receivers: destinations and their endpoints as senders see them. It does no I/O and has no
+//! clock: callers pass the time, and the answer to a call, with the time at which it is due, is determined
+//! when the last byte of the call arrives. Both modes use the same code.
 
 pub mod limit;
 pub mod recovery;
@@ -21,422 +21,440 @@
 use recovery::Recovery;
 pub use troubles::{Conditions, TroubleSchedule};
 
-/// How a connection attempt fares.
+/// Result of a connection attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Connect {
-    /// Nobody listens there, or not for one more.
+    /// Nobody listens there, or the connection limit is reached.
     Refused,
-    /// Nothing comes back, neither acceptance nor refusal.
+    /// The attempt is neither accepted nor refused.
     Never,
-    /// It stands; the first call on it starts so much later.
+    /// The connection is established; the first call on it is delayed by this handshake time.
     Up(Duration),
 }
 
-/// How long an answer takes that needs no work.
-const AT_ONCE: Duration = Duration::from_millis(2);
+/// Delay of an answer that needs no work.
+const IMMEDIATE_ANSWER_DELAY: Duration = Duration::from_millis(2);
 
-/// One packet of a call.
+/// One packet of a call, as its receiver sees it.
 #[derive(Clone, Copy, Debug)]
 pub struct Piece {
     pub origin: OriginId,
-    /// What a receiver does with a repeat.
+    /// How the receiver treats a repeated packet.
     pub repeat: Repeat,
-    /// For how long it knows a repeat as one.
+    /// How long the receiver recognises a repeated packet.
     pub memory: Duration,
 }
 
 impl Piece {
-    /// A packet wanted, as its receiver sees it.
+    /// The view that the receiver has of a planned packet.
     pub fn new(plan: &Plan, origin: OriginId) -> Self {
         let category = plan.category(plan.origins[origin.0].category);
         Piece { origin, repeat: category.repeat, memory: category.memory.unwrap_or_default() }
     }
 }
 
-/// What a call is answered, as a whole or for each packet.
+/// The answer to a call, as a whole or per packet.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
+    /// All packets took effect.
     Done,
+    /// The call failed; its packets may have taken effect.
     Error,
-    /// Turned away unseen, perhaps with a wait.
+    /// Rejected without execution, optionally with a wait.
     Full(Option<Duration>),
     /// The connection breaks.
     Reset,
-    /// Each packet's own, where they differ, and a wait that binds the same way.
+    /// One answer per packet, where they differ, and a wait for the deferred ones.
     Mixed(Vec<PieceAnswer>, Option<Duration>),
-    /// Its packets took effect, and what is written cannot be read.
+    /// The packets took effect, but the answer is malformed.
     Spoilt(Spoil),
 }
 
 impl Answer {
-    /// Its head can be read, and what stands there.
+    /// Whether the head of the answer, including the reported limit, can be read.
     pub fn is_readable(&self) -> bool {
         !matches!(self, Answer::Reset | Answer::Spoilt(_))
     }
 }
 
-/// What an answer for several packets says of one.
+/// The answer for one packet of a call with several.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PieceAnswer {
-    /// It took effect.
+    /// The packet took effect.
     Accepted,
-    /// It failed; it may have taken effect.
+    /// The packet failed; it may have taken effect.
     Fault,
-    /// It was turned away; it never ran.
+    /// The packet was rejected without execution.
     Deferred,
 }
 
-/// What becomes of a call whose last byte has come.
+/// Result of the arrival of the last byte of a call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reception {
-    /// When it is answered, and what; `None` if never.
+    /// The answer and the time at which it is due; `None` if the call is never answered.
     pub answer: Option<(Duration, Answer)>,
-    /// Which of its packets take effect, in their order.
+    /// Whether each of its packets takes effect, in their order.
     pub effects: Vec<bool>,
-    /// Share of the limit that is left, and the limit, where answers tell it.
+    /// The state of the limit, where answers report it.
     pub report: Option<Report>,
-    /// This call pushed a cold destination over.
+    /// This call made a recovering destination fail under overload.
     pub fell: bool,
 }
 
 impl Reception {
-    /// The connection breaks before the call begins.
-    fn reset(now: Duration, pieces: usize, fell: bool) -> Self {
-        Reception { answer: Some((now, Answer::Reset)), effects: vec![false; pieces], report: None, fell }
+    /// The connection breaks before any packet is executed.
+    fn reset(now: Duration, packet_count: usize, fell: bool) -> Self {
+        Reception {
+            answer: Some((now, Answer::Reset)),
+            effects: vec![false; packet_count],
+            report: None,
+            fell,
+        }
     }
 
-    /// The call is turned away.
-    fn full(now: Duration, pieces: usize, wait: Option<Duration>, report: Option<Report>) -> Self {
-        let answer = Some((now + AT_ONCE, Answer::Full(wait)));
-        Reception { answer, effects: vec![false; pieces], report, fell: false }
+    /// A call that is rejected.
+    fn full(now: Duration, packet_count: usize, wait: Option<Duration>, report: Option<Report>) -> Self {
+        let answer = Some((now + IMMEDIATE_ANSWER_DELAY, Answer::Full(wait)));
+        Reception { answer, effects: vec![false; packet_count], report, fell: false }
     }
 }
 
-/// What senders share at a destination or, where routes are apart, at an endpoint.
-struct Gate {
+/// What the senders share: the limit and the recovery of a destination or, where routes have their own
+/// limits, of one endpoint.
+struct Upstream {
     limiter: RateLimiter,
     recovery: Recovery,
 }
 
 struct Endpoint {
     destination: DestinationId,
-    gate: usize,
-    /// When each of its servers is free.
+    upstream: usize,
+    /// When each of its servers becomes free.
     free_at: Vec<Duration>,
-    /// Starts of calls that wait or have waited.
-    starts: VecDeque<Duration>,
+    /// Start times of calls that wait in the queue.
+    queued_starts: VecDeque<Duration>,
     connections: usize,
 }
 
-/// All receivers of a plan.
+/// The receivers of a plan.
 pub struct Receivers {
     troubles: TroubleSchedule,
     endpoints: Vec<Endpoint>,
-    gates: Vec<Gate>,
-    /// Packets that took effect and may do so again, by destination; when they are forgotten.
+    upstreams: Vec<Upstream>,
+    /// When the receiver forgets each packet that took effect and is recognised when repeated, by
+    /// destination.
     remembered: BTreeMap<(DestinationId, OriginId), Duration>,
     rng: ChaCha8Rng,
 }
 
 impl Receivers {
-    /// All receivers at the start of a run, without connections.
+    /// Creates the receivers of a plan, without connections.
     pub fn new(plan: &Plan) -> Self {
-        let (mut gates, mut endpoints) = (Vec::new(), Vec::<Endpoint>::new());
-        let mut shared: BTreeMap<DestinationId, usize> = BTreeMap::new();
+        let (mut upstreams, mut endpoints) = (Vec::new(), Vec::<Endpoint>::new());
+        let mut shared_upstreams: BTreeMap<DestinationId, usize> = BTreeMap::new();
         let troubles = TroubleSchedule::new(plan);
         for place in &plan.places {
             let group = plan.group(place.destination);
             let destination = plan.destination(place.destination);
-            let mut open = || {
+            let mut add_upstream = || {
                 let capacity = destination.capacity;
                 let outages = troubles.outages(place.endpoint);
-                gates.push(Gate {
+                upstreams.push(Upstream {
                     limiter: RateLimiter::new(&group.limit),
                     recovery: Recovery::new(&plan.experiment.rules, capacity, outages),
                 });
-                gates.len() - 1
+                upstreams.len() - 1
             };
-            let gate = if plan.own_limits(place.destination) {
-                open()
+            let upstream = if plan.own_limits(place.destination) {
+                add_upstream()
             } else {
-                *shared.entry(place.destination).or_insert_with(open)
+                *shared_upstreams.entry(place.destination).or_insert_with(add_upstream)
             };
             endpoints.push(Endpoint {
                 destination: place.destination,
-                gate,
+                upstream,
                 free_at: vec![Duration::ZERO; group.servers],
-                starts: VecDeque::new(),
+                queued_starts: VecDeque::new(),
                 connections: 0,
             });
         }
         let rng = chance(plan.seed, 4);
-        Receivers { troubles, endpoints, gates, remembered: BTreeMap::new(), rng }
+        Receivers { troubles, endpoints, upstreams, remembered: BTreeMap::new(), rng }
     }
 
-    /// A sender wants a connection. One that stands counts until [`Receivers::disconnected`].
+    /// A sender opens a connection. An established one counts until [`Receivers::disconnected`].
     pub fn connect(&mut self, plan: &Plan, now: Duration, endpoint: EndpointId) -> Connect {
         let place = plan.place(endpoint);
         let group = plan.group(place.destination);
         let conditions = self.troubles.at(now, endpoint);
-        let own = &mut self.endpoints[endpoint.0 as usize];
+        let state = &mut self.endpoints[endpoint.0 as usize];
         if conditions.black_hole {
             return Connect::Never;
         }
-        let there = place.from <= now && now < place.gone;
-        let fallen = self.gates[own.gate].recovery.fallen();
-        if !there || conditions.down || fallen || own.connections >= group.connections {
+        let is_available = place.from <= now && now < place.gone;
+        let fallen = self.upstreams[state.upstream].recovery.fallen();
+        if !is_available || conditions.down || fallen || state.connections >= group.connections {
             return Connect::Refused;
         }
-        own.connections += 1;
+        state.connections += 1;
         Connect::Up(group.handshake)
     }
 
-    /// A connection that [`Receivers::connect`] gave has ended.
+    /// A connection established by [`Receivers::connect`] has ended.
     pub fn disconnected(&mut self, endpoint: EndpointId) {
-        let own = &mut self.endpoints[endpoint.0 as usize];
-        own.connections = own.connections.saturating_sub(1);
+        let state = &mut self.endpoints[endpoint.0 as usize];
+        state.connections = state.connections.saturating_sub(1);
     }
 
-    /// Whether an open connection to it still carries anything.
+    /// Whether open connections to an endpoint still work.
     pub fn reachable(&self, plan: &Plan, now: Duration, endpoint: EndpointId) -> bool {
         let place = plan.place(endpoint);
-        let fallen = self.gates[self.endpoints[endpoint.0 as usize].gate].recovery.fallen();
+        let fallen = self.upstreams[self.endpoints[endpoint.0 as usize].upstream].recovery.fallen();
         now < place.gone && !fallen && !self.troubles.at(now, endpoint).down
     }
 
-    /// When anything about it next changes by itself.
+    /// When the conditions of an endpoint next change.
     pub fn next_change(&self, plan: &Plan, now: Duration, endpoint: EndpointId) -> Option<Duration> {
         let place = plan.place(endpoint);
-        let own = [place.from, place.gone].into_iter().filter(|at| *at > now && *at < Duration::MAX);
-        own.chain(self.troubles.next_change(now, endpoint)).min()
+        let own_changes = [place.from, place.gone].into_iter().filter(|at| *at > now && *at < Duration::MAX);
+        own_changes.chain(self.troubles.next_change(now, endpoint)).min()
     }
 
-    /// Which troubles stand at an endpoint now.
+    /// The conditions at an endpoint.
     pub fn conditions(&self, now: Duration, endpoint: EndpointId) -> Conditions {
         self.troubles.at(now, endpoint)
     }
 
-    /// Whether a connection breaks before a call's last byte.
+    /// Whether a connection breaks before the last byte of a call, drawn at random.
     pub fn cuts_before(&mut self, now: Duration, endpoint: EndpointId) -> bool {
         let share = self.troubles.at(now, endpoint).reset_before;
         share > 0.0 && self.rng.random_bool(share)
     }
 
-    /// A call's last byte has come: it begins.
+    /// Handles the arrival of the last byte of a call.
     pub fn arrive(
         &mut self,
         plan: &Plan,
         now: Duration,
         endpoint: EndpointId,
-        pieces: &[Piece],
+        packets: &[Piece],
     ) -> Reception {
         if !self.reachable(plan, now, endpoint) {
-            return Reception::reset(now, pieces.len(), false);
+            return Reception::reset(now, packets.len(), false);
         }
-        let gate = self.endpoints[endpoint.0 as usize].gate;
-        if self.gates[gate].recovery.push(now) {
-            return Reception::reset(now, pieces.len(), true);
+        let upstream = self.endpoints[endpoint.0 as usize].upstream;
+        if self.upstreams[upstream].recovery.push(now) {
+            return Reception::reset(now, packets.len(), true);
         }
         let conditions = self.troubles.at(now, endpoint);
-        if let Some(wait) = self.shut(now, &conditions) {
-            return Reception::full(now, pieces.len(), wait, None);
+        if let Some(wait) = self.general_rejection(now, &conditions) {
+            return Reception::full(now, packets.len(), wait, None);
         }
         let group = plan.group(self.endpoints[endpoint.0 as usize].destination);
-        let limiter = &mut self.gates[gate].limiter;
-        limiter.lower(now, conditions.limit);
-        let room = limiter.take(now);
+        let limiter = &mut self.upstreams[upstream].limiter;
+        limiter.set_share(now, conditions.limit);
+        let acquired = limiter.take(now);
         let report = group.report.then(|| limiter.report(now)).flatten();
-        if let Err(wait) = room {
-            let tells = self.strikes(group.limit.tells);
-            return Reception::full(now, pieces.len(), tells.then_some(wait), report);
+        if let Err(wait) = acquired {
+            let reports_wait = self.occurs(group.limit.tells);
+            return Reception::full(now, packets.len(), reports_wait.then_some(wait), report);
         }
-        let fresh: Vec<bool> = pieces.iter().map(|piece| self.is_fresh(now, endpoint, piece)).collect();
-        if self.strikes(conditions.errors) {
-            return self.fail(now, endpoint, pieces, fresh, report);
+        let is_new: Vec<bool> = packets.iter().map(|packet| self.is_fresh(now, endpoint, packet)).collect();
+        if self.occurs(conditions.errors) {
+            return self.fail(now, endpoint, packets, is_new, report);
         }
-        match self.work(plan, now, endpoint, &conditions, group, &fresh) {
-            None => Reception::full(now, pieces.len(), None, report),
+        match self.schedule_work(plan, now, endpoint, &conditions, group, &is_new) {
+            None => Reception::full(now, packets.len(), None, report),
             Some(finish) => {
-                let (answer, effects) = self.complete(now, endpoint, &conditions, pieces, fresh, finish);
+                let (answer, effects) = self.complete(now, endpoint, &conditions, packets, is_new, finish);
                 Reception { answer, effects, report, fell: false }
             }
         }
     }
 
-    /// Whether something with this share of all cases happens in this one.
-    fn strikes(&mut self, share: f64) -> bool {
+    /// Draws whether an event of this probability occurs.
+    fn occurs(&mut self, share: f64) -> bool {
         share > 0.0 && self.rng.random_bool(share)
     }
 
-    /// Whether all calls are turned away; then the wait, where it is told.
-    fn shut(&mut self, now: Duration, conditions: &Conditions) -> Option<Option<Duration>> {
-        if let Some((until, tells)) = conditions.shut {
-            let tells = self.strikes(tells);
-            return Some(tells.then(|| until.saturating_sub(now)));
+    /// `Some` if all calls are rejected, with the wait if this rejection reports one.
+    fn general_rejection(&mut self, now: Duration, conditions: &Conditions) -> Option<Option<Duration>> {
+        if let Some((until, reporting_share)) = conditions.shut {
+            let reports_wait = self.occurs(reporting_share);
+            return Some(reports_wait.then(|| until.saturating_sub(now)));
         }
-        (conditions.drains && now >= conditions.drained).then_some(None)
+        (conditions.is_draining && now >= conditions.rejects_calls_from).then_some(None)
     }
 
-    /// A call fails somewhere on the way: half of them after the work was done.
+    /// A call that fails with an error; in half of these cases its packets took effect.
     fn fail(
         &mut self,
         now: Duration,
         endpoint: EndpointId,
-        pieces: &[Piece],
-        fresh: Vec<bool>,
+        packets: &[Piece],
+        is_new: Vec<bool>,
         report: Option<Report>,
     ) -> Reception {
-        let ran = self.rng.random_bool(0.5);
-        let effects: Vec<bool> = fresh.iter().map(|fresh| *fresh && ran).collect();
-        self.remember(now, endpoint, pieces, &effects);
-        Reception { answer: Some((now + AT_ONCE, Answer::Error)), effects, report, fell: false }
+        let executed = self.rng.random_bool(0.5);
+        let effects: Vec<bool> = is_new.iter().map(|is_new| *is_new && executed).collect();
+        self.remember(now, endpoint, packets, &effects);
+        Reception {
+            answer: Some((now + IMMEDIATE_ANSWER_DELAY, Answer::Error)),
+            effects,
+            report,
+            fell: false,
+        }
     }
 
-    /// A call was worked on until `finish`: when and what it is answered, if it is, and which of its packets took
-    /// effect.
+    /// Completes a call that was worked on until `finish`. Returns the answer and when it is sent, if it is,
+    /// and which packets took effect.
     fn complete(
         &mut self,
         now: Duration,
         endpoint: EndpointId,
         conditions: &Conditions,
-        pieces: &[Piece],
-        fresh: Vec<bool>,
+        packets: &[Piece],
+        is_new: Vec<bool>,
         finish: Duration,
     ) -> (Option<(Duration, Answer)>, Vec<bool>) {
-        let mut effects = fresh;
-        let answer = self.answer(conditions, pieces, &mut effects);
-        self.remember(now, endpoint, pieces, &effects);
+        let mut effects = is_new;
+        let answer = self.answer(conditions, packets, &mut effects);
+        self.remember(now, endpoint, packets, &effects);
         if conditions.silent {
             return (None, effects);
         }
-        let down = self.troubles.next_down(now, endpoint).filter(|down| *down < finish);
+        let down = self.troubles.next_refusal(now, endpoint).filter(|down| *down < finish);
         let answer = match down {
-            // It dies with the call at work.
+            // The endpoint dies while it works on the call.
             Some(down) => Some((down, Answer::Reset)),
             None => answer.map(|answer| (finish, answer)),
         };
         (answer, effects)
     }
 
-    /// How a call at work ends, and which of its packets take effect after all.
-    fn answer(&mut self, conditions: &Conditions, pieces: &[Piece], effects: &mut [bool]) -> Option<Answer> {
-        if self.strikes(conditions.answer_lost) {
+    /// The answer to a completed call, `None` if it is lost; clears the effects of packets that are deferred.
+    fn answer(&mut self, conditions: &Conditions, packets: &[Piece], effects: &mut [bool]) -> Option<Answer> {
+        if self.occurs(conditions.answer_lost) {
             return None;
         }
-        if self.strikes(conditions.reset_after) {
+        if self.occurs(conditions.reset_after) {
             return Some(Answer::Reset);
         }
         if let Some((share, manner)) = conditions.spoilt
-            && self.strikes(share)
+            && self.occurs(share)
         {
             return Some(Answer::Spoilt(manner));
         }
-        if pieces.len() < 2 || conditions.partial == 0.0 {
+        if packets.len() < 2 || conditions.partial == 0.0 {
             return Some(Answer::Done);
         }
-        let mut each = Vec::with_capacity(pieces.len());
+        let mut answers = Vec::with_capacity(packets.len());
         for effect in effects.iter_mut() {
-            each.push(match self.strikes(conditions.partial) {
+            answers.push(match self.occurs(conditions.partial) {
                 false => PieceAnswer::Accepted,
-                true if self.strikes(0.5) => {
+                true if self.occurs(0.5) => {
                     *effect = false;
                     PieceAnswer::Deferred
                 }
                 true => PieceAnswer::Fault,
             });
         }
-        let wait = each.contains(&PieceAnswer::Deferred).then_some(conditions.wait);
-        Some(Answer::Mixed(each, wait))
+        let wait = answers.contains(&PieceAnswer::Deferred).then_some(conditions.retry_after);
+        Some(Answer::Mixed(answers, wait))
     }
 
-    /// Whether a packet would take effect: a repeat that is remembered does not.
-    fn is_fresh(&self, now: Duration, endpoint: EndpointId, piece: &Piece) -> bool {
-        let key = (self.endpoints[endpoint.0 as usize].destination, piece.origin);
-        piece.repeat != Repeat::Deduplicated || self.remembered.get(&key).is_none_or(|until| *until < now)
+    /// Whether a packet would take effect; a repeat that the receiver recognises does not.
+    fn is_fresh(&self, now: Duration, endpoint: EndpointId, packet: &Piece) -> bool {
+        let key = (self.endpoints[endpoint.0 as usize].destination, packet.origin);
+        packet.repeat != Repeat::Deduplicated || self.remembered.get(&key).is_none_or(|until| *until < now)
     }
 
-    fn remember(&mut self, now: Duration, endpoint: EndpointId, pieces: &[Piece], effects: &[bool]) {
+    fn remember(&mut self, now: Duration, endpoint: EndpointId, packets: &[Piece], effects: &[bool]) {
         let destination = self.endpoints[endpoint.0 as usize].destination;
-        let ran = pieces.iter().zip(effects).filter(|(piece, ran)| **ran && !piece.memory.is_zero());
-        for (piece, _) in ran {
-            self.remembered.insert((destination, piece.origin), now + piece.memory);
+        let executed =
+            packets.iter().zip(effects).filter(|(packet, executed)| **executed && !packet.memory.is_zero());
+        for (packet, _) in executed {
+            self.remembered.insert((destination, packet.origin), now + packet.memory);
         }
     }
 
-    /// A server works on the call; `None` if the queue is full.
-    fn work(
+    /// Assigns the call to a server. Returns when it finishes; `None` if the queue is full.
+    fn schedule_work(
         &mut self,
         plan: &Plan,
         now: Duration,
         endpoint: EndpointId,
         conditions: &Conditions,
         group: &Destinations,
-        fresh: &[bool],
+        is_new: &[bool],
     ) -> Option<Duration> {
-        let own = &mut self.endpoints[endpoint.0 as usize];
-        own.starts.retain(|start| *start > now);
-        if own.starts.len() >= group.queue {
+        let state = &mut self.endpoints[endpoint.0 as usize];
+        state.queued_starts.retain(|start| *start > now);
+        if state.queued_starts.len() >= group.queue {
             return None;
         }
-        let present = self.gates[own.gate].recovery.present(now);
-        let pace = plan.destination(own.destination).pace.mul_f64(conditions.slow / present);
-        let drawn = LogNormal::new(0.0, group.spread.max(0.0)).map_or(1.0, |draw| draw.sample(&mut self.rng));
-        // A repeat is known without the work; each further packet of a call adds a part of one alone.
-        let news = fresh.iter().filter(|fresh| **fresh).count() as f64;
-        let amount = if news == 0.0 { 0.25 } else { 1.0 + 0.25 * (news - 1.0) };
-        let server = own.free_at.iter_mut().min()?;
-        let start = now.max(*server);
-        let finish = start + pace.mul_f64(drawn * amount);
-        *server = finish;
+        let capacity_share = self.upstreams[state.upstream].recovery.capacity_share(now);
+        let pace = plan.destination(state.destination).pace.mul_f64(conditions.slow / capacity_share);
+        let variation =
+            LogNormal::new(0.0, group.spread.max(0.0)).map_or(1.0, |draw| draw.sample(&mut self.rng));
+        // A recognised repeat costs a quarter of the work; each further new packet of a call adds a quarter
+        // of the work of a single packet.
+        let new_packet_count = is_new.iter().filter(|is_new| **is_new).count() as f64;
+        let work_factor = if new_packet_count == 0.0 { 0.25 } else { 1.0 + 0.25 * (new_packet_count - 1.0) };
+        let server_free_at = state.free_at.iter_mut().min()?;
+        let start = now.max(*server_free_at);
+        let finish = start + pace.mul_f64(variation * work_factor);
+        *server_free_at = finish;
         if start > now {
-            own.starts.push_back(start);
+            state.queued_starts.push_back(start);
         }
         Some(finish)
     }
 
-    /// What an onlooker who sees everything knows: when a call that came now, behind so many others on their way,
-    /// would be answered with success.
+    /// Prediction for the oracle policy, with full knowledge: when a call sent now, after `ahead` others in
+    /// flight, would be answered with success.
     pub fn would_finish(
         &self,
         plan: &Plan,
         now: Duration,
         endpoint: EndpointId,
-        behind: usize,
+        ahead: usize,
     ) -> Option<Duration> {
         let place = plan.place(endpoint);
-        let own = &self.endpoints[endpoint.0 as usize];
-        let gate = &self.gates[own.gate];
+        let state = &self.endpoints[endpoint.0 as usize];
+        let upstream = &self.upstreams[state.upstream];
         let conditions = self.troubles.at(now, endpoint);
-        let troubled = conditions.black_hole || conditions.silent || conditions.shut.is_some();
-        let lossy = conditions.errors + conditions.answer_lost + conditions.reset_after > 0.5;
-        let group = plan.group(own.destination);
-        let there = place.from <= now && self.reachable(plan, now, endpoint) && now < conditions.drained;
-        let mut limiter = gate.limiter.clone();
-        limiter.lower(now, conditions.limit);
-        if !there
-            || troubled
-            || lossy
-            || !limiter.has_room(now, behind)
-            || !gate.recovery.has_room(now, behind)
+        let is_unresponsive = conditions.black_hole || conditions.silent || conditions.shut.is_some();
+        let mostly_fails = conditions.errors + conditions.answer_lost + conditions.reset_after > 0.5;
+        let group = plan.group(state.destination);
+        let is_available =
+            place.from <= now && self.reachable(plan, now, endpoint) && now < conditions.rejects_calls_from;
+        let mut limiter = upstream.limiter.clone();
+        limiter.set_share(now, conditions.limit);
+        if !is_available
+            || is_unresponsive
+            || mostly_fails
+            || !limiter.has_room(now, ahead)
+            || !upstream.recovery.has_room(now, ahead)
         {
             return None;
         }
-        let waiting = own.starts.iter().filter(|start| **start > now).count() + behind;
-        if waiting >= group.queue || own.connections >= group.connections {
+        let queue_length = state.queued_starts.iter().filter(|start| **start > now).count() + ahead;
+        if queue_length >= group.queue || state.connections >= group.connections {
             return None;
         }
-        let mut free = own.free_at.clone();
-        free.sort();
-        let pace = plan.destination(own.destination).pace;
-        let pace = pace.mul_f64(conditions.slow / gate.recovery.present(now));
-        // Those on their way go first, each to the server that is free first.
-        let rounds = pace * (behind / free.len()) as u32;
-        let start = free[behind % free.len()].max(now) + rounds;
+        let mut free_at = state.free_at.clone();
+        free_at.sort();
+        let pace = plan.destination(state.destination).pace;
+        let pace = pace.mul_f64(conditions.slow / upstream.recovery.capacity_share(now));
+        // Calls in flight go first, each to the server that becomes free first.
+        let queueing_time = pace * (ahead / free_at.len()) as u32;
+        let start = free_at[ahead % free_at.len()].max(now) + queueing_time;
         Some(start + pace)
     }
 
-    /// Whether two endpoints share what senders must keep to.
+    /// Index of the upstream of an endpoint; endpoints with the same one share a limit and a recovery.
     pub fn gate(&self, endpoint: EndpointId) -> usize {
-        self.endpoints[endpoint.0 as usize].gate
+        self.endpoints[endpoint.0 as usize].upstream
     }
 }
--- a/crates/sailcart-lab/src/receivers/recovery.rs
+++ b/crates/sailcart-lab/src/receivers/recovery.rs
@@ -1,69 +1,77 @@
-//! What an outage leaves behind: a destination comes back cold, warms, and falls over when it is pushed.
+//! Recovery of a destination after an outage: it starts with a share of its capacity, warms up, and fails
+//! again if it is overloaded in the meantime.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::experiment::Rules;
 
-/// Whether a destination that returns from an outage is still cold, and whether calls pushed it over.
+/// State of a destination with regard to its outages: whether it is warming up, and whether an overload has
+/// made it fail again.
 pub struct Recovery {
     rules: Rules,
-    /// Calls a second once warm.
+    /// Calls per second when warm.
     capacity: f64,
-    /// From when until when it was, and will be, out.
+    /// Start and end of each past and future outage.
     outages: Vec<(Duration, Duration)>,
-    /// When calls came within the last span.
-    came: VecDeque<Duration>,
+    /// Arrival times of the calls within the last `rules.fall`.
+    recent_calls: VecDeque<Duration>,
     fallen: bool,
 }
 
 impl Recovery {
+    /// Creates the state of a destination with this capacity in calls per second and these outages.
     pub fn new(rules: &Rules, capacity: f64, outages: Vec<(Duration, Duration)>) -> Self {
-        Recovery { rules: rules.clone(), capacity, outages, came: VecDeque::new(), fallen: false }
+        Recovery { rules: rules.clone(), capacity, outages, recent_calls: VecDeque::new(), fallen: false }
     }
 
-    /// How long it has been back, if it is not warm yet.
-    fn back_for(&self, now: Duration) -> Option<Duration> {
+    /// Time since the end of the last outage, if the destination is still warming up.
+    fn warming_up_for(&self, now: Duration) -> Option<Duration> {
         let ended = self.outages.iter().map(|(_, until)| *until).filter(|until| *until <= now).max()?;
-        let out = self.outages.iter().any(|(from, until)| *from <= now && now < *until);
-        Some(now - ended).filter(|back| !out && *back < self.rules.cold)
+        let is_out = self.outages.iter().any(|(from, until)| *from <= now && now < *until);
+        Some(now - ended).filter(|elapsed| !is_out && *elapsed < self.rules.cold)
     }
 
-    /// Share of its capacity that it has.
-    pub fn present(&self, now: Duration) -> f64 {
-        self.back_for(now).map_or(1.0, |back| {
-            let warm = back.as_secs_f64() / self.rules.cold.as_secs_f64();
+    /// The share of its capacity that the destination has at present, 1 when warm.
+    pub fn capacity_share(&self, now: Duration) -> f64 {
+        self.warming_up_for(now).map_or(1.0, |elapsed| {
+            let warm = elapsed.as_secs_f64() / self.rules.cold.as_secs_f64();
             self.rules.cold_from + (1.0 - self.rules.cold_from) * warm
         })
     }
 
-    fn budget(&self, now: Duration) -> f64 {
-        let whole =
-            self.rules.fall_multiple * self.present(now) * self.capacity * self.rules.fall.as_secs_f64();
-        whole.max(2.0) // chance alone brings two
+    /// Calls within `rules.fall` that the destination bears while it warms up.
+    fn max_recent_calls(&self, now: Duration) -> f64 {
+        let calls = self.rules.fall_multiple
+            * self.capacity_share(now)
+            * self.capacity
+            * self.rules.fall.as_secs_f64();
+        calls.max(2.0) // two calls may coincide at random
     }
 
-    /// A call reaches it, taken or not. True if that pushes it over.
+    /// Registers a call, accepted or not. Returns true if it makes the destination fail.
     pub fn push(&mut self, now: Duration) -> bool {
-        if self.back_for(now).is_none() {
-            self.came.clear();
+        if self.warming_up_for(now).is_none() {
+            self.recent_calls.clear();
             return false;
         }
-        while self.came.front().is_some_and(|at| *at + self.rules.fall <= now) {
-            self.came.pop_front();
+        while self.recent_calls.front().is_some_and(|at| *at + self.rules.fall <= now) {
+            self.recent_calls.pop_front();
         }
-        self.came.push_back(now);
-        self.fallen = self.came.len() as f64 > self.budget(now) + 1e-9;
+        self.recent_calls.push_back(now);
+        self.fallen = self.recent_calls.len() as f64 > self.max_recent_calls(now) + 1e-9;
         self.fallen
     }
 
-    /// Whether one more call, behind so many others, stays well below what would push it over.
-    pub fn has_room(&self, now: Duration, behind: usize) -> bool {
-        let recent = self.came.iter().filter(|at| **at + self.rules.fall > now).count();
-        self.back_for(now).is_none() || (recent + behind) as f64 + 1.0 <= self.budget(now) * 0.8
+    /// Whether one more call after `ahead` others stays below 80 % of the calls that would make the
+    /// destination fail.
+    pub fn has_room(&self, now: Duration, ahead: usize) -> bool {
+        let recent_count = self.recent_calls.iter().filter(|at| **at + self.rules.fall > now).count();
+        self.warming_up_for(now).is_none()
+            || (recent_count + ahead) as f64 + 1.0 <= self.max_recent_calls(now) * 0.8
     }
 
-    /// It was pushed over, and stays down.
+    /// Whether the destination failed under overload. It then stays down.
     pub fn fallen(&self) -> bool {
         self.fallen
     }
--- a/crates/sailcart-lab/src/receivers/troubles.rs
+++ b/crates/sailcart-lab/src/receivers/troubles.rs
@@ -1,4 +1,5 @@
-//! Which troubles stand at an endpoint at a time. Several may, and each has its effect.
+//! The troubles that are active at an endpoint at a given time. Several may be active at once; their effects
+//! combine.
 
 use std::time::Duration;
 
@@ -7,40 +8,40 @@
 use crate::experiment::{Spoil, TroubleKind};
 use crate::plan::{Plan, Standing, Struck};
 
-/// What all troubles that stand at an endpoint at a time do together. Shares are from 0 to 1, of calls or, where
-/// they concern a part of one, of its packets.
+/// The combined effect of all troubles that are active at an endpoint. Shares are from 0 to 1, of calls or,
+/// where they concern parts of a call, of its packets.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Conditions {
-    /// It refuses connections.
+    /// The endpoint refuses connections.
     pub down: bool,
-    /// Connections to it neither stand nor fail.
+    /// Connection attempts are neither accepted nor refused.
     pub black_hole: bool,
-    /// It takes calls and never answers.
+    /// Calls are accepted and never answered.
     pub silent: bool,
-    /// All is turned away until then; the share of refusals that tell it.
+    /// All calls are rejected until this time; the share of rejections that report the remaining time.
     pub shut: Option<(Duration, f64)>,
-    /// The share of calls answered with an error.
+    /// Share of calls answered with an error.
     pub errors: f64,
-    /// How many times its usual time a call takes.
+    /// Factor on the service time.
     pub slow: f64,
-    /// What is left of its limit.
+    /// Share of the usual limit that remains.
     pub limit: f64,
-    /// The share of calls whose answer is lost.
+    /// Share of calls whose answer is lost.
     pub answer_lost: f64,
-    /// The share of calls whose connection breaks before their last byte.
+    /// Share of calls whose connection breaks before their last byte.
     pub reset_before: f64,
-    /// The share of calls whose connection breaks in place of an answer.
+    /// Share of calls whose connection breaks instead of an answer.
     pub reset_after: f64,
-    /// The share of answers that cannot be read, and in which way.
+    /// Share of answers that are malformed, and in which way.
     pub spoilt: Option<(f64, Spoil)>,
-    /// The share of packets, in calls with several, that are not accepted.
+    /// Share of packets that are not accepted, in calls with several packets.
     pub partial: f64,
-    /// The wait that an answer for several packets tells.
-    pub wait: Duration,
-    /// It takes leave of the list.
-    pub drains: bool,
-    /// From when on one that drains turns calls away.
-    pub drained: Duration,
+    /// The wait that an answer for several packets requests.
+    pub retry_after: Duration,
+    /// The endpoint is draining.
+    pub is_draining: bool,
+    /// Time from which a draining endpoint rejects calls.
+    pub rejects_calls_from: Duration,
 }
 
 impl Default for Conditions {
@@ -58,92 +59,96 @@
             reset_after: 0.0,
             spoilt: None,
             partial: 0.0,
-            wait: Duration::from_millis(500),
-            drains: false,
-            drained: Duration::MAX,
+            retry_after: Duration::from_millis(500),
+            is_draining: false,
+            rejects_calls_from: Duration::MAX,
         }
     }
 }
 
-/// All troubles of a plan's endpoints, with their times.
+/// The troubles of all endpoints of a plan, with their times.
 pub struct TroubleSchedule {
-    /// By endpoint.
-    struck: Vec<Vec<Struck>>,
+    /// Indexed by endpoint.
+    troubles: Vec<Vec<Struck>>,
 }
 
-/// Errors for most calls count as an outage.
-const MOST: f64 = 0.5;
+/// A share of failing calls above this counts as an outage.
+const OUTAGE_SHARE: f64 = 0.5;
 
 impl TroubleSchedule {
-    /// The troubles of a plan's endpoints.
+    /// Assigns the troubles of a plan to its endpoints.
     pub fn new(plan: &Plan) -> Self {
-        let mut struck = vec![Vec::new(); plan.places.len()];
-        for one in &plan.struck {
-            let light = Struck { endpoints: Vec::new(), senders: Vec::new(), ..one.clone() };
-            for endpoint in &one.endpoints {
-                struck[endpoint.0 as usize].push(light.clone());
+        let mut troubles = vec![Vec::new(); plan.places.len()];
+        for scheduled in &plan.struck {
+            let without_targets = Struck { endpoints: Vec::new(), senders: Vec::new(), ..scheduled.clone() };
+            for endpoint in &scheduled.endpoints {
+                troubles[endpoint.0 as usize].push(without_targets.clone());
             }
         }
-        // What takes a place at the old address has the old one's troubles, but for its drain.
+        // A replacement at the address of another endpoint inherits its troubles, except for its drain.
         for place in plan.places.iter().filter(|place| place.address != place.endpoint) {
-            let inherited = struck[place.address.0 as usize].clone();
-            let drains = |s: &Struck| matches!(s.trouble.kind, TroubleKind::Drain | TroubleKind::Replace);
-            struck[place.endpoint.0 as usize] = inherited.into_iter().filter(|s| !drains(s)).collect();
+            let inherited = troubles[place.address.0 as usize].clone();
+            let is_drain = |s: &Struck| matches!(s.trouble.kind, TroubleKind::Drain | TroubleKind::Replace);
+            troubles[place.endpoint.0 as usize] = inherited.into_iter().filter(|s| !is_drain(s)).collect();
         }
         debug_assert!(plan.changes.iter().all(|c| c.standing != Standing::Gone || c.at > Duration::ZERO));
-        TroubleSchedule { struck }
+        TroubleSchedule { troubles }
     }
 
-    /// What stands at an endpoint at a time.
+    /// The conditions at an endpoint at a given time.
     pub fn at(&self, now: Duration, endpoint: EndpointId) -> Conditions {
         use TroubleKind::*;
-        let mut here = Conditions::default();
-        for struck in self.struck[endpoint.0 as usize].iter().filter(|struck| struck.stands(now)) {
-            let share = struck.trouble.share.unwrap_or(1.0);
-            let either = |a: f64, b: f64| 1.0 - (1.0 - a) * (1.0 - b);
-            match struck.trouble.kind {
-                Refuse => here.down = true,
-                BlackHole => here.black_hole = true,
-                Silent => here.silent = true,
-                Shut => here.shut = Some((struck.until, struck.trouble.tells.unwrap_or(0.5))),
-                Errors => here.errors = either(here.errors, share),
-                Slow => here.slow *= struck.trouble.factor.unwrap_or(10.0),
-                Lower => here.limit *= share,
-                AnswerLost => here.answer_lost = either(here.answer_lost, share),
-                ResetBefore => here.reset_before = either(here.reset_before, share),
-                ResetAfter => here.reset_after = either(here.reset_after, share),
-                Spoilt => here.spoilt = Some((share, struck.trouble.manner.unwrap_or(Spoil::Noise))),
-                Partial => here.partial = either(here.partial, share),
+        let mut conditions = Conditions::default();
+        for scheduled in self.troubles[endpoint.0 as usize].iter().filter(|scheduled| scheduled.stands(now)) {
+            let share = scheduled.trouble.share.unwrap_or(1.0);
+            let combine = |a: f64, b: f64| 1.0 - (1.0 - a) * (1.0 - b);
+            match scheduled.trouble.kind {
+                Refuse => conditions.down = true,
+                BlackHole => conditions.black_hole = true,
+                Silent => conditions.silent = true,
+                Shut => conditions.shut = Some((scheduled.until, scheduled.trouble.tells.unwrap_or(0.5))),
+                Errors => conditions.errors = combine(conditions.errors, share),
+                Slow => conditions.slow *= scheduled.trouble.factor.unwrap_or(10.0),
+                Lower => conditions.limit *= share,
+                AnswerLost => conditions.answer_lost = combine(conditions.answer_lost, share),
+                ResetBefore => conditions.reset_before = combine(conditions.reset_before, share),
+                ResetAfter => conditions.reset_after = combine(conditions.reset_after, share),
+                Spoilt => conditions.spoilt = Some((share, scheduled.trouble.manner.unwrap_or(Spoil::Noise))),
+                Partial => conditions.partial = combine(conditions.partial, share),
                 Drain | Replace => {
-                    here.drains = true;
-                    here.drained = here.drained.min(struck.from + (struck.until - struck.from) / 2);
+                    conditions.is_draining = true;
+                    conditions.rejects_calls_from = conditions
+                        .rejects_calls_from
+                        .min(scheduled.from + (scheduled.until - scheduled.from) / 2);
                 }
                 Hot | ListSilent | Kill | Roll | Reload | BadClients => {}
             }
         }
-        here
+        conditions
     }
 
-    /// When it next stops working with calls at work.
-    pub fn next_down(&self, now: Duration, endpoint: EndpointId) -> Option<Duration> {
-        let refuse = |s: &&Struck| s.trouble.kind == TroubleKind::Refuse && s.from > now;
-        self.struck[endpoint.0 as usize].iter().filter(refuse).map(|s| s.from).min()
+    /// When the endpoint next starts to refuse connections, which breaks the calls in progress.
+    pub fn next_refusal(&self, now: Duration, endpoint: EndpointId) -> Option<Duration> {
+        let future_refusal = |s: &&Struck| s.trouble.kind == TroubleKind::Refuse && s.from > now;
+        self.troubles[endpoint.0 as usize].iter().filter(future_refusal).map(|s| s.from).min()
     }
 
-    /// When a trouble next begins or ends at an endpoint.
+    /// When a trouble next begins or ends at the endpoint.
     pub fn next_change(&self, now: Duration, endpoint: EndpointId) -> Option<Duration> {
-        let times = self.struck[endpoint.0 as usize].iter().flat_map(|struck| [struck.from, struck.until]);
+        let times =
+            self.troubles[endpoint.0 as usize].iter().flat_map(|scheduled| [scheduled.from, scheduled.until]);
         times.filter(|at| *at > now).min()
     }
 
-    /// The times in which it is down, silent, shut or fails most calls.
+    /// The times at which the endpoint refuses connections, does not answer, rejects all calls or fails most
+    /// of them.
     pub fn outages(&self, endpoint: EndpointId) -> Vec<(Duration, Duration)> {
         use TroubleKind::*;
-        let out = |s: &&Struck| match s.trouble.kind {
+        let is_outage = |s: &&Struck| match s.trouble.kind {
             Refuse | BlackHole | Silent | Shut => true,
-            Errors | AnswerLost | ResetAfter | ResetBefore => s.trouble.share.unwrap_or(1.0) > MOST,
+            Errors | AnswerLost | ResetAfter | ResetBefore => s.trouble.share.unwrap_or(1.0) > OUTAGE_SHARE,
             _ => false,
         };
-        self.struck[endpoint.0 as usize].iter().filter(out).map(|s| (s.from, s.until)).collect()
+        self.troubles[endpoint.0 as usize].iter().filter(is_outage).map(|s| (s.from, s.until)).collect()
     }
 }
