--- a/crates/sailcart-lab/src/events.rs
+++ b/crates/sailcart-lab/src/events.rs
@@ -1,4 +1,5 @@
-//! `events.jsonl.zst`: all that the watcher saw, one JSON object a line, where asked for.
+//! Writes `events.jsonl.zst`: every observation of the watcher, one JSON object per line. Written on request
+//! only.
 
 use std::fs::File;
 use std::io::{self, Write};
@@ -9,39 +10,48 @@
 
 use crate::watcher::{Heard, Seen};
 
-/// Compression level: fast, as runs wait for it.
-const LEVEL: i32 = 3;
+/// Compression level; low, because runs wait for the compression.
+const COMPRESSION_LEVEL: i32 = 3;
 
-/// Where events are written, if they are.
+/// The event log; a default one discards everything.
 #[derive(Default)]
 pub struct Log {
-    to: Option<zstd::Encoder<'static, File>>,
+    encoder: Option<zstd::Encoder<'static, File>>,
 }
 
 impl Log {
+    /// Creates `events.jsonl.zst` in a folder, which is created if necessary.
+    ///
+    /// # Errors
+    ///
+    /// The folder or the file cannot be created.
     pub fn create(folder: &Path) -> io::Result<Log> {
         std::fs::create_dir_all(folder)?;
         let file = File::create(folder.join("events.jsonl.zst"))?;
-        Ok(Log { to: Some(zstd::Encoder::new(file, LEVEL)?) })
+        Ok(Log { encoder: Some(zstd::Encoder::new(file, COMPRESSION_LEVEL)?) })
     }
 
+    /// Writes an observation. After a failed write the log discards everything.
     pub fn write(&mut self, now: Duration, seen: &Seen) {
-        let Some(to) = &mut self.to else { return };
-        let line = line(now, seen);
-        if let Err(fault) = writeln!(to, "{line}") {
-            log::error!("events: code=not_written {fault}");
-            self.to = None;
+        let Some(encoder) = &mut self.encoder else { return };
+        let line = event_json(now, seen);
+        if let Err(error) = writeln!(encoder, "{line}") {
+            log::error!(
+                "events: code=not_written cannot write events.jsonl.zst, further events are lost: {error}"
+            );
+            self.encoder = None;
         }
     }
 
+    /// Completes the file.
     pub fn finish(&mut self) {
-        if let Some(Err(fault)) = self.to.take().map(zstd::Encoder::finish) {
-            log::error!("events: code=not_written {fault}");
+        if let Some(Err(error)) = self.encoder.take().map(zstd::Encoder::finish) {
+            log::error!("events: code=not_written cannot complete events.jsonl.zst: {error}");
         }
     }
 }
 
-fn line(now: Duration, seen: &Seen) -> Value {
+fn event_json(now: Duration, seen: &Seen) -> Value {
     let ms = now.as_micros() as f64 / 1000.0;
     match seen {
         Seen::Handed(handed) => json!({
@@ -64,13 +74,13 @@
                 Heard::Full(wait) => wait.map(|wait| wait.as_micros() as f64 / 1000.0),
                 _ => None,
             };
-            let word = match heard {
+            let heard_text = match heard {
                 Heard::Done => "done",
                 Heard::Full(_) => "full",
                 Heard::Unsure => "unsure",
                 Heard::Error => "error",
             };
-            json!({"ms": ms, "seen": "over", "call": call.0, "heard": word, "wait_ms": wait})
+            json!({"ms": ms, "seen": "over", "call": call.0, "heard": heard_text, "wait_ms": wait})
         }
         Seen::NoConnection { sender, gate } => {
             json!({"ms": ms, "seen": "no_connection", "sender": sender.0, "gate": gate.0})
--- a/crates/sailcart-lab/src/experiment/check.rs
+++ b/crates/sailcart-lab/src/experiment/check.rs
@@ -1,4 +1,4 @@
-//! What must hold between the values of an experiment. A fault names the key.
+//! Validation of an experiment. An error names the key.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -7,8 +7,8 @@
 use crate::results::bounds;
 
 impl TroubleKind {
-    /// The keys beside its time that a kind of trouble takes.
-    pub fn takes(self) -> &'static [&'static str] {
+    /// The keys that a kind of trouble accepts in addition to its times.
+    pub fn allowed_keys(self) -> &'static [&'static str] {
         use TroubleKind::*;
         match self {
             Refuse | BlackHole | Silent => &["destinations", "endpoint"],
@@ -29,75 +29,78 @@
     }
 }
 
+/// Validates an experiment.
+///
 /// # Errors
-/// The first value that does not hold, by its key.
+///
+/// The first invalid value, by its key.
 pub fn check(experiment: &Experiment) -> Result<(), Fault> {
     check_amounts(experiment)?;
     check_categories(experiment)?;
     check_destinations(experiment)?;
-    for (at, trouble) in experiment.troubles.iter().enumerate() {
-        check_trouble(experiment, trouble, &format!("troubles.{at}"))?;
+    for (index, trouble) in experiment.troubles.iter().enumerate() {
+        check_trouble(experiment, trouble, &format!("troubles.{index}"))?;
     }
     begins(experiment)?;
     for bound in &experiment.bounds {
-        bounds::Bound::read(bound).map_err(|words| Fault(format!("bounds: {words}")))?;
+        bounds::Bound::read(bound).map_err(|error| Fault(format!("bounds: {error}")))?;
     }
     Ok(())
 }
 
-fn some(holds: bool, key: &str) -> Result<(), Fault> {
-    if holds { Ok(()) } else { fault(key, "expected more than 0") }
+fn require_positive(is_positive: bool, key: &str) -> Result<(), Fault> {
+    if is_positive { Ok(()) } else { error(key, "must be greater than 0 (a list: not empty)") }
 }
 
 fn check_amounts(experiment: &Experiment) -> Result<(), Fault> {
-    some(!experiment.span.is_zero(), "span")?;
-    some(experiment.senders.count > 0, "senders.count")?;
-    some(experiment.senders.slots > 0, "senders.slots")?;
-    some(experiment.senders.hold > 0, "senders.hold")?;
-    some(!experiment.senders.round.is_zero(), "senders.round")?;
-    some(experiment.load.rate > 0.0, "load.rate")?;
-    some(!experiment.categories.is_empty(), "categories")?;
-    some(!experiment.kinds.is_empty(), "kinds")?;
-    some(!experiment.destinations.is_empty(), "destinations")?;
-    some(!experiment.rules.cold.is_zero(), "rules.cold")?;
-    some(!experiment.rules.fall.is_zero(), "rules.fall")?;
-    share(experiment.load.clumped, "load.clumped")?;
-    share(experiment.rules.cold_from, "rules.cold_from")
+    require_positive(!experiment.span.is_zero(), "span")?;
+    require_positive(experiment.senders.count > 0, "senders.count")?;
+    require_positive(experiment.senders.slots > 0, "senders.slots")?;
+    require_positive(experiment.senders.hold > 0, "senders.hold")?;
+    require_positive(!experiment.senders.round.is_zero(), "senders.round")?;
+    require_positive(experiment.load.rate > 0.0, "load.rate")?;
+    require_positive(!experiment.categories.is_empty(), "categories")?;
+    require_positive(!experiment.kinds.is_empty(), "kinds")?;
+    require_positive(!experiment.destinations.is_empty(), "destinations")?;
+    require_positive(!experiment.rules.cold.is_zero(), "rules.cold")?;
+    require_positive(!experiment.rules.fall.is_zero(), "rules.fall")?;
+    check_share(experiment.load.clumped, "load.clumped")?;
+    check_share(experiment.rules.cold_from, "rules.cold_from")
 }
 
 fn check_categories(experiment: &Experiment) -> Result<(), Fault> {
-    for (at, category) in experiment.categories.iter().enumerate() {
-        let key = |name: &str| format!("categories.{at}.{name}");
-        some(!category.soft_limit.is_zero(), &key("soft_limit"))?;
+    for (index, category) in experiment.categories.iter().enumerate() {
+        let key = |name: &str| format!("categories.{index}.{name}");
+        require_positive(!category.soft_limit.is_zero(), &key("soft_limit"))?;
         if category.patience < category.soft_limit {
-            return fault(&key("patience"), "expected no less than soft_limit");
+            return error(&key("patience"), "must not be less than soft_limit");
         }
         if (category.repeat == Repeat::Deduplicated) != category.memory.is_some() {
-            return fault(&key("memory"), "expected with repeat = \"deduplicated\", and only there");
+            return error(&key("memory"), "required with repeat = \"deduplicated\", not allowed otherwise");
         }
     }
     Ok(())
 }
 
 fn check_destinations(experiment: &Experiment) -> Result<(), Fault> {
-    for (at, group) in experiment.destinations.iter().enumerate() {
-        let key = |name: &str| format!("destinations.{at}.{name}");
+    for (index, group) in experiment.destinations.iter().enumerate() {
+        let key = |name: &str| format!("destinations.{index}.{name}");
         if !experiment.kinds.iter().any(|kind| kind.name == group.kind) {
-            return fault(&key("kind"), &format!("expected one of kinds, not {}", group.kind));
+            return error(&key("kind"), &format!("no kind {} in kinds", group.kind));
         }
         for (amount, name) in [(group.count, "count"), (group.endpoints, "endpoints")] {
-            some(amount > 0, &key(name))?;
+            require_positive(amount > 0, &key(name))?;
         }
-        some(group.servers > 0, &key("servers"))?;
-        some(!group.pace.is_zero(), &key("pace"))?;
-        some(group.limit.by == LimitBy::None || group.limit.rate > 0.0, &key("limit.rate"))?;
-        some(!group.limit.span.is_zero(), &key("limit.span"))?;
+        require_positive(group.servers > 0, &key("servers"))?;
+        require_positive(!group.pace.is_zero(), &key("pace"))?;
+        require_positive(group.limit.by == LimitBy::None || group.limit.rate > 0.0, &key("limit.rate"))?;
+        require_positive(!group.limit.span.is_zero(), &key("limit.span"))?;
     }
     Ok(())
 }
 
-fn check_trouble(experiment: &Experiment, trouble: &Trouble, place: &str) -> Result<(), Fault> {
-    let key = |name: &str| format!("{place}.{name}");
+fn check_trouble(experiment: &Experiment, trouble: &Trouble, path: &str) -> Result<(), Fault> {
+    let key = |name: &str| format!("{path}.{name}");
     let given = [
         ("destinations", trouble.destinations.is_some()),
         ("endpoint", trouble.endpoint.is_some()),
@@ -110,23 +113,25 @@
         ("same_address", trouble.same_address.is_some()),
         ("every", trouble.every.is_some()),
     ];
-    if let Some((name, _)) = given.iter().find(|(name, is)| *is && !trouble.kind.takes().contains(name)) {
-        return fault(&key(name), &format!("not a key of kind {:?}", trouble.kind));
+    if let Some((name, _)) =
+        given.iter().find(|(name, is_given)| *is_given && !trouble.kind.allowed_keys().contains(name))
+    {
+        return error(&key(name), &format!("not a key of a trouble of kind {:?}", trouble.kind));
     }
     if trouble.lasts.is_zero() {
-        return fault(&key("for"), "expected more than 0");
+        return error(&key("for"), "must be greater than 0");
     }
     if trouble.every.is_some_and(|every| every.is_zero()) {
-        return fault(&key("every"), "expected more than 0");
+        return error(&key("every"), "must be greater than 0");
     }
-    for part in [trouble.share, trouble.tells].into_iter().flatten() {
-        share(part, &key("share or tells"))?;
+    for value in [trouble.share, trouble.tells].into_iter().flatten() {
+        check_share(value, &key("share or tells"))?;
     }
     if trouble.factor.is_some_and(|factor| factor <= 0.0) {
-        return fault(&key("factor"), "expected more than 0");
+        return error(&key("factor"), "must be greater than 0");
     }
-    if trouble.senders.iter().flatten().any(|at| *at >= experiment.senders.count) {
-        return fault(&key("senders"), "expected numbers below senders.count");
+    if trouble.senders.iter().flatten().any(|sender| *sender >= experiment.senders.count) {
+        return error(&key("senders"), "sender numbers must be less than senders.count");
     }
     match &trouble.destinations {
         Some(target) => check_target(experiment, target, &key("destinations")),
@@ -134,46 +139,48 @@
     }
 }
 
-/// A group, or one destination of it by its number.
+/// Checks that a target names a group, or one destination of it by number.
 fn check_target(experiment: &Experiment, target: &str, key: &str) -> Result<(), Fault> {
     let (name, number) = target.split_once('/').map_or((target, None), |(n, i)| (n, Some(i)));
     let Some(group) = experiment.destinations.iter().find(|group| group.name == name) else {
-        return fault(key, &format!("no group {name}"));
+        return error(key, &format!("no group of destinations is named {name}"));
     };
-    let within = |number: &str| number.parse::<usize>().is_ok_and(|number| number < group.count);
-    if !number.is_none_or(within) {
-        return fault(key, &format!("no destination {target}"));
+    let exists = |number: &str| number.parse::<usize>().is_ok_and(|number| number < group.count);
+    if !number.is_none_or(exists) {
+        return error(key, &format!("the group has no destination {target}"));
     }
     Ok(())
 }
 
-/// When each trouble begins. Troubles may follow one another, but not in a circle.
+/// The start time of each trouble. A trouble may start relative to the end of another one, but not in a
+/// cycle.
 pub fn begins(experiment: &Experiment) -> Result<Vec<Duration>, Fault> {
     let troubles = &experiment.troubles;
     let find = |name: &str| troubles.iter().position(|t| t.name.as_deref() == Some(name));
     let mut starts = Vec::with_capacity(troubles.len());
-    for (at, trouble) in troubles.iter().enumerate() {
-        let (mut seen, mut start, mut next) = (HashSet::from([at]), trouble.at, trouble.after.as_deref());
+    for (index, trouble) in troubles.iter().enumerate() {
+        let (mut visited, mut start, mut next) =
+            (HashSet::from([index]), trouble.at, trouble.after.as_deref());
         while let Some(name) = next {
-            let Some(before) = find(name) else {
-                return fault(&format!("troubles.{at}.after"), &format!("no trouble {name}"));
+            let Some(predecessor) = find(name) else {
+                return error(&format!("troubles.{index}.after"), &format!("no trouble is named {name}"));
             };
-            if !seen.insert(before) {
-                let words = format!("{name} would begin only after itself");
-                return fault(&format!("troubles.{at}.after"), &words);
+            if !visited.insert(predecessor) {
+                let text = format!("the trouble {name} would start after itself");
+                return error(&format!("troubles.{index}.after"), &text);
             }
-            start += troubles[before].at + troubles[before].lasts;
-            next = troubles[before].after.as_deref();
+            start += troubles[predecessor].at + troubles[predecessor].lasts;
+            next = troubles[predecessor].after.as_deref();
         }
         starts.push(start);
     }
     Ok(starts)
 }
 
-fn share(part: f64, key: &str) -> Result<(), Fault> {
-    if (0.0..=1.0).contains(&part) { Ok(()) } else { fault(key, "expected a share from 0 to 1") }
+fn check_share(value: f64, key: &str) -> Result<(), Fault> {
+    if (0.0..=1.0).contains(&value) { Ok(()) } else { error(key, "must be a share from 0 to 1") }
 }
 
-fn fault<T>(key: &str, words: &str) -> Result<T, Fault> {
-    Err(Fault(format!("{key}: {words}")))
+fn error<T>(key: &str, text: &str) -> Result<T, Fault> {
+    Err(Fault(format!("{key}: {text}")))
 }
--- a/crates/sailcart-lab/src/experiment/mod.rs
+++ b/crates/sailcart-lab/src/experiment/mod.rs
@@ -1,5 +1,5 @@
-//! An experiment as its file tells it: senders, destinations, load, troubles, bounds. Read with every unknown
-//! key refused by name, checked once in [`check`], and turned into a [`crate::plan::Plan`] before anything runs.
+//! An experiment file: senders, destinations, load, troubles and bounds. Reading rejects unknown keys by name
+//! and validates the values in [`check`]; a [`crate::plan::Plan`] is then made of it before anything runs.
 
 mod check;
 mod keys;
@@ -13,33 +13,34 @@
 pub use keys::choose_by_key;
 pub use read::{Fault, read, read_text};
 
-/// Where the senders run.
+/// How the senders run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, clap::ValueEnum)]
 #[serde(rename_all = "lowercase")]
 pub enum Mode {
     /// The module itself, in simulated time.
     #[default]
     Virtual,
-    /// Sender processes on loopback, in real time.
+    /// Sender processes on the loopback interface, in real time.
     Sockets,
 }
 
+/// An experiment, as its file describes it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
     pub name: String,
-    /// What it shows, in a sentence.
+    /// What it shows, in one sentence.
     pub about: String,
     #[serde(default)]
     pub mode: Mode,
     #[serde(default = "one")]
     pub seed: u64,
-    /// How long packets are handed in.
+    /// How long clients submit new packets.
     #[serde(with = "humantime_serde")]
     pub span: Duration,
     pub senders: Senders,
     pub categories: Vec<Category>,
-    /// How credit falls after the soft limit.
+    /// How the credit of a packet decays after its soft limit.
     #[serde(default)]
     pub late: Late,
     #[serde(default)]
@@ -53,7 +54,7 @@
     pub network: Network,
     #[serde(default)]
     pub troubles: Vec<Trouble>,
-    /// Statements that must hold, as `credit >= 0.9` or `doubles = 0`.
+    /// Bounds on figures of the result, as `credit >= 0.9` or `doubles = 0`.
     #[serde(default)]
     pub bounds: Vec<String>,
 }
@@ -66,33 +67,40 @@
     true
 }
 
+/// The senders: their number, limits and settings.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Senders {
     pub count: usize,
-    /// Calls out at once, of each.
+    /// Maximum number of calls in flight, per sender.
     pub slots: usize,
-    /// Packets held, of each.
+    /// Maximum number of packets held, per sender.
     pub hold: usize,
+    /// Maximum number of dispatches of a packet.
     #[serde(default = "six")]
     pub dispatches: u32,
+    /// Whether a sender may cancel calls in flight.
     #[serde(default = "yes")]
     pub cancel: bool,
-    /// The least time between two rounds.
+    /// Minimum time between two rounds.
     #[serde(default = "round", with = "humantime_serde")]
     pub round: Duration,
+    /// Timeout of a connection attempt.
     #[serde(default = "second", with = "humantime_serde")]
     pub connect_time_out: Duration,
-    /// How long clients can be told to stay away; absent where they are told nothing.
+    /// Longest wait that clients can be asked for; absent if they are asked for none.
     #[serde(default, with = "humantime_serde::option", skip_serializing_if = "Option::is_none")]
     pub retry_after: Option<Duration>,
-    /// The destination list tells each destination's rate.
+    /// Whether the destination list states the rate of each destination.
     #[serde(default)]
     pub rates_listed: bool,
+    /// Memory limit of a sender process, in MB (10^6 bytes).
     #[serde(default = "memory")]
     pub memory_mb: f64,
+    /// Maximum number of file descriptors of a sender process.
     #[serde(default = "sockets")]
     pub sockets: usize,
+    /// Limit of the state folder of a sender process, in MB (10^6 bytes).
     #[serde(default = "disk")]
     pub disk_mb: f64,
 }
@@ -121,43 +129,54 @@
     3.0
 }
 
+/// What happens if a packet is executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Repeat {
+    /// A repeat has no further effect.
     Idempotent,
+    /// The receiver recognises repeats for a limited time.
     Deduplicated,
+    /// A repeat must not happen.
     Unrepeatable,
 }
 
+/// How credit decays after the soft limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Late {
-    /// Evenly until the patience ends.
+    /// Linearly until the patience ends.
     Line,
     /// By half with each further soft limit.
     #[default]
     Halves,
 }
 
+/// A category of packets.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Category {
     pub name: String,
     pub repeat: Repeat,
-    /// How long a destination knows a repeat, where `deduplicated`.
+    /// How long a destination recognises a repeat, for `deduplicated`.
     #[serde(default, with = "humantime_serde::option", skip_serializing_if = "Option::is_none")]
     pub memory: Option<Duration>,
+    /// Whether packets with the same key are delivered in order.
     #[serde(default)]
     pub in_order: bool,
+    /// Time after which credit starts to decay.
     #[serde(with = "humantime_serde")]
     pub soft_limit: Duration,
+    /// Time after which a packet is of no use.
     #[serde(with = "humantime_serde")]
     pub patience: Duration,
+    /// Credit for a delivery within the soft limit.
     #[serde(default = "whole")]
     pub credit: f64,
+    /// Minimum share of the credit for a delivery within the patience.
     #[serde(default)]
     pub late_share: f64,
-    /// Part of the packets, against the other categories.
+    /// Share of the packets, relative to the other categories.
     #[serde(default = "whole")]
     pub share: f64,
 }
@@ -166,24 +185,27 @@
     1.0
 }
 
+/// A customer, with an agreed quota of packets.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Customer {
     pub name: String,
-    /// Agreed packets a second over all senders.
+    /// Agreed packets per second over all senders.
     pub quota: f64,
+    /// Share of the packets, relative to the other customers.
     #[serde(default = "whole")]
     pub share: f64,
 }
 
+/// A kind of destinations.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Kind {
     pub name: String,
-    /// Packets that one call carries at most.
+    /// Maximum number of packets in a call.
     #[serde(default = "single")]
     pub batch: usize,
-    /// Endpoints are routes, each with a limit and outages of its own.
+    /// Whether endpoints are routes, each with its own limit and outages.
     #[serde(default)]
     pub own_limits: bool,
 }
@@ -192,47 +214,51 @@
     1
 }
 
-/// A group of destinations that are alike but for chance.
+/// A group of destinations with the same parameters, apart from random variation.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Destinations {
-    /// What troubles and reports call the group.
+    /// The name of the group in troubles and reports.
     pub name: String,
+    /// Number of destinations.
     #[serde(default = "single")]
     pub count: usize,
+    /// The name of their kind.
     pub kind: String,
+    /// Endpoints per destination.
     #[serde(default = "single")]
     pub endpoints: usize,
-    /// The usual service time; each destination's own is drawn around it.
+    /// The median service time of the group; the one of each destination is drawn around it.
     #[serde(with = "humantime_serde")]
     pub pace: Duration,
-    /// By how much service times vary: the sigma of a lognormal draw.
+    /// Variation of service times: the sigma of a lognormal distribution.
     #[serde(default = "spread")]
     pub spread: f64,
-    /// By how much destinations of the group differ in pace: likewise.
+    /// Variation of the service time between destinations of the group: the sigma of a lognormal
+    /// distribution.
     #[serde(default)]
     pub pace_spread: f64,
-    /// Calls that an endpoint works on at once.
+    /// Calls that an endpoint executes at once.
     #[serde(default = "servers")]
     pub servers: usize,
-    /// Calls that wait at an endpoint; more are turned away.
+    /// Maximum number of calls that wait at an endpoint; further ones are rejected.
     #[serde(default = "queue")]
     pub queue: usize,
-    /// Traffic of the group against other groups.
+    /// Traffic of the group, relative to the other groups.
     #[serde(default = "whole")]
     pub weight: f64,
     #[serde(default)]
     pub limit: Limit,
-    /// Connections that an endpoint holds, idle ones counted.
+    /// Maximum number of connections of an endpoint, including idle ones.
     #[serde(default = "sockets")]
     pub connections: usize,
-    /// What a new connection costs the first call on it.
+    /// Delay of the first call on a new connection.
     #[serde(default, with = "humantime_serde")]
     pub handshake: Duration,
-    /// Idle connections end after this.
+    /// Time after which an endpoint closes an idle connection.
     #[serde(default = "idle", with = "humantime_serde")]
     pub idle_close: Duration,
-    /// Answers tell the share of the limit that is left, and the limit.
+    /// Whether answers report the unused share of the limit and the limit.
     #[serde(default)]
     pub report: bool,
 }
@@ -253,31 +279,32 @@
     Duration::from_secs(10)
 }
 
+/// How a limit is counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LimitBy {
-    /// Its capacity alone.
+    /// No limit other than the capacity.
     #[default]
     None,
-    /// Calls a second, evenly.
+    /// Calls per second, at an even rate.
     Rate,
-    /// A count in each span.
+    /// A number of calls in each span.
     Span,
 }
 
-/// A limit that all senders share.
+/// A rate limit that all senders share.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limit {
     pub by: LimitBy,
-    /// Calls a second.
+    /// Calls per second.
     pub rate: f64,
-    /// Where counted in each span.
+    /// Length of a span, for limits counted per span.
     #[serde(with = "humantime_serde")]
     pub span: Duration,
-    /// Refused calls use the limit up too.
+    /// Whether rejected calls count against the limit.
     pub refused_count: bool,
-    /// Share of refusals that tell how long to wait.
+    /// Share of rejections that report how long to wait.
     pub tells: f64,
 }
 
@@ -287,30 +314,31 @@
     }
 }
 
+/// The packets that clients submit.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// Packets a second over all.
+    /// Packets per second over all destinations.
     pub rate: f64,
-    /// Exponent of the draw among the destinations of a group; 0 for even.
+    /// Exponent of the Zipf distribution over the destinations of a group; 0 for a uniform one.
     #[serde(default)]
     pub zipf: f64,
-    /// Share of the packets that come in clumps for one destination.
+    /// Share of the packets that arrive in bursts for one destination.
     #[serde(default)]
     pub clumped: f64,
-    /// Packets in a clump.
+    /// Packets per burst.
     #[serde(default = "clump")]
     pub clump: usize,
-    /// How often clients hand a dismissed packet in again at most.
+    /// Maximum number of resubmissions of a dismissed packet.
     #[serde(default = "once")]
     pub again: u32,
-    /// How long they stay away at least.
+    /// Minimum delay before a resubmission.
     #[serde(default = "half_second", with = "humantime_serde")]
     pub pause: Duration,
-    /// Keys of order.
+    /// Number of keys per destination.
     #[serde(default = "keys")]
     pub keys: u64,
-    /// Bytes of a body.
+    /// Size of a packet body, in bytes.
     #[serde(default = "body")]
     pub body: usize,
 }
@@ -335,32 +363,32 @@
     200
 }
 
-/// The figures of the rules.
+/// Parameters of the rules that the watcher checks.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    /// Nothing new to an endpoint later than this after the sender was told that it drains.
+    /// Time after a sender learnt that an endpoint drains from which it must send no new calls to it.
     #[serde(with = "humantime_serde")]
     pub drain_grace: Duration,
-    /// Share of its capacity that a destination starts with after an outage.
+    /// Share of its capacity that a destination has right after an outage.
     pub cold_from: f64,
-    /// It is warm after this.
+    /// Time that a destination takes to reach its full capacity after an outage.
     #[serde(with = "humantime_serde")]
     pub cold: Duration,
-    /// Sent more than this multiple of its present capacity ...
+    /// A destination fails under overload if it receives more than this multiple of its present capacity
     pub fall_multiple: f64,
-    /// ... for this long, it falls over.
+    /// for this long.
     #[serde(with = "humantime_serde")]
     pub fall: Duration,
-    /// How long a key rests after a dispatch that may still run.
+    /// How long a key is blocked after a dispatch that may still be executed.
     #[serde(with = "humantime_serde")]
     pub settle: Duration,
-    /// Share of the credit of a packet beyond its customer's quota.
+    /// Share of the credit for packets beyond the quota of their customer.
     pub over_share: f64,
-    /// What may cross on the way: an end and a call, a wait and a call.
+    /// Tolerance for messages that cross in transit: a completion and a call, or a wait and a call.
     #[serde(with = "humantime_serde")]
     pub crossing: Duration,
-    /// An end may come so long after the packet's time is up.
+    /// Tolerance for completions after the deadline of a packet.
     #[serde(with = "humantime_serde")]
     pub slack: Duration,
 }
@@ -381,16 +409,17 @@
     }
 }
 
+/// Delays between clients, senders, endpoints and discovery.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Network {
-    /// One way, between a sender and an endpoint, in virtual mode.
+    /// One-way delay between a sender and an endpoint, in virtual mode.
     #[serde(with = "humantime_serde")]
     pub transit: Duration,
-    /// How late each sender hears of a change of the list, at most.
+    /// Maximum delay until a sender learns of a change of the list.
     #[serde(with = "humantime_serde")]
     pub list_delay: Duration,
-    /// When clients notice that a sender has died.
+    /// Time until clients notice that a sender has died.
     #[serde(with = "humantime_serde")]
     pub notice_death: Duration,
 }
@@ -401,115 +430,127 @@
     }
 }
 
-/// Kinds of trouble. What each takes beside its time stands in [`TroubleKind::takes`].
+/// A kind of trouble. [`TroubleKind::allowed_keys`] lists the keys that each accepts in addition to its
+/// times.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TroubleKind {
-    /// Connections are refused, open ones end.
+    /// Connections are refused, open ones break.
     Refuse,
-    /// Connections never come up.
+    /// Connection attempts are neither accepted nor refused.
     BlackHole,
-    /// Calls are taken, none is answered.
+    /// Calls are accepted but never answered.
     Silent,
     /// A share of the calls is answered with an error at once.
     Errors,
-    /// All calls are turned away.
+    /// All calls are rejected.
     Shut,
-    /// Service times grow by a factor.
+    /// Service times are multiplied by a factor.
     Slow,
-    /// Limits fall to a share of themselves.
+    /// Limits are reduced to a share.
     Lower,
-    /// A share of the calls runs and its answer never comes.
+    /// A share of the calls is executed, but its answer is lost.
     AnswerLost,
-    /// A share of the connections breaks before a call's last byte.
+    /// A share of the connections breaks before the last byte of a call.
     ResetBefore,
-    /// A share of the connections breaks after it.
+    /// A share of the connections breaks after the last byte of a call.
     ResetAfter,
-    /// A share of the answers cannot be read.
+    /// A share of the answers is malformed.
     Spoilt,
-    /// A share of the packets of a call with several is put off or fails alone.
+    /// In calls with several packets, a share of the packets is deferred or fails.
     Partial,
-    /// Endpoints drain, then are gone.
+    /// Endpoints drain and are then removed.
     Drain,
-    /// Endpoints drain and are gone; others come in their place, at the same address if so said.
+    /// Endpoints drain and are replaced by others, at the same address if `same_address` is set.
     Replace,
-    /// Further packets for a destination.
+    /// Additional packets for a destination.
     Hot,
-    /// Discovery says nothing.
+    /// Discovery sends no updates.
     ListSilent,
     /// Senders die without warning.
     Kill,
-    /// Senders stop as told and come back, one wave after the other.
+    /// Senders are stopped in an orderly way and restarted, one wave after the other.
     Roll,
-    /// Senders are told to read their configuration again (sockets only).
+    /// Senders reload their configuration (sockets mode only).
     Reload,
-    /// Clients send what cannot be read (sockets only).
+    /// Clients send malformed requests (sockets mode only).
     BadClients,
 }
 
-/// What a spoilt answer looks like.
+/// The way in which an answer is malformed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Spoil {
+    /// Bytes that are not HTTP.
     Noise,
+    /// A head of thousands of header lines that does not end.
     EndlessHead,
+    /// A negative `Content-Length`.
     WrongLength,
+    /// A `Content-Length` of 3 GiB, of which only the beginning is sent.
     Huge,
+    /// A valid answer, sent twice.
     SecondCopy,
+    /// A `100 Continue`, then a valid answer.
     Continue,
 }
 
+/// A trouble: what goes wrong, when and where.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Trouble {
     pub kind: TroubleKind,
-    /// A name that other troubles may follow.
+    /// The name by which other troubles refer to this one in `after`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub name: Option<String>,
-    /// When it begins: from the start, or from the end of the trouble that it follows.
+    /// When it starts, after the start of the run or, with `after`, after the end of another trouble.
     #[serde(default, with = "humantime_serde")]
     pub at: Duration,
+    /// The name of the trouble whose end `at` is relative to.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub after: Option<String>,
     /// How long it lasts.
     #[serde(rename = "for", with = "humantime_serde")]
     pub lasts: Duration,
-    /// A group of destinations, or one of them as `name/0`; all without it.
+    /// A group of destinations, or one of them as `name/0`; all if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub destinations: Option<String>,
     /// Only this endpoint of each destination, counted from 0.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub endpoint: Option<usize>,
-    /// Which senders, counted from 0; all without it.
+    /// The senders, counted from 0; all if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub senders: Option<Vec<usize>>,
-    /// Share of calls, answers, connections or packets.
+    /// Share of the calls, answers, connections or packets that are affected.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub share: Option<f64>,
-    /// By how much.
+    /// Factor on service times.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub factor: Option<f64>,
-    /// Share of refusals that tell the wait.
+    /// Share of rejections that report how long to wait.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tells: Option<f64>,
-    /// Packets, connections or senders a wave.
+    /// Senders per wave (`roll`), or malformed requests per second (`bad-clients`).
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub count: Option<usize>,
+    /// How answers are malformed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub manner: Option<Spoil>,
+    /// Whether a replacement has the address of the endpoint that it replaces.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub same_address: Option<bool>,
-    /// Again and again, so often.
+    /// Interval at which the trouble repeats.
     #[serde(default, with = "humantime_serde::option", skip_serializing_if = "Option::is_none")]
     pub every: Option<Duration>,
 }
 
 impl Spoil {
-    /// Whether a sender may hold the packets for delivered: its status could be read, and told of one packet.
-    pub fn settles(self, several: bool) -> bool {
+    /// Whether a sender may regard the packets of a call as delivered. It may if the answer is complete apart
+    /// from what surrounds it, or if its status is readable and the call carried a single packet.
+    pub fn settles(self, has_several_packets: bool) -> bool {
         match self {
             Spoil::Noise => false,
-            Spoil::EndlessHead | Spoil::WrongLength | Spoil::Huge => !several,
+            Spoil::EndlessHead | Spoil::WrongLength | Spoil::Huge => !has_several_packets,
             Spoil::SecondCopy | Spoil::Continue => true,
         }
     }
--- a/crates/sailcart-lab/src/experiment/read.rs
+++ b/crates/sailcart-lab/src/experiment/read.rs
@@ -1,4 +1,4 @@
-//! Reading an experiment: the file, what `--set` changes in it, and the checks.
+//! Reads an experiment: parses the file, applies the changes of `--set`, and validates the result.
 
 use std::path::Path;
 
@@ -7,7 +7,7 @@
 use super::Experiment;
 use super::check::check;
 
-/// What is wrong with an experiment, naming the key.
+/// Why an experiment cannot be read or run; names the key if a value is invalid.
 #[derive(Debug, PartialEq)]
 pub struct Fault(pub String);
 
@@ -17,15 +17,17 @@
     }
 }
 
-/// Reads a file, then changes what `set` says, as `load.rate=50` or `troubles.0.for=5s`.
+/// Reads and validates an experiment file. Each entry of `set` changes one value first, as `load.rate=50` or
+/// `troubles.0.for=5s`.
 pub fn read(file: &Path, set: &[String]) -> Result<Experiment, Fault> {
     let text = std::fs::read_to_string(file).map_err(|e| Fault(format!("{}: {e}", file.display())))?;
-    read_text(&text, set).map_err(|fault| Fault(format!("{}: {fault}", file.display())))
+    read_text(&text, set).map_err(|error| Fault(format!("{}: {error}", file.display())))
 }
 
+/// Like [`read`], for the text of an experiment file.
 pub fn read_text(text: &str, set: &[String]) -> Result<Experiment, Fault> {
     let experiment: Experiment = if set.is_empty() {
-        toml::from_str(text).map_err(|e| Fault(e.to_string()))? // with the line
+        toml::from_str(text).map_err(|e| Fault(e.to_string()))? // the message names the line
     } else {
         let mut table: Value = toml::from_str(text).map_err(|e| Fault(e.to_string()))?;
         for change in set {
@@ -38,36 +40,36 @@
 }
 
 fn apply(table: &mut Value, change: &str) -> Result<(), Fault> {
-    let wrong = |words: &str| Fault(format!("--set {change}: {words}"));
-    let (path, text) = change.split_once('=').ok_or_else(|| wrong("expected key=value"))?;
-    // A number, a truth value or a list as TOML writes it; anything else is text.
+    let error = |text: &str| Fault(format!("--set {change}: {text}"));
+    let (path, text) = change.split_once('=').ok_or_else(|| error("expected key=value"))?;
+    // A number, a boolean or a list in TOML syntax; anything else is a string.
     let value = toml::from_str::<toml::Table>(&format!("value = {text}"))
         .ok()
         .and_then(|mut table| table.remove("value"))
         .unwrap_or_else(|| Value::String(text.to_owned()));
-    let mut at = table;
-    let mut steps = path.split('.').peekable();
-    while let Some(step) = steps.next() {
-        let last = steps.peek().is_none();
-        at = match at {
-            Value::Table(table) if last => {
-                table.insert(step.to_owned(), value);
+    let mut current = table;
+    let mut segments = path.split('.').peekable();
+    while let Some(segment) = segments.next() {
+        let is_last = segments.peek().is_none();
+        current = match current {
+            Value::Table(table) if is_last => {
+                table.insert(segment.to_owned(), value);
                 return Ok(());
             }
             Value::Table(table) => {
-                table.entry(step.to_owned()).or_insert_with(|| Value::Table(toml::Table::new()))
+                table.entry(segment.to_owned()).or_insert_with(|| Value::Table(toml::Table::new()))
             }
             Value::Array(list) => {
-                let place = step.parse::<usize>().ok().and_then(|at| list.get_mut(at));
-                let place = place.ok_or_else(|| wrong(&format!("no entry {step}")))?;
-                if last {
-                    *place = value;
+                let element = segment.parse::<usize>().ok().and_then(|index| list.get_mut(index));
+                let element = element.ok_or_else(|| error(&format!("the list has no entry {segment}")))?;
+                if is_last {
+                    *element = value;
                     return Ok(());
                 }
-                place
+                element
             }
-            _ => return Err(wrong(&format!("{step} is beyond a plain value"))),
+            _ => return Err(error(&format!("{segment}: its parent is neither a table nor a list"))),
         };
     }
-    Err(wrong("expected a key"))
+    Err(error("expected a key"))
 }
--- a/crates/sailcart-lab/src/lib.rs
+++ b/crates/sailcart-lab/src/lib.rs
@@ -1,7 +1,10 @@
-//! The laboratory: what the sender is measured with. An experiment (`experiment`) is drawn out (`plan`) and played
-//! with the module in simulated time (`simulated`) or with sender processes (`sockets`); the same receivers
-//! (`receivers`) answer in both, the same watcher (`watcher`) sees whether a rule breaks, and `results` says what
-//! came of it. `capacity` measures what a sender costs by size, `soak` overlaps troubles of peers, processes, machines and links. Nothing here is reachable from the sender.
+//! The laboratory: measures the sender and checks that it keeps its rules.
+//!
+//! An experiment (`experiment`) is turned into a plan (`plan`) and run either with the module in simulated
+//! time (`simulated`) or with sender processes (`sockets`). Both modes use the same receivers (`receivers`)
+//! and the same watcher (`watcher`), which detects violations of the rules; `results` evaluates a run.
+//! `capacity` measures what a sender costs by size. `soak` overlaps troubles of peers, processes, machines
+//! and links. The sender does not depend on this crate.
 
 pub mod capacity;
 pub mod events;
--- a/crates/sailcart-lab/src/main.rs
+++ b/crates/sailcart-lab/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line, nothing else.
+//! The command line interface.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -11,80 +11,83 @@
 use sailcart_lab::results::{Outcome, compare};
 use sailcart_lab::{capacity, run, shipped, soak, sockets};
 
-/// The laboratory of sailcart: emulated receivers, load, a watcher of the rules, reports.
+/// The laboratory of sailcart: emulated receivers, load, a watcher of the rules, reports
 #[derive(Parser)]
 #[command(name = "sailcart-lab", version)]
-struct Words {
+struct Cli {
     #[command(subcommand)]
     command: Command,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play an experiment; 0 if all held, 1 if a rule broke or a bound was missed, 2 for wrong use
+    /// Run an experiment; exit code 0 if all rules and bounds hold, 1 if one does not, 2 on a usage error
     Run {
-        /// A file, or the name of an experiment that is shipped
+        /// A file, or the name of a built-in experiment
         file: String,
-        /// In place of the seed in the file
+        /// Seed to use instead of the one in the file
         #[arg(long)]
         seed: Option<u64>,
-        /// Play so many seeds, from the first on, each into a folder of its own
+        /// Number of seeds to run, counted up from the first, each into its own folder
         #[arg(long, default_value_t = 1)]
         runs: u64,
+        /// Mode to use instead of the one in the file
         #[arg(long)]
         mode: Option<Mode>,
-        /// Who decides, in virtual mode
+        /// What makes the decisions of the senders, in virtual mode
         #[arg(long, default_value = "sailcart")]
         policy: PolicyName,
-        /// Where results go
+        /// Folder for the results
         #[arg(long, default_value = "lab-results")]
         out: PathBuf,
-        /// Change a value of the file
+        /// Change a value of the file; may be repeated
         #[arg(long, value_name = "KEY=VALUE")]
         set: Vec<String>,
-        /// Also write all that was seen to events.jsonl.zst
+        /// Also write all observations to events.jsonl.zst
         #[arg(long)]
         events: bool,
-        /// The sender's program, in mode sockets; the one beside this program without it
+        /// The sender executable, in sockets mode; by default the one next to this program
         #[arg(long)]
         sender: Option<PathBuf>,
     },
-    /// Compare two folders of results, seed by seed
+    /// Compare the results in two folders, seed by seed
     Compare {
         a: PathBuf,
         b: PathBuf,
-        /// Of each folder, only so many
+        /// Maximum number of results to use from each folder
         #[arg(long)]
         runs: Option<usize>,
     },
-    /// Draw report.html anew from a folder's result.json
+    /// Generate report.html again from the result.json of a folder
     Report { folder: PathBuf },
-    /// Play every policy on an experiment, and print a table
+    /// Run every policy on an experiment and print a table
     Table {
         file: String,
+        /// Number of seeds to run per policy
         #[arg(long, default_value_t = 5)]
         runs: u64,
         #[arg(long, value_name = "KEY=VALUE")]
         set: Vec<String>,
     },
-    /// The receivers of an experiment alone, with discovery, for trying a sender by hand
+    /// Run only the receivers of an experiment and discovery, to try out a sender by hand
     Receivers {
         file: String,
-        /// Where discovery listens
+        /// Address that discovery listens on
         #[arg(long, default_value = "127.0.0.1:8500")]
         discovery: SocketAddr,
-        /// Where the sender will listen
+        /// Address that the sender will listen on
         #[arg(long, default_value = "127.0.0.1:6379")]
         sender: SocketAddr,
-        /// Where the sender's configuration and its state go
+        /// Folder for the configuration and the state of the sender
         #[arg(long, default_value = "lab-sender")]
         folder: PathBuf,
         #[arg(long, value_name = "KEY=VALUE")]
         set: Vec<String>,
     },
-    /// The load of an experiment alone, at a sender that runs
+    /// Run only the load of an experiment, against a running sender
     Load {
         file: String,
+        /// Address of the sender
         #[arg(long)]
         to: SocketAddr,
         #[arg(long, default_value = "lab-results")]
@@ -92,7 +95,7 @@
         #[arg(long, value_name = "KEY=VALUE")]
         set: Vec<String>,
     },
-    /// Becomes a sender that ends with the process PARENT; the lab calls this itself
+    /// Become a sender that ends with the process PARENT; the laboratory calls this itself
     #[command(hide = true)]
     Keep {
         parent: i32,
@@ -100,68 +103,70 @@
         #[arg(trailing_var_arg = true, allow_hyphen_values = true)]
         words: Vec<String>,
     },
-    /// Measure what a sender costs by size, and hold it against the planned size
+    /// Measure what a sender costs by size, and compare it with the planned size
     Capacity(capacity::Options),
-    /// Overlap troubles of peers, processes, machines and links, run after run; 0 if all held, 1 if one failed
+    /// Overlap troubles of peers, processes, machines and links, run after run; exit code 0 if all runs
+    /// passed, 1 if one failed
     Soak(soak::Options),
-    /// One packet's life, from the folder of a run that a soak kept
+    /// Print the history of one packet, from the folder of a run that a soak kept
     Story { folder: PathBuf, packet: u64 },
-    /// The experiments that are shipped
+    /// List the built-in experiments
     List,
-    /// Say in words what an experiment does
+    /// Describe an experiment in words
     Explain { file: String },
 }
 
 fn main() -> ExitCode {
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("warn")).init();
-    let words = match Words::try_parse() {
-        Ok(words) => words,
-        Err(fault) => {
-            let _ = fault.print();
-            return ExitCode::from(if fault.use_stderr() { 2 } else { 0 });
+    let cli = match Cli::try_parse() {
+        Ok(cli) => cli,
+        Err(error) => {
+            let _ = error.print();
+            return ExitCode::from(if error.use_stderr() { 2 } else { 0 });
         }
     };
-    match carry_out(words.command) {
+    match execute(cli.command) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
-        Err(fault) => {
-            eprintln!("sailcart-lab: {fault}");
+        Err(error) => {
+            eprintln!("sailcart-lab: {error}");
             ExitCode::from(2)
         }
     }
 }
 
-type Held = Result<bool, String>;
+/// `Ok(false)` if the command ran, but a rule or a bound does not hold.
+type CommandResult = Result<bool, String>;
 
-fn carry_out(command: Command) -> Held {
+fn execute(command: Command) -> CommandResult {
     match command {
         Command::Run { file, seed, runs, mode, policy, out, set, events, sender } => {
-            let mut experiment = find(&file, &set)?;
+            let mut experiment = load_experiment(&file, &set)?;
             experiment.mode = mode.unwrap_or(experiment.mode);
             let first = seed.unwrap_or(experiment.seed);
-            let mut held = true;
+            let mut all_held = true;
             for seed in first..first + runs.max(1) {
                 let folder = if runs > 1 { out.join(format!("seed-{seed}")) } else { out.clone() };
-                let order = run::Order {
+                let request = run::RunRequest {
                     experiment: experiment.clone(),
                     seed,
                     policy,
                     events: events.then_some(folder.as_path()),
                     sender: sender.as_deref(),
                 };
-                let played = run::play(order).map_err(|fault| fault.0)?;
-                held &= report(&played, &folder)?;
+                let finished = run::execute(request).map_err(|error| error.0)?;
+                all_held &= write_result(&finished, &folder)?;
             }
-            Ok(held)
+            Ok(all_held)
         }
         Command::Compare { a, b, runs } => {
-            let gather = |folder: &Path| compare::gather(folder).map_err(|e| format!("{e}"));
-            let (mut a, mut b) = (gather(&a)?, gather(&b)?);
+            let read_results = |folder: &Path| compare::gather(folder).map_err(|e| format!("{e}"));
+            let (mut a, mut b) = (read_results(&a)?, read_results(&b)?);
             a.truncate(runs.unwrap_or(usize::MAX));
             b.truncate(runs.unwrap_or(usize::MAX));
             let differences = compare::compare(&a, &b);
             if differences.is_empty() {
-                return Err("no two results of one experiment and seed".to_owned());
+                return Err("the folders have no results of the same experiment and seed".to_owned());
             }
             print!("{}", compare::table(&differences));
             Ok(true)
@@ -172,24 +177,24 @@
             println!("{}", folder.join("report.html").display());
             Ok(true)
         }
-        Command::Table { file, runs, set } => table(&find(&file, &set)?, runs),
+        Command::Table { file, runs, set } => table(&load_experiment(&file, &set)?, runs),
         Command::Receivers { file, discovery, sender, folder, set } => {
-            let experiment = find(&file, &set)?;
-            let plan = Plan::new(experiment.clone(), experiment.seed).map_err(|fault| fault.0)?;
-            sockets::receivers(&plan, discovery, sender, &folder).map_err(|fault| fault.0)?;
+            let experiment = load_experiment(&file, &set)?;
+            let plan = Plan::new(experiment.clone(), experiment.seed).map_err(|error| error.0)?;
+            sockets::receivers(&plan, discovery, sender, &folder).map_err(|error| error.0)?;
             Ok(true)
         }
         Command::Load { file, to, out, set } => {
-            let experiment = find(&file, &set)?;
-            let plan = Plan::new(experiment.clone(), experiment.seed).map_err(|fault| fault.0)?;
-            let outcome = sockets::load(&plan, to, &mut |_| {}).map_err(|fault| fault.0)?;
+            let experiment = load_experiment(&file, &set)?;
+            let plan = Plan::new(experiment.clone(), experiment.seed).map_err(|error| error.0)?;
+            let outcome = sockets::load(&plan, to, &mut |_| {}).map_err(|error| error.0)?;
             outcome.write(&out).map_err(|e| e.to_string())?;
-            println!("{}", load_line(&outcome));
+            println!("{}", load_summary(&outcome));
             Ok(true)
         }
         Command::Keep { parent, program, words } => Err(sockets::keep(parent, &program, &words).to_string()),
         Command::Capacity(options) => {
-            print!("{}", capacity::run(&options).map_err(|fault| fault.0)?);
+            print!("{}", capacity::run(&options).map_err(|error| error.0)?);
             Ok(true)
         }
         Command::Story { folder, packet } => {
@@ -199,43 +204,43 @@
             );
             Ok(true)
         }
-        Command::Soak(options) => soak::run(&options).map_err(|fault| fault.0),
+        Command::Soak(options) => soak::run(&options).map_err(|error| error.0),
         Command::List => {
             for (name, text) in shipped::ALL {
-                let experiment = experiment::read_text(text, &[]).map_err(|fault| fault.0)?;
+                let experiment = experiment::read_text(text, &[]).map_err(|error| error.0)?;
                 println!("{name:20} {}", experiment.about);
             }
             Ok(true)
         }
         Command::Explain { file } => {
-            let experiment = find(&file, &[])?;
-            print!("{}", shipped::explain(&experiment).map_err(|fault| fault.0)?);
+            let experiment = load_experiment(&file, &[])?;
+            print!("{}", shipped::explain(&experiment).map_err(|error| error.0)?);
             Ok(true)
         }
     }
 }
 
-fn report(played: &run::Played, folder: &Path) -> Held {
-    let outcome = &played.outcome;
+fn write_result(finished: &run::FinishedRun, folder: &Path) -> CommandResult {
+    let outcome = &finished.outcome;
     outcome.write(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
     println!("{}", outcome.summary());
     if outcome.mode == Mode::Virtual {
-        let ratio = played.simulated.as_secs_f64() / played.took.as_secs_f64().max(1e-6);
+        let speedup = finished.simulated_time.as_secs_f64() / finished.wall_time.as_secs_f64().max(1e-6);
         eprintln!(
-            "{:.1} s for {:.0} simulated seconds ({ratio:.1} a second), {:.0} MB at most",
-            played.took.as_secs_f64(),
-            played.simulated.as_secs_f64(),
-            played.memory_mb
+            "{:.1} s for {:.0} simulated seconds ({speedup:.1} per second), peak memory {:.0} MB",
+            finished.wall_time.as_secs_f64(),
+            finished.simulated_time.as_secs_f64(),
+            finished.peak_memory_mb
         );
     }
     println!("{}", folder.join("report.html").display());
     Ok(outcome.rules_kept() && outcome.bounds_kept())
 }
 
-fn load_line(outcome: &Outcome) -> String {
+fn load_summary(outcome: &Outcome) -> String {
     let figure = |name| outcome.figure(name);
     format!(
-        "{:.0} packets in {:.0} s, {:.0} dismissed; client's answer p50 {:.2} ms, p99 {:.2} ms, p99.9 {:.2} ms",
+        "{:.0} packets in {:.0} s, {:.0} dismissed; answer time at the client p50 {:.2} ms, p99 {:.2} ms, p99.9 {:.2} ms",
         figure("handed_in"),
         outcome.span_s,
         figure("dismissed"),
@@ -245,33 +250,38 @@
     )
 }
 
-/// Every policy on every seed, and how far apart they are.
-fn table(experiment: &Experiment, runs: u64) -> Held {
+/// Runs every policy on every seed and prints the mean figures, with the standard deviation of the credit.
+fn table(experiment: &Experiment, runs: u64) -> CommandResult {
     println!(
         "| policy | credit | worst 10 s | full | dispatches | rules broken |\n| --- | --- | --- | --- | --- | --- |"
     );
     for policy in PolicyName::ALL {
-        let mut all = Vec::new();
+        let mut outcomes = Vec::new();
         for seed in experiment.seed..experiment.seed + runs.max(1) {
             let experiment = experiment.clone();
-            let order = run::Order { experiment, seed, policy, events: None, sender: None };
-            all.push(run::play(order).map_err(|fault| fault.0)?.outcome);
+            let request = run::RunRequest { experiment, seed, policy, events: None, sender: None };
+            outcomes.push(run::execute(request).map_err(|error| error.0)?.outcome);
         }
-        let mean = |name: &str| all.iter().map(|one| one.figure(name)).sum::<f64>() / all.len() as f64;
-        let spread = {
-            let by = |one: &Outcome| (one.figure("credit") - mean("credit")).powi(2);
-            (all.iter().map(by).sum::<f64>() / (all.len() as f64 - 1.0).max(1.0)).sqrt()
+        let mean = |name: &str| {
+            outcomes.iter().map(|outcome| outcome.figure(name)).sum::<f64>() / outcomes.len() as f64
         };
-        let broken: Vec<String> = all[0]
+        let standard_deviation = {
+            let squared_deviation = |outcome: &Outcome| (outcome.figure("credit") - mean("credit")).powi(2);
+            (outcomes.iter().map(squared_deviation).sum::<f64>() / (outcomes.len() as f64 - 1.0).max(1.0))
+                .sqrt()
+        };
+        let broken: Vec<String> = outcomes[0]
             .rules
             .iter()
             .enumerate()
-            .map(|(at, line)| (line.rule, all.iter().map(|one| one.rules[at].broken).sum::<u64>()))
-            .filter(|(_, times)| *times > 0)
-            .map(|(rule, times)| format!("{rule:?} {times}"))
+            .map(|(index, line)| {
+                (line.rule, outcomes.iter().map(|outcome| outcome.rules[index].broken).sum::<u64>())
+            })
+            .filter(|(_, violations)| *violations > 0)
+            .map(|(rule, violations)| format!("{rule:?} {violations}"))
             .collect();
         println!(
-            "| {} | {:.3} ± {spread:.3} | {:.3} | {:.0} | {:.0} | {} |",
+            "| {} | {:.3} ± {standard_deviation:.3} | {:.3} | {:.0} | {:.0} | {} |",
             policy.word(),
             mean("credit"),
             mean("credit_worst_10s"),
@@ -283,14 +293,14 @@
     Ok(true)
 }
 
-fn find(file: &str, set: &[String]) -> Result<Experiment, String> {
+fn load_experiment(file: &str, set: &[String]) -> Result<Experiment, String> {
     let path = Path::new(file);
     let name = path.file_stem().and_then(|stem| stem.to_str()).unwrap_or(file);
-    let found = match shipped::ALL.iter().find(|(known, _)| *known == name) {
+    let experiment = match shipped::ALL.iter().find(|(builtin, _)| *builtin == name) {
         Some((_, text)) if !path.exists() && path.components().count() == 1 => {
             experiment::read_text(text, set)
         }
         _ => experiment::read(path, set),
     };
-    found.map_err(|fault| fault.0)
+    experiment.map_err(|error| error.0)
 }
--- a/crates/sailcart-lab/src/plan.rs
+++ b/crates/sailcart-lab/src/plan.rs
@@ -1,5 +1,6 @@
-//! An experiment drawn out before anything runs: who is there, what goes wrong when, what the list says when,
-//! and every packet that clients will want to hand in. All chance comes from the seed.
+//! The plan of a run, made from an experiment and a seed before anything runs: the receivers, the times and
+//! targets of all troubles, all changes of the list, and every packet that clients will submit. All
+//! randomness comes from the seed.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,49 +17,55 @@
 
 use crate::experiment::{self, Experiment, Fault, Repeat, Trouble, TroubleKind, begins};
 
-/// A packet as its client first wants it delivered; each handing in of it is another packet to the senders.
+/// A planned packet. Each submission of it is a separate packet to the senders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OriginId(pub usize);
 
-/// One of the senders, counted from 0.
+/// A sender, counted from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SenderId(pub usize);
 
+/// A packet that a client will submit.
 #[derive(Clone, Debug)]
 pub struct Origin {
+    /// When its client first submits it.
     pub at: Duration,
     pub destination: DestinationId,
     pub category: CategoryId,
     pub customer: Option<CustomerId>,
     pub key: Option<KeyId>,
-    /// Beyond its customer's quota.
-    pub over: bool,
+    /// Whether it exceeds the quota of its customer.
+    pub over_quota: bool,
 }
 
+/// An endpoint and the time for which it exists.
 #[derive(Clone, Debug)]
 pub struct Place {
     pub endpoint: EndpointId,
     pub destination: DestinationId,
-    /// The endpoint whose address it has.
+    /// The endpoint whose address it has: itself, or the one that it replaces.
     pub address: EndpointId,
-    /// From when on it is there, and when it is gone.
+    /// When it is added and when it is removed.
     pub from: Duration,
     pub gone: Duration,
 }
 
+/// A destination, with the values drawn for it.
 #[derive(Clone, Debug)]
 pub struct Destination {
+    /// Index of its group in the experiment.
     pub group: usize,
     pub name: String,
     pub kind: KindId,
-    pub pace: Duration,
-    /// Calls a second that it takes from all senders, as the list tells.
+    /// Median service time of a call with one packet.
+    pub service_time: Duration,
+    /// Calls per second that it accepts from all senders, as stated by the list.
     pub rate: f64,
-    /// Calls a second that each of what has a limit of its own can work off once warm.
+    /// Calls per second that it can execute when warm; per endpoint if endpoints have their own limits.
     pub capacity: f64,
 }
 
-/// A trouble with its time and whom it meets.
+/// A trouble with its times and targets.
 #[derive(Clone, Debug)]
 pub struct Struck {
     pub trouble: Trouble,
@@ -69,29 +76,31 @@
 }
 
 impl Struck {
-    /// When senders die of it, and for how long. With `every`, each in turn within that span, again and again.
+    /// The deaths of senders that the trouble causes: when, which, and for how long. With `every`, each
+    /// sender dies once per interval, evenly distributed over it.
     pub fn deaths(&self, restart: Duration) -> Vec<(Duration, SenderId, Duration)> {
         let Some(every) = self.trouble.every else {
             let down = (self.until - self.from).max(restart);
             return self.senders.iter().map(|sender| (self.from, *sender, down)).collect();
         };
         let mut deaths = Vec::new();
-        let (mut round, count) = (self.from, self.senders.len() as u32);
-        while round < self.until {
-            for (at, sender) in self.senders.iter().enumerate() {
-                deaths.push((round + every * at as u32 / count, *sender, restart));
+        let (mut interval_start, count) = (self.from, self.senders.len() as u32);
+        while interval_start < self.until {
+            for (index, sender) in self.senders.iter().enumerate() {
+                deaths.push((interval_start + every * index as u32 / count, *sender, restart));
             }
-            round += every;
+            interval_start += every;
         }
         deaths
     }
 
+    /// Whether the trouble is active.
     pub fn stands(&self, now: Duration) -> bool {
         self.from <= now && now < self.until
     }
 }
 
-/// What the list says of an endpoint from a time on.
+/// The state of an endpoint in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
     Ready,
@@ -99,6 +108,7 @@
     Gone,
 }
 
+/// A change of the list.
 #[derive(Clone, Copy, Debug)]
 pub struct Change {
     pub at: Duration,
@@ -106,6 +116,7 @@
     pub standing: Standing,
 }
 
+/// Everything that is determined before a run.
 #[derive(Clone)]
 pub struct Plan {
     pub experiment: Experiment,
@@ -114,13 +125,14 @@
     pub destinations: Vec<Destination>,
     pub places: Vec<Place>,
     pub struck: Vec<Struck>,
-    /// In order of time; what holds at the start is left out.
+    /// Ordered by time; the state at the start is not included.
     pub changes: Vec<Change>,
-    /// In order of time.
+    /// Ordered by time.
     pub origins: Vec<Origin>,
 }
 
-/// Independent chance for each use, so that a change of one leaves the others as they were.
+/// An independent random stream for each use, so that a change of one use leaves the draws of the others as
+/// they were.
 pub fn chance(seed: u64, stream: u64) -> ChaCha8Rng {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     rng.set_stream(stream);
@@ -128,16 +140,21 @@
 }
 
 impl Plan {
+    /// Makes the plan of an experiment.
+    ///
+    /// # Errors
+    ///
+    /// Troubles that refer to unknown ones, or to each other in a cycle.
     pub fn new(experiment: Experiment, seed: u64) -> Result<Plan, Fault> {
-        let begins = begins(&experiment)?;
-        let (destinations, mut places) = fleet(&experiment, seed);
+        let starts_at = begins(&experiment)?;
+        let (destinations, mut places) = initial_fleet(&experiment, seed);
         let mut struck = Vec::new();
-        for (trouble, from) in experiment.troubles.iter().zip(begins) {
-            struck.push(strike(&experiment, trouble, from, &destinations, &places));
+        for (trouble, from) in experiment.troubles.iter().zip(starts_at) {
+            struck.push(schedule_trouble(&experiment, trouble, from, &destinations, &places));
         }
-        let changes = changes(&struck, &mut places);
-        let origins = origins(&experiment, seed, &destinations, &struck);
-        let terms = terms(&experiment);
+        let changes = list_changes(&struck, &mut places);
+        let origins = planned_packets(&experiment, seed, &destinations, &struck);
+        let terms = sender_terms(&experiment);
         Ok(Plan { experiment, seed, terms, destinations, places, struck, changes, origins })
     }
 
@@ -157,10 +174,12 @@
         &self.experiment.destinations[self.destination(id).group]
     }
 
+    /// Whether the endpoints of a destination have their own limits.
     pub fn own_limits(&self, id: DestinationId) -> bool {
         self.experiment.kinds[self.destination(id).kind.0].own_limits
     }
 
+    /// The list entry of an endpoint.
     pub fn listing(&self, endpoint: EndpointId, live: bool) -> Listing {
         let place = self.place(endpoint);
         let destination = self.destination(place.destination);
@@ -168,7 +187,7 @@
         Listing { endpoint, destination: place.destination, kind: destination.kind, live, rate }
     }
 
-    /// The list as it stands at a time.
+    /// The list at a given time.
     pub fn list_at(&self, now: Duration) -> Vec<Listing> {
         let mut live: BTreeMap<EndpointId, bool> =
             self.places.iter().filter(|p| p.from.is_zero()).map(|p| (p.endpoint, true)).collect();
@@ -182,74 +201,87 @@
         live.into_iter().map(|(endpoint, live)| self.listing(endpoint, live)).collect()
     }
 
-    /// When a change reaches a sender: late by chance, and only once discovery speaks again.
+    /// When a sender learns of a change: after a random delay, and not while its discovery is silent.
     pub fn told_at(&self, change: &Change, sender: SenderId) -> Duration {
         let stream = (sender.0 as u64) << 32 | u64::from(change.endpoint.0) << 2 | change.standing as u64;
-        let late = chance(self.seed ^ 0x115f, stream).random::<f64>();
-        let mut at = change.at + self.experiment.network.list_delay.mul_f64(late);
+        let delay_share = chance(self.seed ^ 0x115f, stream).random::<f64>();
+        let mut at = change.at + self.experiment.network.list_delay.mul_f64(delay_share);
         for struck in &self.struck {
-            let silent = struck.trouble.kind == TroubleKind::ListSilent && struck.senders.contains(&sender);
-            if silent && struck.stands(at) {
+            let is_silent =
+                struck.trouble.kind == TroubleKind::ListSilent && struck.senders.contains(&sender);
+            if is_silent && struck.stands(at) {
                 at = struck.until;
             }
         }
         at
     }
 
-    /// Until when a client hands a packet in again: while it is wanted, and a keyed one while its key is known.
+    /// Until when a client resubmits a packet: while it is wanted and, if its destination recognises repeats,
+    /// while it does so.
     pub fn comes_again_until(&self, origin: OriginId) -> Duration {
         let origin = &self.origins[origin.0];
         let category = self.category(origin.category);
         origin.at + category.memory.map_or(category.patience, |memory| memory.min(category.patience))
     }
 
+    /// The credit for a packet delivered `after` its first submission; 0 after the patience.
     pub fn credit(&self, origin: &Origin, after: Duration) -> f64 {
         let category = self.category(origin.category);
         if after > category.patience {
             return 0.0;
         }
-        let late = after.saturating_sub(category.soft_limit).as_secs_f64();
-        let soft = category.soft_limit.as_secs_f64();
-        let share = match terms_late(&self.experiment) {
-            _ if late == 0.0 => 1.0,
+        let late_by = after.saturating_sub(category.soft_limit).as_secs_f64();
+        let soft_limit = category.soft_limit.as_secs_f64();
+        let share = match credit_decay(&self.experiment) {
+            _ if late_by == 0.0 => 1.0,
             Late::Line => {
-                let most = (category.patience - category.soft_limit).as_secs_f64().max(1e-6);
-                1.0 - (1.0 - category.late_share) * late / most
+                let max_late_by = (category.patience - category.soft_limit).as_secs_f64().max(1e-6);
+                1.0 - (1.0 - category.late_share) * late_by / max_late_by
             }
-            Late::Halves => 0.5f64.powf(late / soft).max(category.late_share),
+            Late::Halves => 0.5f64.powf(late_by / soft_limit).max(category.late_share),
         };
         share * self.whole_credit(origin)
     }
 
+    /// The credit for a packet delivered within its soft limit.
     pub fn whole_credit(&self, origin: &Origin) -> f64 {
-        let over = if origin.over { self.experiment.rules.over_share } else { 1.0 };
-        self.category(origin.category).credit * over
+        let factor = if origin.over_quota { self.experiment.rules.over_share } else { 1.0 };
+        self.category(origin.category).credit * factor
     }
 
-    /// The last packet's patience is up, and its end may be told.
+    /// When the run ends: after the patience of the last packet and the time in which its completion may be
+    /// reported.
     pub fn end(&self) -> Duration {
         let longest = self.experiment.categories.iter().map(|c| c.patience).max().unwrap_or_default();
         self.experiment.span + longest + self.experiment.rules.slack + Duration::from_secs(2)
     }
 }
 
-fn fleet(experiment: &Experiment, seed: u64) -> (Vec<Destination>, Vec<Place>) {
+/// The destinations and endpoints that exist at the start.
+fn initial_fleet(experiment: &Experiment, seed: u64) -> (Vec<Destination>, Vec<Place>) {
     let mut rng = chance(seed, 1);
     let (mut destinations, mut places) = (Vec::new(), Vec::new());
-    for (at, group) in experiment.destinations.iter().enumerate() {
+    for (group_index, group) in experiment.destinations.iter().enumerate() {
         let kind = experiment.kinds.iter().position(|kind| kind.name == group.kind).unwrap_or_default();
-        let own = experiment.kinds[kind].own_limits;
+        let own_limits = experiment.kinds[kind].own_limits;
         let draw = LogNormal::new(0.0, group.pace_spread.max(0.0)).ok();
         for number in 0..group.count {
-            let pace = group.pace.mul_f64(draw.as_ref().map_or(1.0, |draw| draw.sample(&mut rng)));
+            let service_time = group.pace.mul_f64(draw.as_ref().map_or(1.0, |draw| draw.sample(&mut rng)));
             let id = DestinationId(destinations.len() as u64);
-            let mean = pace.as_secs_f64() * (group.spread.powi(2) / 2.0).exp();
-            let together = if own { 1 } else { group.endpoints };
-            let capacity = (group.servers * together) as f64 / mean;
-            let limited = group.limit.by != experiment::LimitBy::None;
-            let rate = if limited { group.limit.rate.min(capacity) } else { capacity };
+            let mean_service_time = service_time.as_secs_f64() * (group.spread.powi(2) / 2.0).exp();
+            let endpoint_count = if own_limits { 1 } else { group.endpoints };
+            let capacity = (group.servers * endpoint_count) as f64 / mean_service_time;
+            let is_limited = group.limit.by != experiment::LimitBy::None;
+            let rate = if is_limited { group.limit.rate.min(capacity) } else { capacity };
             let name = if group.count > 1 { format!("{}/{number}", group.name) } else { group.name.clone() };
-            destinations.push(Destination { group: at, name, kind: KindId(kind), pace, rate, capacity });
+            destinations.push(Destination {
+                group: group_index,
+                name,
+                kind: KindId(kind),
+                service_time,
+                rate,
+                capacity,
+            });
             for _ in 0..group.endpoints {
                 let endpoint = EndpointId(places.len() as u32);
                 let (from, gone) = (Duration::ZERO, Duration::MAX);
@@ -260,23 +292,25 @@
     (destinations, places)
 }
 
-fn strike(
+/// Determines the times and targets of a trouble.
+fn schedule_trouble(
     experiment: &Experiment,
     trouble: &Trouble,
     from: Duration,
     destinations: &[Destination],
     places: &[Place],
 ) -> Struck {
-    let meets = |destination: &Destination| match &trouble.destinations {
+    let is_target = |destination: &Destination| match &trouble.destinations {
         None => true,
         Some(target) => {
             destination.name == *target || experiment.destinations[destination.group].name == *target
         }
     };
     let mut endpoints = Vec::new();
-    for (at, _) in destinations.iter().enumerate().filter(|(_, destination)| meets(destination)) {
-        let own = places.iter().filter(|place| place.destination.0 as usize == at);
-        let chosen = own.enumerate().filter(|(nth, _)| trouble.endpoint.is_none_or(|only| only == *nth));
+    for (index, _) in destinations.iter().enumerate().filter(|(_, destination)| is_target(destination)) {
+        let own_endpoints = places.iter().filter(|place| place.destination.0 as usize == index);
+        let chosen =
+            own_endpoints.enumerate().filter(|(nth, _)| trouble.endpoint.is_none_or(|only| only == *nth));
         endpoints.extend(chosen.map(|(_, place)| place.endpoint));
     }
     let senders = match &trouble.senders {
@@ -286,28 +320,34 @@
     Struck { trouble: trouble.clone(), from, until: from + trouble.lasts, endpoints, senders }
 }
 
-/// What the list will say. Replacements become places of their own.
-fn changes(struck: &[Struck], places: &mut Vec<Place>) -> Vec<Change> {
+/// The changes of the list. Replacements are added to `places`.
+fn list_changes(struck: &[Struck], places: &mut Vec<Place>) -> Vec<Change> {
     let mut changes = Vec::new();
     for struck in struck {
-        let replaced = match struck.trouble.kind {
+        let is_replaced = match struck.trouble.kind {
             TroubleKind::Drain => false,
             TroubleKind::Replace => true,
             _ => continue,
         };
-        let same = struck.trouble.same_address.unwrap_or(false);
+        let same_address = struck.trouble.same_address.unwrap_or(false);
         for endpoint in &struck.endpoints {
             changes.push(Change { at: struck.from, endpoint: *endpoint, standing: Standing::Draining });
             changes.push(Change { at: struck.until, endpoint: *endpoint, standing: Standing::Gone });
             places[endpoint.0 as usize].gone = struck.until;
-            if replaced {
-                let old = places[endpoint.0 as usize].clone();
-                let new = EndpointId(places.len() as u32);
-                // At the old address the new one can only come when the old one has gone.
-                let from = if same { struck.until } else { struck.from };
-                let address = if same { old.address } else { new };
-                places.push(Place { endpoint: new, address, from, gone: Duration::MAX, ..old });
-                changes.push(Change { at: from, endpoint: new, standing: Standing::Ready });
+            if is_replaced {
+                let old_place = places[endpoint.0 as usize].clone();
+                let new_endpoint = EndpointId(places.len() as u32);
+                // At the old address, the new one can only start when the old one is gone.
+                let from = if same_address { struck.until } else { struck.from };
+                let address = if same_address { old_place.address } else { new_endpoint };
+                places.push(Place {
+                    endpoint: new_endpoint,
+                    address,
+                    from,
+                    gone: Duration::MAX,
+                    ..old_place
+                });
+                changes.push(Change { at: from, endpoint: new_endpoint, standing: Standing::Ready });
             }
         }
     }
@@ -315,7 +355,8 @@
     changes
 }
 
-fn origins(
+/// The planned packets: an even load, bursts, and the additional load of hot destinations.
+fn planned_packets(
     experiment: &Experiment,
     seed: u64,
     destinations: &[Destination],
@@ -323,56 +364,57 @@
 ) -> Vec<Origin> {
     let (load, span) = (&experiment.load, experiment.span.as_secs_f64());
     let mut rng = chance(seed, 2);
-    let mut nth = vec![0u32; experiment.destinations.len()];
+    let mut destination_count = vec![0u32; experiment.destinations.len()];
     let weights: Vec<f64> = destinations
         .iter()
         .map(|destination| {
-            nth[destination.group] += 1;
+            destination_count[destination.group] += 1;
             let group = &experiment.destinations[destination.group];
-            let of = |nth: u32| f64::from(nth).powf(-load.zipf);
-            let all: f64 = (1..=group.count as u32).map(of).sum();
-            group.weight * of(nth[destination.group]) / all
+            let zipf_weight = |rank: u32| f64::from(rank).powf(-load.zipf);
+            let total_weight: f64 = (1..=group.count as u32).map(zipf_weight).sum();
+            group.weight * zipf_weight(destination_count[destination.group]) / total_weight
         })
         .collect();
-    let Ok(pick) = WeightedIndex::new(&weights) else { return Vec::new() };
-    let mut wanted: Vec<(f64, usize)> = Vec::new();
-    let even = load.rate * (1.0 - load.clumped);
-    for at in poisson(&mut rng, even, 0.0, span) {
-        wanted.push((at, pick.sample(&mut rng)));
+    let Ok(destination_draw) = WeightedIndex::new(&weights) else { return Vec::new() };
+    let mut arrivals: Vec<(f64, usize)> = Vec::new();
+    let even_rate = load.rate * (1.0 - load.clumped);
+    for at in poisson_times(&mut rng, even_rate, 0.0, span) {
+        arrivals.push((at, destination_draw.sample(&mut rng)));
     }
-    for at in poisson(&mut rng, load.rate * load.clumped / load.clump.max(1) as f64, 0.0, span) {
-        let to = pick.sample(&mut rng);
-        wanted.extend((0..load.clump).map(|nth| (at + nth as f64 * 0.002, to)));
+    for at in poisson_times(&mut rng, load.rate * load.clumped / load.clump.max(1) as f64, 0.0, span) {
+        let destination = destination_draw.sample(&mut rng);
+        arrivals.extend((0..load.clump).map(|nth| (at + nth as f64 * 0.002, destination)));
     }
     for hot in struck.iter().filter(|struck| struck.trouble.kind == TroubleKind::Hot) {
-        let mut to: Vec<usize> =
-            hot.endpoints.iter().map(|e| place_of(destinations, experiment, *e)).collect();
-        to.dedup();
+        let mut targets: Vec<usize> =
+            hot.endpoints.iter().map(|e| destination_index(destinations, experiment, *e)).collect();
+        targets.dedup();
         let rate = load.rate * hot.trouble.share.unwrap_or(0.2);
         let until = hot.until.as_secs_f64().min(span);
-        for at in poisson(&mut rng, rate, hot.from.as_secs_f64(), until) {
-            wanted.push((at, to[rng.random_range(0..to.len())]));
+        for at in poisson_times(&mut rng, rate, hot.from.as_secs_f64(), until) {
+            arrivals.push((at, targets[rng.random_range(0..targets.len())]));
         }
     }
-    wanted.retain(|(at, _)| *at < span);
-    wanted.sort_by(|a, b| a.0.total_cmp(&b.0));
-    dress(experiment, seed, &wanted)
+    arrivals.retain(|(at, _)| *at < span);
+    arrivals.sort_by(|a, b| a.0.total_cmp(&b.0));
+    assign_attributes(experiment, seed, &arrivals)
 }
 
-/// Which destination an endpoint of the first fleet has, by its number.
-fn place_of(destinations: &[Destination], experiment: &Experiment, endpoint: EndpointId) -> usize {
-    let mut left = endpoint.0 as usize;
-    for (at, destination) in destinations.iter().enumerate() {
-        let own = experiment.destinations[destination.group].endpoints;
-        if left < own {
-            return at;
+/// Index of the destination of an endpoint among those that exist at the start.
+fn destination_index(destinations: &[Destination], experiment: &Experiment, endpoint: EndpointId) -> usize {
+    let mut remaining = endpoint.0 as usize;
+    for (index, destination) in destinations.iter().enumerate() {
+        let endpoint_count = experiment.destinations[destination.group].endpoints;
+        if remaining < endpoint_count {
+            return index;
         }
-        left -= own;
+        remaining -= endpoint_count;
     }
     0
 }
 
-fn poisson(rng: &mut ChaCha8Rng, rate: f64, from: f64, until: f64) -> Vec<f64> {
+/// The times of a Poisson process between two times, in seconds.
+fn poisson_times(rng: &mut ChaCha8Rng, rate: f64, from: f64, until: f64) -> Vec<f64> {
     let Ok(gap) = Exp::new(rate) else { return Vec::new() };
     let (mut at, mut times) = (from, Vec::new());
     loop {
@@ -384,50 +426,50 @@
     }
 }
 
-/// Category, customer, key and quota of each packet wanted.
-fn dress(experiment: &Experiment, seed: u64, wanted: &[(f64, usize)]) -> Vec<Origin> {
+/// Assigns a category, a customer, a key and the quota state to each planned packet.
+fn assign_attributes(experiment: &Experiment, seed: u64, arrivals: &[(f64, usize)]) -> Vec<Origin> {
     let mut rng = chance(seed, 3);
     let categories = WeightedIndex::new(experiment.categories.iter().map(|c| c.share)).ok();
     let customers = WeightedIndex::new(experiment.customers.iter().map(|c| c.share)).ok();
     let mut quotas: Vec<(f64, f64)> = experiment.customers.iter().map(|c| (c.quota, 0.0)).collect();
-    let mut origins = Vec::with_capacity(wanted.len());
-    for (at, to) in wanted {
+    let mut origins = Vec::with_capacity(arrivals.len());
+    for (at, destination) in arrivals {
         let category = categories.as_ref().map_or(0, |draw| draw.sample(&mut rng));
         let customer = customers.as_ref().map(|draw| draw.sample(&mut rng));
         let key = experiment.categories[category].in_order.then(|| {
             let key = rng.random_range(0..experiment.load.keys.max(1));
-            KeyId(key << 20 | *to as u64) // a key is about one thing at one destination
+            KeyId(key << 20 | *destination as u64) // a key belongs to one destination
         });
-        let over = customer.is_some_and(|customer| {
+        let over_quota = customer.is_some_and(|customer| {
             let quota = experiment.customers[customer].quota;
-            let (tokens, last) = &mut quotas[customer];
-            *tokens = (*tokens + (at - *last) * quota).min(quota.max(1.0));
-            *last = *at;
-            let over = *tokens < 1.0;
-            *tokens -= if over { 0.0 } else { 1.0 };
-            over
+            let (tokens, updated_at) = &mut quotas[customer];
+            *tokens = (*tokens + (at - *updated_at) * quota).min(quota.max(1.0));
+            *updated_at = *at;
+            let over_quota = *tokens < 1.0;
+            *tokens -= if over_quota { 0.0 } else { 1.0 };
+            over_quota
         });
         origins.push(Origin {
             at: Duration::from_micros((at * 1e6) as u64),
-            destination: DestinationId(*to as u64),
+            destination: DestinationId(*destination as u64),
             category: CategoryId(category),
             customer: customer.map(CustomerId),
             key,
-            over,
+            over_quota,
         });
     }
     origins
 }
 
-fn terms_late(experiment: &Experiment) -> Late {
+fn credit_decay(experiment: &Experiment) -> Late {
     match experiment.late {
         experiment::Late::Line => Late::Line,
         experiment::Late::Halves => Late::Halves,
     }
 }
 
-/// What each sender is told at its start.
-fn terms(experiment: &Experiment) -> Terms {
+/// The settings of each sender at its start.
+fn sender_terms(experiment: &Experiment) -> Terms {
     let senders = &experiment.senders;
     Terms {
         senders: senders.count,
@@ -465,8 +507,8 @@
             .collect(),
         rates_listed: senders.rates_listed,
         list_asked: None,
-        limits_told: true, // as the settings that a sender on sockets is given say
-        late: terms_late(experiment),
+        limits_told: true, // as in the settings of sender processes in sockets mode
+        late: credit_decay(experiment),
         back: Return {
             cold_from: experiment.rules.cold_from,
             cold: experiment.rules.cold,
--- a/crates/sailcart-lab/src/receivers/mod.rs
+++ b/crates/sailcart-lab/src/receivers/mod.rs
@@ -394,7 +394,8 @@
             return None;
         }
         let capacity_share = self.upstreams[state.upstream].recovery.capacity_share(now);
-        let pace = plan.destination(state.destination).pace.mul_f64(conditions.slow / capacity_share);
+        let service_time =
+            plan.destination(state.destination).service_time.mul_f64(conditions.slow / capacity_share);
         let variation =
             LogNormal::new(0.0, group.spread.max(0.0)).map_or(1.0, |draw| draw.sample(&mut self.rng));
         // A recognised repeat costs a quarter of the work; each further new packet of a call adds a quarter
@@ -403,7 +404,7 @@
         let work_factor = if new_packet_count == 0.0 { 0.25 } else { 1.0 + 0.25 * (new_packet_count - 1.0) };
         let server_free_at = state.free_at.iter_mut().min()?;
         let start = now.max(*server_free_at);
-        let finish = start + pace.mul_f64(variation * work_factor);
+        let finish = start + service_time.mul_f64(variation * work_factor);
         *server_free_at = finish;
         if start > now {
             state.queued_starts.push_back(start);
@@ -445,12 +446,12 @@
         }
         let mut free_at = state.free_at.clone();
         free_at.sort();
-        let pace = plan.destination(state.destination).pace;
-        let pace = pace.mul_f64(conditions.slow / upstream.recovery.capacity_share(now));
+        let service_time = plan.destination(state.destination).service_time;
+        let service_time = service_time.mul_f64(conditions.slow / upstream.recovery.capacity_share(now));
         // Calls in flight go first, each to the server that becomes free first.
-        let queueing_time = pace * (ahead / free_at.len()) as u32;
+        let queueing_time = service_time * (ahead / free_at.len()) as u32;
         let start = free_at[ahead % free_at.len()].max(now) + queueing_time;
-        Some(start + pace)
+        Some(start + service_time)
     }
 
     /// Index of the upstream of an endpoint; endpoints with the same one share a limit and a recovery.
--- a/crates/sailcart-lab/src/run.rs
+++ b/crates/sailcart-lab/src/run.rs
@@ -1,4 +1,4 @@
-//! One run of an experiment, in either mode.
+//! Runs an experiment once, in either mode.
 
 use std::io::IsTerminal;
 use std::path::Path;
@@ -13,49 +13,61 @@
 use crate::results::Outcome;
 use crate::{simulated, sockets};
 
-pub struct Order<'a> {
+/// What to run.
+pub struct RunRequest<'a> {
     pub experiment: Experiment,
     pub seed: u64,
     pub policy: PolicyName,
-    /// Where events are written, if they are.
+    /// Folder that events are written to, if any.
     pub events: Option<&'a Path>,
-    /// The sender's program, where it is not the one beside this program.
+    /// The sender executable; the one next to this program if absent. Used in sockets mode only.
     pub sender: Option<&'a Path>,
 }
 
-pub struct Played {
+/// A finished run.
+pub struct FinishedRun {
     pub outcome: Outcome,
-    /// On the clock of the experiment, and on that of the wall.
-    pub simulated: Duration,
-    pub took: Duration,
-    pub memory_mb: f64,
+    /// Time that passed on the clock of the experiment.
+    pub simulated_time: Duration,
+    /// Time that the run took on the wall clock.
+    pub wall_time: Duration,
+    /// Peak resident memory of this process, in MB.
+    pub peak_memory_mb: f64,
 }
 
-pub fn play(order: Order) -> Result<Played, Fault> {
+/// Runs an experiment.
+///
+/// # Errors
+///
+/// An invalid experiment, a baseline in sockets mode, an events file that cannot be created, or sender
+/// processes that cannot be run.
+pub fn execute(request: RunRequest) -> Result<FinishedRun, Fault> {
     let start = Instant::now();
-    let mode = order.experiment.mode;
-    let plan = Plan::new(order.experiment, order.seed)?;
-    let log = match order.events {
-        Some(folder) => Log::create(folder).map_err(|e| Fault(format!("events: {e}")))?,
+    let mode = request.experiment.mode;
+    let plan = Plan::new(request.experiment, request.seed)?;
+    let log = match request.events {
+        Some(folder) => {
+            Log::create(folder).map_err(|error| Fault(format!("cannot create events.jsonl.zst: {error}")))?
+        }
         None => Log::default(),
     };
-    let bar = bar(plan.end());
+    let bar = progress_bar(plan.end());
     let mut progress = |at: Duration| bar.set_position(at.as_millis() as u64);
     let outcome = match mode {
-        Mode::Virtual => simulated::run(&plan, order.policy, log, &mut progress),
-        Mode::Sockets if order.policy != PolicyName::Sailcart => {
-            return Err(Fault("--policy: baselines are played in virtual mode only".to_owned()));
+        Mode::Virtual => simulated::run(&plan, request.policy, log, &mut progress),
+        Mode::Sockets if request.policy != PolicyName::Sailcart => {
+            return Err(Fault("--policy: baselines run in virtual mode only".to_owned()));
         }
-        Mode::Sockets => sockets::run(&plan, log, order.sender, &mut progress)?,
+        Mode::Sockets => sockets::run(&plan, log, request.sender, &mut progress)?,
     };
     bar.finish_and_clear();
-    let memory = procfs::process::Process::myself().and_then(|own| own.status()).ok();
-    let memory_mb = memory.and_then(|status| status.vmhwm).unwrap_or(0) as f64 / 1000.0;
-    Ok(Played { outcome, simulated: plan.end(), took: start.elapsed(), memory_mb })
+    let status = procfs::process::Process::myself().and_then(|process| process.status()).ok();
+    let peak_memory_mb = status.and_then(|status| status.vmhwm).unwrap_or(0) as f64 / 1000.0;
+    Ok(FinishedRun { outcome, simulated_time: plan.end(), wall_time: start.elapsed(), peak_memory_mb })
 }
 
-/// On a terminal only.
-fn bar(end: Duration) -> ProgressBar {
+/// A progress bar, hidden unless standard error is a terminal.
+fn progress_bar(end: Duration) -> ProgressBar {
     if !std::io::stderr().is_terminal() {
         return ProgressBar::hidden();
     }
--- a/crates/sailcart-lab/src/shipped.rs
+++ b/crates/sailcart-lab/src/shipped.rs
@@ -1,4 +1,4 @@
-//! The experiments that come with the program, and words for what one does.
+//! The experiments that are built into the program, and a description of an experiment in words.
 
 use std::fmt::Write;
 
@@ -6,6 +6,7 @@
 
 macro_rules! shipped {
     ($($name:literal),* $(,)?) => {
+        /// All built-in experiments: name and file text.
         pub const ALL: &[(&str, &str)] =
             &[$(($name, include_str!(concat!("../experiments/", $name, ".toml")))),*];
     };
@@ -31,43 +32,48 @@
     "steady",
 );
 
+/// Describes an experiment in words, one line per part.
+///
+/// # Errors
+///
+/// Troubles that refer to unknown ones, or to each other in a cycle.
 pub fn explain(experiment: &Experiment) -> Result<String, Fault> {
     let mut text = String::new();
     let senders = &experiment.senders;
     let _ = writeln!(text, "{}: {}", experiment.name, experiment.about);
     let _ = writeln!(
         text,
-        "\n{} senders with {} slots each, holding {} packets; {:.0} packets a second for {:?}.",
+        "\n{} senders, each with {} slots and up to {} held packets; {:.0} packets per second for {:?}.",
         senders.count, senders.slots, senders.hold, experiment.load.rate, experiment.span
     );
     for category in &experiment.categories {
-        let order = if category.in_order { ", in order by key" } else { "" };
+        let order = if category.in_order { ", in order per key" } else { "" };
         let _ = writeln!(
             text,
-            "Category {}: {:?}{order}, wanted within {:?}, given up after {:?}.",
+            "Category {}: {:?}{order}, soft limit {:?}, patience {:?}.",
             category.name, category.repeat, category.soft_limit, category.patience
         );
     }
     for group in &experiment.destinations {
         let limit = match group.limit.by {
-            LimitBy::None => "no limit but its capacity".to_owned(),
-            LimitBy::Rate => format!("{} calls a second", group.limit.rate),
+            LimitBy::None => "no limit other than its capacity".to_owned(),
+            LimitBy::Rate => format!("at most {} calls per second", group.limit.rate),
             LimitBy::Span => {
-                format!("{} calls a second, counted in each {:?}", group.limit.rate, group.limit.span)
+                format!("at most {} calls per second, counted per {:?}", group.limit.rate, group.limit.span)
             }
         };
         let _ = writeln!(
             text,
-            "{} x {}: {} endpoints, answers in about {:?}, {limit}.",
+            "{} x {}: {} endpoints each, median service time {:?}, {limit}.",
             group.count, group.name, group.endpoints, group.pace
         );
     }
-    for (trouble, at) in experiment.troubles.iter().zip(begins(experiment)?) {
-        let whom = trouble.destinations.as_deref().unwrap_or("all");
-        let _ = writeln!(text, "At {at:?} for {:?}: {:?} ({whom}).", trouble.lasts, trouble.kind);
+    for (trouble, starts_at) in experiment.troubles.iter().zip(begins(experiment)?) {
+        let target = trouble.destinations.as_deref().unwrap_or("all");
+        let _ = writeln!(text, "At {starts_at:?} for {:?}: {:?} ({target}).", trouble.lasts, trouble.kind);
     }
     if !experiment.bounds.is_empty() {
-        let _ = writeln!(text, "It must hold that {}.", experiment.bounds.join(" and "));
+        let _ = writeln!(text, "Required: {}.", experiment.bounds.join(" and "));
     }
     Ok(text)
 }
