--- a/crates/sailcart-lab/src/experiment/mod.rs
+++ b/crates/sailcart-lab/src/experiment/mod.rs
@@ -1,5 +1,5 @@
 //! An experiment file: senders, destinations, load, troubles and bounds. Reading rejects unknown keys by name
-//! and validates the values in [`check`]; a [`crate::plan::Plan`] is then made of it before anything runs.
+//! and validates the values in `check`; a [`crate::plan::Plan`] is then made of it before anything runs.
 
 mod check;
 mod keys;
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, clap::ValueEnum)]
 #[serde(rename_all = "lowercase")]
 pub enum Mode {
-    /// The module itself, in simulated time.
+    /// The sailcart crate, in simulated time.
     #[default]
     Virtual,
     /// Sender processes on the loopback interface, in real time.
@@ -71,6 +71,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Senders {
+    /// Number of senders.
     pub count: usize,
     /// Maximum number of calls in flight, per sender.
     pub slots: usize,
--- a/crates/sailcart-lab/src/plan.rs
+++ b/crates/sailcart-lab/src/plan.rs
@@ -45,8 +45,9 @@
     pub destination: DestinationId,
     /// The endpoint whose address it has: itself, or the one that it replaces.
     pub address: EndpointId,
-    /// When it is added and when it is removed.
+    /// When it is added.
     pub from: Duration,
+    /// When it is removed; [`Duration::MAX`] if never.
     pub gone: Duration,
 }
 
@@ -76,12 +77,12 @@
 }
 
 impl Struck {
-    /// The deaths of senders that the trouble causes: when, which, and for how long. With `every`, each
-    /// sender dies once per interval, evenly distributed over it.
+    /// When senders die of the trouble, which ones, and for how long. With `every`, each sender dies once per
+    /// interval, spread evenly over it, until the trouble ends.
     pub fn deaths(&self, restart: Duration) -> Vec<(Duration, SenderId, Duration)> {
         let Some(every) = self.trouble.every else {
-            let down = (self.until - self.from).max(restart);
-            return self.senders.iter().map(|sender| (self.from, *sender, down)).collect();
+            let downtime = (self.until - self.from).max(restart);
+            return self.senders.iter().map(|sender| (self.from, *sender, downtime)).collect();
         };
         let mut deaths = Vec::new();
         let (mut interval_start, count) = (self.from, self.senders.len() as u32);
@@ -158,18 +159,38 @@
         Ok(Plan { experiment, seed, terms, destinations, places, struck, changes, origins })
     }
 
+    /// The destination with this id.
+    ///
+    /// # Panics
+    ///
+    /// The plan has no such destination.
     pub fn destination(&self, id: DestinationId) -> &Destination {
         &self.destinations[id.0 as usize]
     }
 
+    /// The endpoint with this id.
+    ///
+    /// # Panics
+    ///
+    /// The plan has no such endpoint.
     pub fn place(&self, id: EndpointId) -> &Place {
         &self.places[id.0 as usize]
     }
 
+    /// The category with this id.
+    ///
+    /// # Panics
+    ///
+    /// The experiment has no such category.
     pub fn category(&self, id: CategoryId) -> &experiment::Category {
         &self.experiment.categories[id.0]
     }
 
+    /// The group that a destination belongs to.
+    ///
+    /// # Panics
+    ///
+    /// The plan has no such destination.
     pub fn group(&self, id: DestinationId) -> &experiment::Destinations {
         &self.experiment.destinations[self.destination(id).group]
     }
@@ -206,11 +227,11 @@
         let stream = (sender.0 as u64) << 32 | u64::from(change.endpoint.0) << 2 | change.standing as u64;
         let delay_share = chance(self.seed ^ 0x115f, stream).random::<f64>();
         let mut at = change.at + self.experiment.network.list_delay.mul_f64(delay_share);
-        for struck in &self.struck {
+        for scheduled in &self.struck {
             let is_silent =
-                struck.trouble.kind == TroubleKind::ListSilent && struck.senders.contains(&sender);
-            if is_silent && struck.stands(at) {
-                at = struck.until;
+                scheduled.trouble.kind == TroubleKind::ListSilent && scheduled.senders.contains(&sender);
+            if is_silent && scheduled.stands(at) {
+                at = scheduled.until;
             }
         }
         at
@@ -321,24 +342,24 @@
 }
 
 /// The changes of the list. Replacements are added to `places`.
-fn list_changes(struck: &[Struck], places: &mut Vec<Place>) -> Vec<Change> {
+fn list_changes(scheduled_troubles: &[Struck], places: &mut Vec<Place>) -> Vec<Change> {
     let mut changes = Vec::new();
-    for struck in struck {
-        let is_replaced = match struck.trouble.kind {
+    for scheduled in scheduled_troubles {
+        let is_replaced = match scheduled.trouble.kind {
             TroubleKind::Drain => false,
             TroubleKind::Replace => true,
             _ => continue,
         };
-        let same_address = struck.trouble.same_address.unwrap_or(false);
-        for endpoint in &struck.endpoints {
-            changes.push(Change { at: struck.from, endpoint: *endpoint, standing: Standing::Draining });
-            changes.push(Change { at: struck.until, endpoint: *endpoint, standing: Standing::Gone });
-            places[endpoint.0 as usize].gone = struck.until;
+        let same_address = scheduled.trouble.same_address.unwrap_or(false);
+        for endpoint in &scheduled.endpoints {
+            changes.push(Change { at: scheduled.from, endpoint: *endpoint, standing: Standing::Draining });
+            changes.push(Change { at: scheduled.until, endpoint: *endpoint, standing: Standing::Gone });
+            places[endpoint.0 as usize].gone = scheduled.until;
             if is_replaced {
                 let old_place = places[endpoint.0 as usize].clone();
                 let new_endpoint = EndpointId(places.len() as u32);
                 // At the old address, the new one can only start when the old one is gone.
-                let from = if same_address { struck.until } else { struck.from };
+                let from = if same_address { scheduled.until } else { scheduled.from };
                 let address = if same_address { old_place.address } else { new_endpoint };
                 places.push(Place {
                     endpoint: new_endpoint,
@@ -360,7 +381,7 @@
     experiment: &Experiment,
     seed: u64,
     destinations: &[Destination],
-    struck: &[Struck],
+    scheduled_troubles: &[Struck],
 ) -> Vec<Origin> {
     let (load, span) = (&experiment.load, experiment.span.as_secs_f64());
     let mut rng = chance(seed, 2);
@@ -385,7 +406,7 @@
         let destination = destination_draw.sample(&mut rng);
         arrivals.extend((0..load.clump).map(|nth| (at + nth as f64 * 0.002, destination)));
     }
-    for hot in struck.iter().filter(|struck| struck.trouble.kind == TroubleKind::Hot) {
+    for hot in scheduled_troubles.iter().filter(|scheduled| scheduled.trouble.kind == TroubleKind::Hot) {
         let mut targets: Vec<usize> =
             hot.endpoints.iter().map(|e| destination_index(destinations, experiment, *e)).collect();
         targets.dedup();
@@ -400,7 +421,7 @@
     assign_attributes(experiment, seed, &arrivals)
 }
 
-/// Index of the destination of an endpoint among those that exist at the start.
+/// Index of the destination of an endpoint that exists at the start; 0 for a later one.
 fn destination_index(destinations: &[Destination], experiment: &Experiment, endpoint: EndpointId) -> usize {
     let mut remaining = endpoint.0 as usize;
     for (index, destination) in destinations.iter().enumerate() {
@@ -461,6 +482,7 @@
     origins
 }
 
+/// The decay of credit as a setting of the sender.
 fn credit_decay(experiment: &Experiment) -> Late {
     match experiment.late {
         experiment::Late::Line => Late::Line,
--- a/crates/sailcart-lab/src/policies/baseline.rs
+++ b/crates/sailcart-lab/src/policies/baseline.rs
@@ -1,7 +1,7 @@
-//! The baselines that the module is measured against. A baseline tracks no Retry-After waits (except for the
-//! oracle), does not protect recovering destinations and does not learn limits. It does what every careful
-//! client does: one completion per packet, no second copy in flight, nothing to endpoints that are not
-//! listed.
+//! The baselines that the `sailcart` crate is measured against. A baseline tracks no Retry-After waits
+//! (except for the oracle), does not protect recovering destinations and does not learn limits. It does what
+//! every careful client does: one completion per packet, no second copy in flight, nothing to endpoints that
+//! are not listed.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -31,6 +31,7 @@
     InFlight(EndpointId),
 }
 
+/// A packet that has not completed.
 struct TrackedPacket {
     packet: Packet,
     state: PacketState,
@@ -39,12 +40,13 @@
     deduplicated_until: Option<Duration>,
 }
 
+/// What a baseline tracks of an endpoint.
 #[derive(Default)]
 struct EndpointState {
     destination: Option<DestinationId>,
     live: bool,
     in_flight: usize,
-    failures: u32,
+    consecutive_failures: u32,
     breaker_open_until: Duration,
 }
 
@@ -52,9 +54,9 @@
     /// Records the outcome of a call; consecutive failures open the breaker.
     fn record_outcome(&mut self, now: Duration, outcome: Outcome) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        self.failures = if outcome == Outcome::Done { 0 } else { self.failures + 1 };
-        if self.failures >= BREAKER_FAILURES_AND_OPEN_TIME.0 {
-            (self.breaker_open_until, self.failures) =
+        self.consecutive_failures = if outcome == Outcome::Done { 0 } else { self.consecutive_failures + 1 };
+        if self.consecutive_failures >= BREAKER_FAILURES_AND_OPEN_TIME.0 {
+            (self.breaker_open_until, self.consecutive_failures) =
                 (now + BREAKER_FAILURES_AND_OPEN_TIME.1, BREAKER_FAILURES_AND_OPEN_TIME.0 - 1);
         }
     }
@@ -72,6 +74,7 @@
     /// Until when each destination asked for no calls. Only the oracle obeys it: it would otherwise come out
     /// best by breaking a rule.
     retry_after_until: BTreeMap<DestinationId, Duration>,
+    /// The packets of each key in their order, and until when the key is blocked.
     key_queues: BTreeMap<sailcart::KeyId, (VecDeque<PacketId>, Duration)>,
     in_flight: usize,
 }
@@ -93,6 +96,8 @@
         }
     }
 
+    /// Time from which no dispatch of a packet is started: shortly before its deadline or, if it may have
+    /// been executed, before its receiver stops recognising repeats.
     fn last_dispatch_at(&self, tracked: &TrackedPacket) -> Duration {
         let patience = self.terms.categories[tracked.packet.category.0].patience;
         let last_dispatch_at = tracked.packet.ends.saturating_sub(patience / FINAL_PATIENCE_DIVISOR);
@@ -101,6 +106,8 @@
         })
     }
 
+    /// Fails a packet: scraps it if it may have been executed and must not be repeated, otherwise dismisses
+    /// it.
     fn fail_packet(&mut self, id: PacketId, host: &mut dyn Host) {
         let Some(tracked) = self.packets.remove(&id) else { return };
         let repeat = self.terms.categories[tracked.packet.category.0].repeat;
@@ -122,6 +129,7 @@
         }
     }
 
+    /// Whether a packet is next in the order of its key, and the key is not blocked.
     fn is_first_of_key(&self, now: Duration, packet: &Packet) -> bool {
         let in_order = self.terms.categories[packet.category.0].in_order;
         let key_queue = packet.key.filter(|_| in_order).and_then(|key| self.key_queues.get(&key));
@@ -130,19 +138,20 @@
         })
     }
 
+    /// Chooses an endpoint for a call, and for the oracle the time after which it regards the answer as lost.
     fn choose_endpoint(
         &mut self,
         now: Duration,
-        to: DestinationId,
+        destination: DestinationId,
         additional: usize,
         view: &dyn OracleView,
     ) -> Option<(EndpointId, Option<Duration>)> {
         let live: Vec<EndpointId> =
-            self.endpoints_by_destination.get(&to).into_iter().flatten().copied().collect();
+            self.endpoints_by_destination.get(&destination).into_iter().flatten().copied().collect();
         let live: Vec<EndpointId> = live.into_iter().filter(|id| self.endpoints[id].live).collect();
         match self.name {
             PolicyName::Oracle => {
-                if self.retry_after_until.get(&to).is_some_and(|until| *until > now) {
+                if self.retry_after_until.get(&destination).is_some_and(|until| *until > now) {
                     return None;
                 }
                 let finish_time =
@@ -183,7 +192,7 @@
         let recognised_until = now.saturating_sub(elapsed).saturating_add(deduplication_window);
         if let Some(tracked) = self.packets.get_mut(&packet.id) {
             tracked.deduplicated_until = Some(
-                tracked.deduplicated_until.map_or(recognised_until, |before| before.min(recognised_until)),
+                tracked.deduplicated_until.map_or(recognised_until, |earlier| earlier.min(recognised_until)),
             );
         }
         if let Some((_, blocked_until)) = packet.key.and_then(|key| self.key_queues.get_mut(&key)) {
@@ -204,11 +213,11 @@
 
     /// Timeout of a call, at most `answer_timeout` if given.
     fn timeout(&self, now: Duration, packet: &Packet, answer_timeout: Option<Duration>) -> Duration {
-        let left = packet.ends.saturating_sub(now);
+        let remaining = packet.ends.saturating_sub(now);
         let category = self.terms.categories[packet.category.0];
         let timeout = match category.repeat {
-            Repeat::Unrepeatable => left,
-            _ => left.min(category.patience / 3),
+            Repeat::Unrepeatable => remaining,
+            _ => remaining.min(category.patience / 3),
         };
         answer_timeout.map_or(timeout, |answer_timeout| timeout.min(answer_timeout))
     }
@@ -223,6 +232,7 @@
         self.endpoints.entry(endpoint).or_default().in_flight += 1;
     }
 
+    /// When a failed packet may be dispatched again.
     fn next_attempt_at(&mut self, now: Duration, dispatches: u32) -> Duration {
         match self.name {
             PolicyName::Backoff => {
--- a/crates/sailcart-lab/src/policies/mod.rs
+++ b/crates/sailcart-lab/src/policies/mod.rs
@@ -1,4 +1,4 @@
-//! Policies: what makes the decisions of a sender in virtual mode, either the module itself or one of the
+//! Policies: what makes the decisions of a sender in virtual mode, either the `sailcart` crate or one of the
 //! baselines that it is measured against.
 
 mod baseline;
@@ -16,7 +16,7 @@
 /// A policy, under the name that the command line and results use.
 #[serde(rename_all = "kebab-case")]
 pub enum PolicyName {
-    /// The module itself.
+    /// The sailcart crate.
     #[default]
     Sailcart,
     /// One dispatch per packet, in order of arrival.
@@ -31,7 +31,7 @@
 }
 
 impl PolicyName {
-    /// All policies, the module first.
+    /// All policies, starting with the sailcart crate.
     pub const ALL: [PolicyName; 5] = [
         PolicyName::Sailcart,
         PolicyName::OneTry,
@@ -76,7 +76,7 @@
     fn decide(&mut self, now: Duration, view: &dyn OracleView, host: &mut dyn Host);
 }
 
-/// Adapter that passes a `dyn Host` to the module, which takes a sized host.
+/// Adapter that passes a `dyn Host` to [`Sender::decide`], which takes a sized host.
 struct DynHost<'a>(&'a mut dyn Host);
 
 impl Host for DynHost<'_> {
--- a/crates/sailcart-lab/src/receivers/mod.rs
+++ b/crates/sailcart-lab/src/receivers/mod.rs
@@ -64,7 +64,7 @@
     Full(Option<Duration>),
     /// The connection breaks.
     Reset,
-    /// One answer per packet, where they differ, and a wait for the deferred ones.
+    /// One answer per packet, where they differ, and a wait that applies like that of `Full`.
     Mixed(Vec<PieceAnswer>, Option<Duration>),
     /// The packets took effect, but the answer is malformed.
     Spoilt(Spoil),
@@ -131,7 +131,7 @@
     upstream: usize,
     /// When each of its servers becomes free.
     free_at: Vec<Duration>,
-    /// Start times of calls that wait in the queue.
+    /// Start times of the calls that wait, or have waited, in the queue.
     queued_starts: VecDeque<Duration>,
     connections: usize,
 }
@@ -192,8 +192,8 @@
             return Connect::Never;
         }
         let is_available = place.from <= now && now < place.gone;
-        let fallen = self.upstreams[state.upstream].recovery.fallen();
-        if !is_available || conditions.down || fallen || state.connections >= group.connections {
+        let has_failed = self.upstreams[state.upstream].recovery.has_failed();
+        if !is_available || conditions.down || has_failed || state.connections >= group.connections {
             return Connect::Refused;
         }
         state.connections += 1;
@@ -209,8 +209,8 @@
     /// Whether open connections to an endpoint still work.
     pub fn reachable(&self, plan: &Plan, now: Duration, endpoint: EndpointId) -> bool {
         let place = plan.place(endpoint);
-        let fallen = self.upstreams[self.endpoints[endpoint.0 as usize].upstream].recovery.fallen();
-        now < place.gone && !fallen && !self.troubles.at(now, endpoint).down
+        let has_failed = self.upstreams[self.endpoints[endpoint.0 as usize].upstream].recovery.has_failed();
+        now < place.gone && !has_failed && !self.troubles.at(now, endpoint).down
     }
 
     /// When the conditions of an endpoint next change.
--- a/crates/sailcart-lab/src/receivers/recovery.rs
+++ b/crates/sailcart-lab/src/receivers/recovery.rs
@@ -16,13 +16,13 @@
     outages: Vec<(Duration, Duration)>,
     /// Arrival times of the calls within the last `rules.fall`.
     recent_calls: VecDeque<Duration>,
-    fallen: bool,
+    has_failed: bool,
 }
 
 impl Recovery {
     /// Creates the state of a destination with this capacity in calls per second and these outages.
     pub fn new(rules: &Rules, capacity: f64, outages: Vec<(Duration, Duration)>) -> Self {
-        Recovery { rules: rules.clone(), capacity, outages, recent_calls: VecDeque::new(), fallen: false }
+        Recovery { rules: rules.clone(), capacity, outages, recent_calls: VecDeque::new(), has_failed: false }
     }
 
     /// Time since the end of the last outage, if the destination is still warming up.
@@ -35,8 +35,8 @@
     /// The share of its capacity that the destination has at present, 1 when warm.
     pub fn capacity_share(&self, now: Duration) -> f64 {
         self.warming_up_for(now).map_or(1.0, |elapsed| {
-            let warm = elapsed.as_secs_f64() / self.rules.cold.as_secs_f64();
-            self.rules.cold_from + (1.0 - self.rules.cold_from) * warm
+            let warmed_up_share = elapsed.as_secs_f64() / self.rules.cold.as_secs_f64();
+            self.rules.cold_from + (1.0 - self.rules.cold_from) * warmed_up_share
         })
     }
 
@@ -59,8 +59,8 @@
             self.recent_calls.pop_front();
         }
         self.recent_calls.push_back(now);
-        self.fallen = self.recent_calls.len() as f64 > self.max_recent_calls(now) + 1e-9;
-        self.fallen
+        self.has_failed = self.recent_calls.len() as f64 > self.max_recent_calls(now) + 1e-9;
+        self.has_failed
     }
 
     /// Whether one more call after `ahead` others stays below 80 % of the calls that would make the
@@ -72,7 +72,7 @@
     }
 
     /// Whether the destination failed under overload. It then stays down.
-    pub fn fallen(&self) -> bool {
-        self.fallen
+    pub fn has_failed(&self) -> bool {
+        self.has_failed
     }
 }
--- a/crates/sailcart-lab/src/simulated/call.rs
+++ b/crates/sailcart-lab/src/simulated/call.rs
@@ -41,6 +41,7 @@
         Call { sender, endpoint, packets, started_at, stage: Stage::Connecting, holds_connection: false }
     }
 
+    /// How far the call has progressed.
     pub fn stage(&self) -> &Stage {
         &self.stage
     }
--- a/crates/sailcart-lab/src/simulated/schedule.rs
+++ b/crates/sailcart-lab/src/simulated/schedule.rs
@@ -69,9 +69,9 @@
 
 /// Adds the deaths of senders and their restarts.
 fn schedule_kills(scheduled: &Struck, queue: &mut Queue<Event>) {
-    for (at, sender, down) in scheduled.deaths(RESTART_TIME) {
+    for (at, sender, downtime) in scheduled.deaths(RESTART_TIME) {
         queue.push(at, Event::Kill(sender));
-        queue.push(at + down, Event::Start(sender));
+        queue.push(at + downtime, Event::Start(sender));
     }
 }
 
