--- a/crates/sailcart-drill/src/instance.rs
+++ b/crates/sailcart-drill/src/instance.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use sailcart::{
-    CategoryId, CustomerId, DestinationId, EndpointId, Host, KeyId, KindId, Listing, Outcome, Packet,
+    CategoryId, CustomerId, DestinationId, EndpointId, Host, KeyId, KindId, ListEntry, Outcome, Packet,
     PacketId, Sender,
 };
 use sailcart_terms::{Fault, Names, read_milliseconds, read_number, read_text};
@@ -111,7 +111,7 @@
     pub fn update_list(&mut self, wall_time: Duration, full: bool, entries: &[Entry]) -> Result<(), Fault> {
         let mut listings = Vec::with_capacity(entries.len());
         for entry in entries {
-            listings.push(Listing {
+            listings.push(ListEntry {
                 endpoint: self.ids.endpoint(&entry.endpoint),
                 destination: DestinationId(entry.destination),
                 kind: KindId(position(&self.names.kinds, &entry.kind, "type")?),
--- a/crates/sailcart-lab/src/capacity/hollow.rs
+++ b/crates/sailcart-lab/src/capacity/hollow.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, Instant};
 
 use sailcart::{
-    Category, CategoryId, DestinationId, EndpointId, Host, Kind, KindId, Listing, Outcome, Packet, PacketId,
-    Repeat, Return, Sender, Terms,
+    Category, CategoryId, DestinationId, EndpointId, Host, Kind, KindId, ListEntry, Outcome, Packet,
+    PacketId, RecoveryProfile, Repeat, Sender, Settings,
 };
 
 use super::series::{Gathered, Quantity};
@@ -62,7 +62,7 @@
     next: u64,
 }
 
-fn terms() -> Terms {
+fn terms() -> Settings {
     let category = Category {
         repeat: Repeat::Idempotent,
         in_order: false,
@@ -71,7 +71,7 @@
         credit: 1.0,
         late_share: 0.5,
     };
-    Terms {
+    Settings {
         senders: SENDERS,
         slots: 64,
         hold: 100_000,
@@ -81,13 +81,13 @@
         categories: vec![category],
         over_share: 1.0,
         kinds: vec![Kind { own_limits: false, batch: 1 }],
-        back: Return { cold_from: 0.3, cold: Duration::from_secs(10), fall_multiple: 1.5 },
-        ..Terms::default()
+        back: RecoveryProfile { cold_from: 0.3, cold: Duration::from_secs(10), fall_multiple: 1.5 },
+        ..Settings::default()
     }
 }
 
-fn listing(number: u64, live: bool) -> Listing {
-    Listing {
+fn listing(number: u64, live: bool) -> ListEntry {
+    ListEntry {
         endpoint: EndpointId(number as u32),
         destination: DestinationId(number),
         kind: KindId(0),
@@ -137,14 +137,14 @@
     }
 
     /// Takes a list that was drawn up before.
-    fn list(&mut self, lines: &[Listing]) {
+    fn list(&mut self, lines: &[ListEntry]) {
         self.sender.list(self.now, true, lines);
     }
 }
 
 impl Driven for Hollow {
     fn whole(&mut self, destinations: u64) {
-        let lines: Vec<Listing> = (0..destinations).map(|number| listing(number, true)).collect();
+        let lines: Vec<ListEntry> = (0..destinations).map(|number| listing(number, true)).collect();
         self.list(&lines);
     }
 
@@ -184,7 +184,7 @@
 }
 
 fn measure_one(size: usize, sizes: &Sizes, gathered: &mut Gathered) -> Result<Vec<Hollow>, Fault> {
-    let lines: Vec<Listing> = (0..size as u64).map(|number| listing(number, true)).collect();
+    let lines: Vec<ListEntry> = (0..size as u64).map(|number| listing(number, true)).collect();
     let count = (ALL_DESTINATIONS / size.max(1)).clamp(1, MOST_SENDERS);
     let before = resident()?;
     let mut all: Vec<Hollow> = (0..count).map(|_| Hollow::default()).collect();
--- a/crates/sailcart-lab/src/plan.rs
+++ b/crates/sailcart-lab/src/plan.rs
@@ -11,7 +11,8 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Exp, LogNormal};
 use sailcart::{
-    CategoryId, CustomerId, DestinationId, EndpointId, KeyId, KindId, Late, Listing, Return, Terms,
+    CategoryId, CreditDecay, CustomerId, DestinationId, EndpointId, KeyId, KindId, ListEntry,
+    RecoveryProfile, Settings,
 };
 
 use crate::experiment::{self, Experiment, Fault, Repeat, Trouble, TroubleKind, begins};
@@ -110,7 +111,7 @@
 pub struct Plan {
     pub experiment: Experiment,
     pub seed: u64,
-    pub terms: Terms,
+    pub terms: Settings,
     pub destinations: Vec<Destination>,
     pub places: Vec<Place>,
     pub struck: Vec<Struck>,
@@ -161,15 +162,15 @@
         self.experiment.kinds[self.destination(id).kind.0].own_limits
     }
 
-    pub fn listing(&self, endpoint: EndpointId, live: bool) -> Listing {
+    pub fn listing(&self, endpoint: EndpointId, live: bool) -> ListEntry {
         let place = self.place(endpoint);
         let destination = self.destination(place.destination);
         let rate = if self.experiment.senders.rates_listed { destination.rate } else { 0.0 };
-        Listing { endpoint, destination: place.destination, kind: destination.kind, live, rate }
+        ListEntry { endpoint, destination: place.destination, kind: destination.kind, live, rate }
     }
 
     /// The list as it stands at a time.
-    pub fn list_at(&self, now: Duration) -> Vec<Listing> {
+    pub fn list_at(&self, now: Duration) -> Vec<ListEntry> {
         let mut live: BTreeMap<EndpointId, bool> =
             self.places.iter().filter(|p| p.from.is_zero()).map(|p| (p.endpoint, true)).collect();
         for change in self.changes.iter().take_while(|change| change.at <= now) {
@@ -212,11 +213,11 @@
         let soft = category.soft_limit.as_secs_f64();
         let share = match terms_late(&self.experiment) {
             _ if late == 0.0 => 1.0,
-            Late::Line => {
+            CreditDecay::Linear => {
                 let most = (category.patience - category.soft_limit).as_secs_f64().max(1e-6);
                 1.0 - (1.0 - category.late_share) * late / most
             }
-            Late::Halves => 0.5f64.powf(late / soft).max(category.late_share),
+            CreditDecay::Halving => 0.5f64.powf(late / soft).max(category.late_share),
         };
         share * self.whole_credit(origin)
     }
@@ -419,17 +420,17 @@
     origins
 }
 
-fn terms_late(experiment: &Experiment) -> Late {
+fn terms_late(experiment: &Experiment) -> CreditDecay {
     match experiment.late {
-        experiment::Late::Line => Late::Line,
-        experiment::Late::Halves => Late::Halves,
+        experiment::Late::Line => CreditDecay::Linear,
+        experiment::Late::Halves => CreditDecay::Halving,
     }
 }
 
 /// What each sender is told at its start.
-fn terms(experiment: &Experiment) -> Terms {
+fn terms(experiment: &Experiment) -> Settings {
     let senders = &experiment.senders;
-    Terms {
+    Settings {
         senders: senders.count,
         slots: senders.slots,
         hold: senders.hold,
@@ -467,7 +468,7 @@
         list_asked: None,
         limits_told: true, // as the settings that a sender on sockets is given say
         late: terms_late(experiment),
-        back: Return {
+        back: RecoveryProfile {
             cold_from: experiment.rules.cold_from,
             cold: experiment.rules.cold,
             fall_multiple: experiment.rules.fall_multiple,
--- a/crates/sailcart-lab/src/policies/baseline.rs
+++ b/crates/sailcart-lab/src/policies/baseline.rs
@@ -7,7 +7,7 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use sailcart::{DestinationId, EndpointId, Host, Listing, Outcome, Packet, PacketId, Repeat, Terms};
+use sailcart::{DestinationId, EndpointId, Host, ListEntry, Outcome, Packet, PacketId, Repeat, Settings};
 
 use super::{OracleView, Policy, PolicyName};
 
@@ -59,7 +59,7 @@
 /// One sender that decides by a baseline.
 pub struct Baseline {
     name: PolicyName,
-    terms: Terms,
+    terms: Settings,
     rng: ChaCha8Rng,
     packets: BTreeMap<PacketId, Kept>,
     line: VecDeque<PacketId>,
@@ -73,7 +73,7 @@
 
 impl Baseline {
     /// A sender at its start; `name` is one of the baselines.
-    pub fn new(name: PolicyName, terms: Terms, seed: u64) -> Self {
+    pub fn new(name: PolicyName, terms: Settings, seed: u64) -> Self {
         Baseline {
             name,
             terms,
@@ -218,7 +218,7 @@
 }
 
 impl Policy for Baseline {
-    fn list(&mut self, _: Duration, whole: bool, lines: &[Listing]) {
+    fn list(&mut self, _: Duration, whole: bool, lines: &[ListEntry]) {
         if whole {
             self.endpoints.values_mut().for_each(|seen| seen.live = false);
         }
--- a/crates/sailcart-lab/src/policies/mod.rs
+++ b/crates/sailcart-lab/src/policies/mod.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use sailcart::{EndpointId, Host, Listing, Outcome, Packet, PacketId, Report, Sender, Terms};
+use sailcart::{EndpointId, Host, LimitReport, ListEntry, Outcome, Packet, PacketId, Sender, Settings};
 use serde::{Deserialize, Serialize};
 
 pub use baseline::Baseline;
@@ -60,13 +60,13 @@
 /// One sender's decisions; the calls of [`Sender`], and what a baseline needs in their place.
 pub trait Policy {
     /// The list of endpoints, or changes of it, as [`Sender::list`] hears them.
-    fn list(&mut self, now: Duration, whole: bool, lines: &[Listing]);
+    fn list(&mut self, now: Duration, whole: bool, lines: &[ListEntry]);
     /// A packet that a client handed in, or that the journal held at the start.
     fn take(&mut self, now: Duration, packet: Packet);
     /// How a dispatch came back after `elapsed`; `over` if the packet has its end.
     fn outcome(&mut self, now: Duration, id: PacketId, elapsed: Duration, outcome: Outcome, over: bool);
     /// What the answer of a dispatch tells of the limit, before its outcome. No baseline heeds it.
-    fn report(&mut self, _: PacketId, _: Report) {}
+    fn report(&mut self, _: PacketId, _: LimitReport) {}
     /// Asked before the first byte of a call that waited for its connection.
     fn may_still_go(&self, now: Duration, id: PacketId) -> bool;
     fn decide(&mut self, now: Duration, view: &dyn OracleView, host: &mut dyn Host);
@@ -106,7 +106,7 @@
 }
 
 impl Policy for Sender {
-    fn list(&mut self, now: Duration, whole: bool, lines: &[Listing]) {
+    fn list(&mut self, now: Duration, whole: bool, lines: &[ListEntry]) {
         Sender::list(self, now, whole, lines);
     }
 
@@ -118,7 +118,7 @@
         Sender::outcome(self, now, id, elapsed, outcome, over);
     }
 
-    fn report(&mut self, id: PacketId, report: Report) {
+    fn report(&mut self, id: PacketId, report: LimitReport) {
         Sender::report(self, id, report);
     }
 
@@ -132,7 +132,7 @@
 }
 
 /// A sender's decisions at its start.
-pub fn start(name: PolicyName, terms: &Terms, seed: u64) -> Box<dyn Policy> {
+pub fn start(name: PolicyName, terms: &Settings, seed: u64) -> Box<dyn Policy> {
     match name {
         PolicyName::Sailcart => Box::new(Sender::new(terms.clone(), seed)),
         other => Box::new(Baseline::new(other, terms.clone(), seed)),
--- a/crates/sailcart-lab/src/receivers/mod.rs
+++ b/crates/sailcart-lab/src/receivers/mod.rs
@@ -13,7 +13,7 @@
 use rand::prelude::Distribution;
 use rand_chacha::ChaCha8Rng;
 use rand_distr::LogNormal;
-use sailcart::{DestinationId, EndpointId, Report};
+use sailcart::{DestinationId, EndpointId, LimitReport};
 
 use crate::experiment::{Destinations, Repeat, Spoil};
 use crate::plan::{OriginId, Plan, chance};
@@ -94,7 +94,7 @@
     /// Which of its packets take effect, in their order.
     pub effects: Vec<bool>,
     /// Share of the limit that is left, and the limit, where answers tell it.
-    pub report: Option<Report>,
+    pub report: Option<LimitReport>,
     /// This call pushed a cold destination over.
     pub fell: bool,
 }
@@ -106,7 +106,7 @@
     }
 
     /// The call is turned away.
-    fn full(now: Duration, pieces: usize, wait: Option<Duration>, report: Option<Report>) -> Self {
+    fn full(now: Duration, pieces: usize, wait: Option<Duration>, report: Option<LimitReport>) -> Self {
         let answer = Some((now + AT_ONCE, Answer::Full(wait)));
         Reception { answer, effects: vec![false; pieces], report, fell: false }
     }
@@ -284,7 +284,7 @@
         endpoint: EndpointId,
         pieces: &[Piece],
         fresh: Vec<bool>,
-        report: Option<Report>,
+        report: Option<LimitReport>,
     ) -> Reception {
         let ran = self.rng.random_bool(0.5);
         let effects: Vec<bool> = fresh.iter().map(|fresh| *fresh && ran).collect();
--- a/crates/sailcart-lab/src/simulated/call.rs
+++ b/crates/sailcart-lab/src/simulated/call.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sailcart::{EndpointId, PacketId, Report};
+use sailcart::{EndpointId, LimitReport, PacketId};
 
 use crate::plan::SenderId;
 use crate::receivers::Answer;
@@ -19,7 +19,7 @@
         /// What it will be answered, if it will.
         answer: Option<Answer>,
         /// What the answer tells of the limit, if it does.
-        report: Option<Report>,
+        report: Option<LimitReport>,
     },
 }
 
--- a/crates/sailcart-lab/src/simulated/lives.rs
+++ b/crates/sailcart-lab/src/simulated/lives.rs
@@ -1,7 +1,7 @@
 //! Senders' lives: how one starts, hears of changes of the list, and dies.
 
 use rand::Rng;
-use sailcart::{Listing, Packet};
+use sailcart::{ListEntry, Packet};
 
 use super::world::World;
 use crate::plan::{SenderId, Standing, chance};
@@ -35,7 +35,7 @@
         chance(self.plan.seed ^ (life << 32), stream).random()
     }
 
-    fn see_start(&mut self, sender: SenderId, lines: &[Listing]) {
+    fn see_start(&mut self, sender: SenderId, lines: &[ListEntry]) {
         if !self.now.is_zero() {
             self.see(Seen::SenderUp(sender));
         }
--- a/crates/sailcart-lab/src/sockets/protocol.rs
+++ b/crates/sailcart-lab/src/sockets/protocol.rs
@@ -7,7 +7,7 @@
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
-use sailcart::{EndpointId, Report};
+use sailcart::{EndpointId, LimitReport};
 use serde_json::{Value, json};
 
 use super::http::{Call, answer};
@@ -153,8 +153,8 @@
 }
 
 /// An answer as it is written; `None` where the connection just ends.
-pub fn written(what: &Answer, ids: &[String], report: Option<Report>) -> Option<Vec<u8>> {
-    let report = report.map_or(String::new(), |Report { left, limit }| {
+pub fn written(what: &Answer, ids: &[String], report: Option<LimitReport>) -> Option<Vec<u8>> {
+    let report = report.map_or(String::new(), |LimitReport { left, limit }| {
         format!("X-Load-Report: x0={left:.3},x1={limit:.3}\r\n")
     });
     let several = ids.len() > 1;
--- a/crates/sailcart-lab/tests/recorded_days.rs
+++ b/crates/sailcart-lab/tests/recorded_days.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use crc32fast::Hasher;
-use sailcart::{EndpointId, Host, Listing, Outcome, Packet, PacketId, Report, Sender};
+use sailcart::{EndpointId, Host, LimitReport, ListEntry, Outcome, Packet, PacketId, Sender};
 use sailcart_lab::events::Log;
 use sailcart_lab::experiment::read_text;
 use sailcart_lab::plan::Plan;
@@ -104,7 +104,7 @@
 }
 
 impl Policy for Recorded {
-    fn list(&mut self, now: Duration, whole: bool, lines: &[Listing]) {
+    fn list(&mut self, now: Duration, whole: bool, lines: &[ListEntry]) {
         self.inner.list(now, whole, lines);
     }
     fn take(&mut self, now: Duration, packet: Packet) {
@@ -113,7 +113,7 @@
     fn outcome(&mut self, now: Duration, id: PacketId, elapsed: Duration, outcome: Outcome, over: bool) {
         self.inner.outcome(now, id, elapsed, outcome, over);
     }
-    fn report(&mut self, id: PacketId, report: Report) {
+    fn report(&mut self, id: PacketId, report: LimitReport) {
         self.inner.report(id, report);
     }
     fn may_still_go(&self, now: Duration, id: PacketId) -> bool {
--- a/crates/sailcart-lab/tests/wrong_senders.rs
+++ b/crates/sailcart-lab/tests/wrong_senders.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use common::{broken, plan, play, play_with};
-use sailcart::{Category, EndpointId, Host, Listing, Outcome, Packet, PacketId, Repeat, Sender, Terms};
+use sailcart::{Category, EndpointId, Host, ListEntry, Outcome, Packet, PacketId, Repeat, Sender, Settings};
 use sailcart_lab::plan::Plan;
 use sailcart_lab::policies::{Baseline, OracleView, Policy, PolicyName};
 use sailcart_lab::watcher::Rule;
@@ -23,7 +23,7 @@
 }
 
 impl Wrong {
-    fn new(terms: &Terms, seed: u64) -> Self {
+    fn new(terms: &Settings, seed: u64) -> Self {
         let inner = Sender::new(terms.clone(), seed);
         Wrong {
             inner,
@@ -72,9 +72,9 @@
 }
 
 impl Policy for Wrong {
-    fn list(&mut self, now: Duration, whole: bool, lines: &[Listing]) {
-        let heard = |line: &&Listing| line.live || !self.drains_unheard;
-        let lines: Vec<Listing> = lines.iter().filter(heard).cloned().collect();
+    fn list(&mut self, now: Duration, whole: bool, lines: &[ListEntry]) {
+        let heard = |line: &&ListEntry| line.live || !self.drains_unheard;
+        let lines: Vec<ListEntry> = lines.iter().filter(heard).cloned().collect();
         Sender::list(&mut self.inner, now, whole, &lines);
     }
     fn take(&mut self, now: Duration, packet: Packet) {
--- a/crates/sailcart-sender/src/config/mod.rs
+++ b/crates/sailcart-sender/src/config/mod.rs
@@ -12,7 +12,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use sailcart::Terms;
+use sailcart::Settings;
 use sailcart_store::Sync;
 use sailcart_terms::{Fault, HostSettings, Names, member, read_number, read_text};
 use serde_json::Value;
@@ -31,7 +31,7 @@
     pub seed: u64,
     /// The destination list in the configuration.
     pub known: KnownList,
-    pub terms: Terms,
+    pub terms: Settings,
     pub names: Names,
     pub carriage: HostSettings,
     pub bounds: Bounds,
--- a/crates/sailcart-sender/src/exchange/directory/mod.rs
+++ b/crates/sailcart-sender/src/exchange/directory/mod.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 use compact_str::CompactString;
-use sailcart::{DestinationId, EndpointId, Listing};
+use sailcart::{DestinationId, EndpointId, ListEntry};
 
 use self::destinations::Destinations;
 pub(super) use self::index::Index;
@@ -32,7 +32,7 @@
 pub struct Place {
     pub address: SocketAddr,
     pub destination: DestinationId,
-    /// Position in [`sailcart::Terms::kinds`].
+    /// Position in [`sailcart::Settings::kinds`].
     pub kind: u16,
 }
 
@@ -193,7 +193,13 @@
 
     /// Adds a listed endpoint, or updates its rate. If the name was listed with another address, destination
     /// or kind, that endpoint is removed and a new one added.
-    pub(super) fn put(&mut self, name: CompactString, place: Place, rate: f64, listings: &mut Vec<Listing>) {
+    pub(super) fn put(
+        &mut self,
+        name: CompactString,
+        place: Place,
+        rate: f64,
+        listings: &mut Vec<ListEntry>,
+    ) {
         let current = self.find_name(&name);
         let same = current.and_then(|at| self.slots.get_mut(at)).filter(|slot| slot.place() == place);
         if let Some(slot) = same {
@@ -216,7 +222,7 @@
     }
 
     /// Removes the endpoint with this name, which drains.
-    pub(super) fn drain(&mut self, name: &str, listings: &mut Vec<Listing>) {
+    pub(super) fn drain(&mut self, name: &str, listings: &mut Vec<ListEntry>) {
         if let Some(position) = self.find_name(name) {
             self.remove(position, listings);
         }
@@ -225,7 +231,7 @@
     /// Removes the endpoint at a position: it drains, is no longer listed, or has changed its address,
     /// destination or kind. Nothing of it is retained, so that a new endpoint at its address, or under its
     /// name, starts without its state.
-    pub(super) fn remove(&mut self, position: u32, listings: &mut Vec<Listing>) {
+    pub(super) fn remove(&mut self, position: u32, listings: &mut Vec<ListEntry>) {
         let Some(slot) = self.slots.get(position) else { return };
         let name_hash = self.hasher.hash_one(slot.name.as_str());
         let endpoint_hash = self.hasher.hash_one(slot.endpoint);
@@ -233,7 +239,7 @@
         self.by_endpoint.remove(endpoint_hash, |other| *other == position);
         let Some(slot) = self.slots.remove(position) else { return };
         self.destinations.remove_endpoint(slot.destination);
-        listings.push(Listing { live: false, rate: 0.0, ..slot.listing() });
+        listings.push(ListEntry { live: false, rate: 0.0, ..slot.listing() });
     }
 
     /// Notes that the list being applied names a destination, perhaps without a live endpoint: packets for it
--- a/crates/sailcart-sender/src/exchange/directory/slots.rs
+++ b/crates/sailcart-sender/src/exchange/directory/slots.rs
@@ -5,7 +5,7 @@
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, SocketAddrV6};
 
 use compact_str::CompactString;
-use sailcart::{DestinationId, EndpointId, KindId, Listing};
+use sailcart::{DestinationId, EndpointId, KindId, ListEntry};
 
 use super::Place;
 
@@ -59,8 +59,8 @@
     }
 
     /// The endpoint as the decision module receives it.
-    pub(super) fn listing(&self) -> Listing {
-        Listing {
+    pub(super) fn listing(&self) -> ListEntry {
+        ListEntry {
             endpoint: self.endpoint,
             destination: self.destination,
             kind: KindId(usize::from(self.target.kind())),
--- a/crates/sailcart-sender/src/exchange/host_state.rs
+++ b/crates/sailcart-sender/src/exchange/host_state.rs
@@ -55,7 +55,7 @@
 }
 
 impl HostState {
-    pub(super) fn new(terms: &sailcart::Terms, names: Names, ledger: Ledger) -> Self {
+    pub(super) fn new(terms: &sailcart::Settings, names: Names, ledger: Ledger) -> Self {
         let states = ledger.unended().into_iter().map(|packet| ledger.stand(packet.number));
         let clock = Clock::new(states.filter_map(|state| state.doubt.or(state.out)));
         let unacknowledged = Untold::new(ledger.owed().map(|(id, ..)| id));
--- a/crates/sailcart-sender/src/exchange/mod.rs
+++ b/crates/sailcart-sender/src/exchange/mod.rs
@@ -56,7 +56,7 @@
 impl Exchange {
     /// Creates the sender and its host with the state that the journal restored. `seed` drives the sender's
     /// random draws.
-    pub fn new(terms: sailcart::Terms, seed: u64, names: Names, ledger: Ledger) -> Self {
+    pub fn new(terms: sailcart::Settings, seed: u64, names: Names, ledger: Ledger) -> Self {
         let host = HostState::new(&terms, names, ledger);
         let inner = Inner { sender: Sender::new(terms, seed), host, stopped: false };
         let (round_requested, notices_acknowledged) = (Notify::new(), Notify::new());
--- a/crates/sailcart-sender/src/exchange/update.rs
+++ b/crates/sailcart-sender/src/exchange/update.rs
@@ -3,7 +3,7 @@
 use std::mem;
 use std::time::Duration;
 
-use sailcart::Listing;
+use sailcart::ListEntry;
 
 use super::directory::Directory;
 use super::staged::{SLICE, StagedEntry, StagedList};
@@ -17,9 +17,9 @@
     /// The step searched for endpoints to remove. Nothing has changed yet.
     Searched,
     /// Changes for the decision module; more steps follow.
-    Lines(Vec<Listing>),
+    Lines(Vec<ListEntry>),
     /// The last changes for the decision module, possibly none. The list is in force.
-    Last(Vec<Listing>),
+    Last(Vec<ListEntry>),
 }
 
 /// A staged list that is being applied. Endpoints that it no longer names are removed first; then its entries
@@ -108,7 +108,7 @@
     }
 
     /// Removes up to [`SLICE`] unlisted endpoints.
-    fn remove_unlisted(&mut self, directory: &mut Directory) -> Vec<Listing> {
+    fn remove_unlisted(&mut self, directory: &mut Directory) -> Vec<ListEntry> {
         let mut listings = Vec::new();
         let rest = self.unlisted.split_off(self.unlisted.len().min(SLICE));
         for slot in mem::replace(&mut self.unlisted, rest) {
@@ -118,7 +118,7 @@
     }
 
     /// Removes the draining endpoints of a chunk.
-    fn remove_draining(&self, chunk: usize, directory: &mut Directory) -> Vec<Listing> {
+    fn remove_draining(&self, chunk: usize, directory: &mut Directory) -> Vec<ListEntry> {
         let mut listings = Vec::new();
         for entry in self.staged.chunks.get(chunk).into_iter().flatten() {
             if !entry.live || entry.overridden {
@@ -142,7 +142,7 @@
         if self.staged.chunks.is_empty() { self.finish(directory, listings) } else { Step::Lines(listings) }
     }
 
-    fn finish(&mut self, directory: &mut Directory, listings: Vec<Listing>) -> Step {
+    fn finish(&mut self, directory: &mut Directory, listings: Vec<ListEntry>) -> Step {
         for destination in mem::take(&mut self.staged.overridden_destinations) {
             directory.mention(destination);
         }
@@ -151,7 +151,7 @@
     }
 }
 
-fn put(entry: StagedEntry, directory: &mut Directory, listings: &mut Vec<Listing>) {
+fn put(entry: StagedEntry, directory: &mut Directory, listings: &mut Vec<ListEntry>) {
     let (place, rate) = (entry.place(), entry.rate);
     log::debug!("list: {} serves destination {}, {rate} calls/s", place.address, place.destination.0);
     directory.put(entry.name, place, rate, listings);
--- a/crates/sailcart-sender/tests/directory.rs
+++ b/crates/sailcart-sender/tests/directory.rs
@@ -9,7 +9,7 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use sailcart::{DestinationId, EndpointId, Listing};
+use sailcart::{DestinationId, EndpointId, ListEntry};
 use sailcart_sender::exchange::directory::{Directory, Line, Place, SLOT_BYTES};
 use sailcart_sender::exchange::staged::{ListTooLarge, SLICE, StagedList};
 use sailcart_sender::exchange::update::{Step, Update};
@@ -65,7 +65,7 @@
 /// What the decision module hears of a line.
 type Told = (u32, u64, usize, bool, u64);
 
-fn told(line: &Listing) -> Told {
+fn told(line: &ListEntry) -> Told {
     (line.endpoint.0, line.destination.0, line.kind.0, line.live, line.rate.to_bits())
 }
 
@@ -146,7 +146,7 @@
 }
 
 /// Puts a staged list in force: what each step tells, without those that tell nothing.
-fn commit(directory: &mut Directory, staged: StagedList, whole: bool, now: Duration) -> Vec<Vec<Listing>> {
+fn commit(directory: &mut Directory, staged: StagedList, whole: bool, now: Duration) -> Vec<Vec<ListEntry>> {
     let mut update = Update::new(staged, whole, directory, now);
     let mut slices = Vec::new();
     loop {
@@ -161,7 +161,7 @@
     }
 }
 
-fn list(directory: &mut Directory, whole: bool, now: Duration, lines: &[Written]) -> Vec<Vec<Listing>> {
+fn list(directory: &mut Directory, whole: bool, now: Duration, lines: &[Written]) -> Vec<Vec<ListEntry>> {
     let staged = stage(directory, ANY, lines).expect("room");
     commit(directory, staged, whole, now)
 }
@@ -284,7 +284,7 @@
         model.list(now, whole, &lines);
         let slices = list(&mut directory, whole, now, &lines);
         assert!(slices.len() > 1 && slices.iter().all(|slice| slice.len() <= SLICE), "{what}");
-        let all: Vec<&Listing> = slices.iter().flatten().collect();
+        let all: Vec<&ListEntry> = slices.iter().flatten().collect();
         let first_live = all.iter().position(|line| line.live).expect("some are live");
         let before: HashSet<EndpointId> = all[..first_live].iter().map(|line| line.endpoint).collect();
         let left = held.iter().filter(|(name, _)| !model.endpoints.contains_key(name));
--- a/crates/sailcart-terms/src/lib.rs
+++ b/crates/sailcart-terms/src/lib.rs
@@ -1,19 +1,19 @@
 //! Reads the settings of a deployment, which the platform provides as JSON.
 //!
-//! [`read`] returns the [`Terms`] that decisions depend on, and the [`Names`] that translate between the wire
-//! and the positions used in `Terms`. [`read_host_settings`] returns what only the host needs.
+//! [`read`] returns the [`Settings`] that decisions depend on, and the [`Names`] that translate between the wire
+//! and the positions used in `Settings`. [`read_host_settings`] returns what only the host needs.
 
 mod value;
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-use sailcart::{Category, Customer, Kind, Late, Repeat, Report, Return, Terms};
+use sailcart::{Category, CreditDecay, Customer, Kind, LimitReport, RecoveryProfile, Repeat, Settings};
 use serde_json::Value;
 
 pub use value::{Fault, member, read_milliseconds, read_number, read_text};
 
-/// Maps the names used on the wire to positions in [`Terms`].
+/// Maps the names used on the wire to positions in [`Settings`].
 pub struct Names {
     pub categories: HashMap<String, usize>,
     pub customers: HashMap<String, usize>,
@@ -33,8 +33,8 @@
 impl Reports {
     /// Builds a report from its fields, which `value` looks up by position and name. Returns `None` if a
     /// field is missing, the share is outside of 0 to 1, or the limit is not a positive finite number.
-    pub fn read(&self, value: impl Fn(&(usize, String)) -> Option<f64>) -> Option<Report> {
-        let report = Report { left: value(&self.left)?, limit: value(&self.limit)? };
+    pub fn read(&self, value: impl Fn(&(usize, String)) -> Option<f64>) -> Option<LimitReport> {
+        let report = LimitReport { left: value(&self.left)?, limit: value(&self.limit)? };
         let valid = (0.0..=1.0).contains(&report.left) && report.limit.is_finite() && report.limit > 0.0;
         valid.then_some(report)
     }
@@ -58,7 +58,7 @@
 
 /// Reads the settings that decisions depend on. Unknown keys are ignored. The error names the key that is
 /// missing or malformed.
-pub fn read(settings: &Value) -> Result<(Terms, Names), Fault> {
+pub fn read(settings: &Value) -> Result<(Settings, Names), Fault> {
     let bounds = member(settings, "bounds")?;
     let domain = member(settings, "domain")?;
     let rules = member(settings, "rules")?;
@@ -78,7 +78,7 @@
         true => Some(milliseconds_in(bounds, "max_retry_after_ms")?),
         false => None,
     };
-    let terms = Terms {
+    let terms = Settings {
         senders: positive(count_in(settings, "balancers")?, "balancers")?,
         slots: positive(count_in(domain, "call_slots")?, "call_slots")?,
         hold: count_in(bounds, "max_open")?,
@@ -107,11 +107,11 @@
         },
         rates_listed: matches!(text_in(settings, "weights")?, "nominal" | "rough"),
         late: match text_in(domain, "late")? {
-            "line" => Late::Line,
-            "halves" => Late::Halves,
+            "line" => CreditDecay::Linear,
+            "halves" => CreditDecay::Halving,
             other => return Err(format!("expected line or halves in late, not {other}").into()),
         },
-        back: Return {
+        back: RecoveryProfile {
             cold_from: number_in(rules, "cold_from")?,
             cold: positive(milliseconds_in(rules, "cold_ms")?, "cold_ms")?,
             fall_multiple: number_in(rules, "fall_multiple")?,
--- a/crates/sailcart-terms/tests/sites.rs
+++ b/crates/sailcart-terms/tests/sites.rs
@@ -4,10 +4,10 @@
 use std::path::Path;
 use std::time::Duration;
 
-use sailcart::{Late, Repeat, Terms};
+use sailcart::{CreditDecay, Repeat, Settings};
 use sailcart_terms::{Names, read, read_host_settings};
 
-fn settings(name: &str) -> (Terms, Names, Duration) {
+fn settings(name: &str) -> (Settings, Names, Duration) {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/sites");
     let text =
         std::fs::read_to_string(folder.join(format!("{name}.settings.json"))).expect("the settings file");
@@ -27,7 +27,7 @@
     assert_eq!((category("boletas").repeat, category("boletas").in_order), (deduplicated, false));
     assert_eq!((category("cobros").repeat, category("cobros").in_order), (Repeat::Unrepeatable, false));
     assert_eq!((category("pedidos").repeat, category("pedidos").in_order), (deduplicated, true));
-    assert_eq!((terms.late, terms.settle), (Late::Line, Duration::from_millis(150)));
+    assert_eq!((terms.late, terms.settle), (CreditDecay::Linear, Duration::from_millis(150)));
     assert_eq!((names.customers.len(), idle_close), (2, Duration::from_secs(4)));
 }
 
@@ -35,7 +35,7 @@
 fn many_small_customers_and_no_retry_after() {
     let (terms, names, idle_close) = settings("osorno-menudeo");
     assert_eq!((terms.categories.len(), terms.customers.len(), names.customers.len()), (1, 12, 12));
-    assert_eq!((terms.retry_after, terms.late), (None, Late::Halves));
+    assert_eq!((terms.retry_after, terms.late), (None, CreditDecay::Halving));
     assert_eq!((terms.dispatches, idle_close), (9, Duration::from_millis(2500)));
     assert!(terms.kinds.iter().all(|kind| kind.batch == 1));
 }
--- a/src/control.rs
+++ b/src/control.rs
@@ -129,7 +129,7 @@
     health: Health,
     successes: DecayingCounter,
     accepted_packets: DecayingCounter,
-    last_report: Option<Report>,
+    last_report: Option<LimitReport>,
     /// Weighted losses since the last success.
     consecutive_losses: f64,
     /// Calls since the last success that were refused because of the endpoint's connection limit.
@@ -433,7 +433,7 @@
 /// The settings, the values derived from them, and the measurements that all upstreams share.
 #[derive(Default)]
 struct Parameters {
-    terms: Terms,
+    terms: Settings,
     /// Number of senders, at least one.
     senders: f64,
     /// Share of the minimum rate, and of the minimum step of the rate, that is left to each of many senders.
@@ -448,11 +448,11 @@
     min_soft_limit: Duration,
     /// Mean time to an answer over all upstreams: what is expected of an upstream until its first answer.
     mean_answer_time: Duration,
-    recovery: Return,
+    recovery: RecoveryProfile,
 }
 
 impl Parameters {
-    fn new(terms: Terms) -> Self {
+    fn new(terms: Settings) -> Self {
         let senders = terms.senders.max(1) as f64;
         let min_soft_limit =
             terms.categories.iter().map(|category| category.soft_limit).min().unwrap_or_default();
@@ -514,7 +514,7 @@
 
 impl Sender {
     /// Creates a sender without destinations or packets. The same seed and calls give the same decisions.
-    pub fn new(terms: Terms, seed: u64) -> Self {
+    pub fn new(terms: Settings, seed: u64) -> Self {
         let customer_buckets = terms.customers.iter().map(|_| TokenBucket::default()).collect();
         let rng = Some(ChaCha8Rng::seed_from_u64(seed));
         let kind_counters = terms.kinds.iter().map(|_| Default::default()).collect();
@@ -560,7 +560,7 @@
 
     /// Updates the destination list; with `full` the entries are a snapshot that replaces it. An entry takes
     /// effect at once for a destination that had traffic, and with the first packet for any other.
-    pub fn list(&mut self, now: Duration, full: bool, entries: &[Listing]) {
+    pub fn list(&mut self, now: Duration, full: bool, entries: &[ListEntry]) {
         self.now = now.max(self.now);
         self.list_request_failures =
             if self.list_request_at.is_none() { 0 } else { self.list_request_failures };
@@ -580,7 +580,7 @@
     }
 
     /// Applies an entry of the list to a destination that has traffic.
-    fn apply_entry(&mut self, entry: &Listing) {
+    fn apply_entry(&mut self, entry: &ListEntry) {
         let kind = &self.parameters.terms.kinds[entry.kind.0];
         let upstream_id = (entry.destination, kind.own_limits.then_some(entry.endpoint));
         let destination = self.destinations.entry(entry.destination).or_default();
@@ -746,7 +746,7 @@
     /// Records what the answer to a dispatch in flight reports about the rate limit, before its outcome.
     /// Reports are used only with sparse traffic; otherwise a sender's own answers are more informative. A
     /// reported limit is capped at twice the listed rate.
-    pub fn report(&mut self, id: PacketId, report: Report) {
+    pub fn report(&mut self, id: PacketId, report: LimitReport) {
         let Some(PacketState::InFlight(call, _)) = self.packets.get(&id).map(|tracked| tracked.state) else {
             return;
         };
@@ -754,7 +754,7 @@
             self.upstreams.get_mut(&self.calls[&call].upstream_id).filter(|_| self.parameters.sparse_traffic);
         if let Some(upstream) = upstream {
             let limit = report.limit.min(2.0 * upstream.listed_rate.unwrap_or(f64::INFINITY));
-            upstream.last_report = Some(Report { limit, ..report });
+            upstream.last_report = Some(LimitReport { limit, ..report });
         }
     }
 
@@ -1341,7 +1341,7 @@
             .then_some((tracked.category.repeat, tracked.packet.dispatches));
         // Where the credit falls linearly, a late packet loses credit every second, while the others lose
         // none yet.
-        let late = self.parameters.terms.late == Late::Halves
+        let late = self.parameters.terms.late == CreditDecay::Halving
             && tracked.answer_due < self.now + upstream.expected_answer_time(&self.parameters);
         (probe, tracked.over_quota, late, if late { tracked.packet.ends } else { tracked.answer_due })
     }
--- a/src/host.rs
+++ b/src/host.rs
@@ -21,11 +21,11 @@
     EndpointId(u32);
     /// An outside receiver, with one or more endpoints.
     DestinationId(u64);
-    /// Index into [`Terms::categories`].
+    /// Index into [`Settings::categories`].
     CategoryId(usize);
-    /// Index into [`Terms::customers`].
+    /// Index into [`Settings::customers`].
     CustomerId(usize);
-    /// Index into [`Terms::kinds`].
+    /// Index into [`Settings::kinds`].
     KindId(usize);
     /// The ordering key of a packet, for categories whose packets are dispatched in order.
     KeyId(u64);
@@ -64,12 +64,12 @@
 
 /// How the credit falls after the soft limit, down to the category's [`Category::late_share`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Late {
+pub enum CreditDecay {
     /// Linearly until the end of the patience.
     #[default]
-    Line,
+    Linear,
     /// By half with each further soft limit.
-    Halves,
+    Halving,
 }
 
 /// A customer, whose packets beyond the quota earn less credit.
@@ -90,7 +90,7 @@
 
 /// The capacity of a destination while it recovers from an outage.
 #[derive(Clone, Debug, Default)]
-pub struct Return {
+pub struct RecoveryProfile {
     /// Share of its normal capacity that is available at the start of the recovery.
     pub cold_from: f64,
     /// Time until the full capacity is available again.
@@ -101,7 +101,7 @@
 
 /// The settings of a sender, fixed at its start.
 #[derive(Clone, Debug, Default)]
-pub struct Terms {
+pub struct Settings {
     /// Number of senders that share the destinations.
     pub senders: usize,
     /// Maximum number of calls in flight.
@@ -128,21 +128,21 @@
     /// Maximum staleness of the destination list, where the sender has to request it. `None` where updates
     /// are pushed to the sender.
     pub list_asked: Option<Duration>,
-    /// Answers report the remaining rate limit ([`Report`]).
+    /// Answers report the remaining rate limit ([`LimitReport`]).
     pub limits_told: bool,
-    pub late: Late,
-    pub back: Return,
+    pub late: CreditDecay,
+    pub back: RecoveryProfile,
 }
 
 /// An entry of the destination list.
 #[derive(Clone, Debug)]
-pub struct Listing {
+pub struct ListEntry {
     pub endpoint: EndpointId,
     pub destination: DestinationId,
     pub kind: KindId,
     /// False once the endpoint drains or has been removed.
     pub live: bool,
-    /// Calls per second from all senders, where [`Terms::rates_listed`] is set.
+    /// Calls per second from all senders, where [`Settings::rates_listed`] is set.
     pub rate: f64,
 }
 
@@ -196,7 +196,7 @@
 /// What an answer reports about an upstream's rate limit, which all senders share. The values are delayed and
 /// noisy.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Report {
+pub struct LimitReport {
     /// Share of the limit that is unused at present, from 0 to 1.
     pub left: f64,
     /// The limit in calls per second.
@@ -218,7 +218,7 @@
     /// Closes this sender's idle connections to an endpoint.
     fn close_idle(&mut self, endpoint: EndpointId);
     /// Requests the destination list and its updates from now on. The response is an update of the list or
-    /// [`Sender::list_failed`](crate::Sender::list_failed). Called only where [`Terms::list_asked`] is set.
+    /// [`Sender::list_failed`](crate::Sender::list_failed). Called only where [`Settings::list_asked`] is set.
     fn ask_list(&mut self);
     /// Requests a round no later than after this span.
     fn wake(&mut self, after: Duration);
--- a/src/listing.rs
+++ b/src/listing.rs
@@ -6,7 +6,7 @@
 use std::collections::btree_map::Entry;
 use std::iter;
 
-use crate::host::{DestinationId, EndpointId, KindId, Listing};
+use crate::host::{DestinationId, EndpointId, KindId, ListEntry};
 
 /// A live endpoint of a destination, as last listed.
 #[derive(Clone, Copy)]
@@ -84,7 +84,7 @@
     }
 
     /// Applies an entry: a live endpoint is put last in its destination, any other is removed.
-    pub fn apply(&mut self, entry: &Listing) {
+    pub fn apply(&mut self, entry: &ListEntry) {
         self.count_visit();
         let kind = u32::try_from(entry.kind.0).unwrap_or(u32::MAX);
         let endpoint = ListedEndpoint { rate: entry.rate, id: entry.endpoint, kind };
@@ -103,7 +103,7 @@
     }
 
     /// The entries of a destination's live endpoints, in the order in which they were last listed.
-    pub fn entries(&self, id: DestinationId) -> Vec<Listing> {
+    pub fn entries(&self, id: DestinationId) -> Vec<ListEntry> {
         self.count_visit();
         let endpoints = self.destinations.get(&id).into_iter().flat_map(ListedDestination::endpoints);
         endpoints.map(|endpoint| endpoint.entry(id)).collect()
@@ -111,8 +111,8 @@
 }
 
 impl ListedEndpoint {
-    fn entry(&self, destination: DestinationId) -> Listing {
+    fn entry(&self, destination: DestinationId) -> ListEntry {
         let kind = KindId(self.kind as usize);
-        Listing { endpoint: self.id, destination, kind, live: true, rate: self.rate }
+        ListEntry { endpoint: self.id, destination, kind, live: true, rate: self.rate }
     }
 }
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -12,7 +12,7 @@
 
 /// Settings of a single sender with 8 slots and three categories: idempotent, deduplicated, and unrepeatable
 /// in order. The destinations of kind 0 take one packet per call, those of kind 1 five.
-pub fn terms() -> Terms {
+pub fn terms() -> Settings {
     let category = |repeat, in_order| Category {
         repeat,
         in_order,
@@ -21,7 +21,7 @@
         credit: 1.0,
         late_share: 0.4,
     };
-    Terms {
+    Settings {
         senders: 1,
         slots: 8,
         hold: 64,
@@ -41,8 +41,8 @@
         rates_listed: true,
         limits_told: false,
         list_asked: None,
-        late: Late::Halves,
-        back: Return { cold_from: 0.25, cold: ms(10_000), fall_multiple: 2.0 },
+        late: CreditDecay::Halving,
+        back: RecoveryProfile { cold_from: 0.25, cold: ms(10_000), fall_multiple: 2.0 },
     }
 }
 
@@ -107,11 +107,11 @@
 impl Harness {
     /// A sender with `destinations` listed: destination n has endpoint n and the listed rate `rate`, in calls
     /// per second.
-    pub fn new(terms: Terms, destinations: u32, kind: usize, rate: f64) -> Self {
+    pub fn new(terms: Settings, destinations: u32, kind: usize, rate: f64) -> Self {
         Harness::with_seed(7, terms, destinations, kind, rate)
     }
 
-    pub fn with_seed(seed: u64, terms: Terms, destinations: u32, kind: usize, rate: f64) -> Self {
+    pub fn with_seed(seed: u64, terms: Settings, destinations: u32, kind: usize, rate: f64) -> Self {
         let mut sender = Sender::new(terms, seed);
         let entries: Vec<_> = (0..destinations).map(|n| list_entry(n, n, kind, rate, true)).collect();
         sender.list(Duration::ZERO, true, &entries);
@@ -179,7 +179,7 @@
 
     /// Reports the rate limit with the answer to a dispatch in flight.
     pub fn report(&mut self, packet: u64, left: f64, limit: f64) {
-        self.sender.report(PacketId(packet), Report { left, limit });
+        self.sender.report(PacketId(packet), LimitReport { left, limit });
     }
 
     /// Completes all dispatches in flight with the same outcome.
@@ -194,13 +194,13 @@
         self.host.in_flight.keys().copied().collect()
     }
 
-    pub fn update_list(&mut self, full: bool, entries: &[Listing]) {
+    pub fn update_list(&mut self, full: bool, entries: &[ListEntry]) {
         self.sender.list(self.now, full, entries);
     }
 }
 
-pub fn list_entry(endpoint: u32, destination: u32, kind: usize, rate: f64, live: bool) -> Listing {
-    Listing {
+pub fn list_entry(endpoint: u32, destination: u32, kind: usize, rate: f64, live: bool) -> ListEntry {
+    ListEntry {
         endpoint: EndpointId(endpoint),
         destination: DestinationId(destination.into()),
         kind: KindId(kind),
--- a/tests/scalability.rs
+++ b/tests/scalability.rs
@@ -95,7 +95,7 @@
 fn work_for_a_full_snapshot_is_proportional_to_the_list() {
     let visits = SIZES.map(|size| {
         let mut harness = Harness::new(terms(), size, 0, 8.0);
-        let entries: Vec<Listing> = (0..size).map(|n| list_entry(n, n, 0, 8.0, true)).collect();
+        let entries: Vec<ListEntry> = (0..size).map(|n| list_entry(n, n, 0, 8.0, true)).collect();
         entries_visited(&mut harness, |harness| harness.update_list(true, &entries))
     });
     assert!(visits[3] > 100 * visits[0], "{visits:?}");
@@ -105,8 +105,9 @@
 /// others are listed and get no packets. Returns the decisions of each round.
 fn simulate(seed: u64, idle_destinations: u32, senders: usize) -> Vec<String> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut harness = Harness::with_seed(seed, Terms { senders, ..terms() }, 20, 0, 6.0);
-    let idle: Vec<Listing> = (100..100 + idle_destinations).map(|n| list_entry(n, n, 0, 6.0, true)).collect();
+    let mut harness = Harness::with_seed(seed, Settings { senders, ..terms() }, 20, 0, 6.0);
+    let idle: Vec<ListEntry> =
+        (100..100 + idle_destinations).map(|n| list_entry(n, n, 0, 6.0, true)).collect();
     harness.update_list(false, &idle);
     let mut decisions = Vec::new();
     for _ in 0..400 {
@@ -193,8 +194,8 @@
 /// A wait too short to indicate an outage, with a warm-up time that does not cover it.
 #[test]
 fn a_short_retry_after_wait_is_not_evicted() {
-    let back = Return { cold: ms(1), ..terms().back };
-    let mut harness = Harness::new(Terms { back, ..terms() }, 20_000, 0, 8.0);
+    let back = RecoveryProfile { cold: ms(1), ..terms().back };
+    let mut harness = Harness::new(Settings { back, ..terms() }, 20_000, 0, 8.0);
     let packet = harness.submit(1, 0, 0, None)[0];
     harness.run_round();
     harness.complete(packet, Outcome::Full(Some(ms(2000))));
@@ -212,7 +213,7 @@
 
 #[test]
 fn a_detected_outage_is_not_evicted() {
-    let mut harness = Harness::new(Terms { dispatches: 20, ..terms() }, 20_000, 0, 8.0);
+    let mut harness = Harness::new(Settings { dispatches: 20, ..terms() }, 20_000, 0, 8.0);
     for _ in 0..4 {
         let packet = harness.submit(1, 0, 0, None)[0];
         harness.advance(1000);
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -59,7 +59,7 @@
 #[test]
 fn many_senders_share_the_minimum_rate() {
     for (senders, interval_ms) in [(3, 2000), (12, 8000)] {
-        let mut harness = Harness::new(Terms { senders, ..terms() }, 1, 0, 2.0);
+        let mut harness = Harness::new(Settings { senders, ..terms() }, 1, 0, 2.0);
         for _ in 0..4 {
             harness.submit(1, 0, 0, None);
             harness.advance(12_000);
@@ -92,7 +92,7 @@
 /// (amman-dispatch).
 #[test]
 fn a_listed_upstream_starts_at_a_share_of_its_rate_and_climbs_to_the_full_rate() {
-    let mut harness = Harness::new(Terms { senders: 3, hold: 900, ..terms() }, 1, 0, 8.0);
+    let mut harness = Harness::new(Settings { senders: 3, hold: 900, ..terms() }, 1, 0, 8.0);
     let mut sent = [0; 4];
     for round in 0..1600 {
         if round % 20 == 0 {
@@ -110,7 +110,7 @@
 /// fast_errors).
 #[test]
 fn an_upstream_without_listed_rate_is_limited_from_its_first_refusal_and_recovers() {
-    let mut harness = Harness::new(Terms { rates_listed: false, ..terms() }, 1, 0, 1.0);
+    let mut harness = Harness::new(Settings { rates_listed: false, ..terms() }, 1, 0, 1.0);
     harness.submit(40, 0, 0, None);
     harness.run_round();
     assert_eq!(harness.in_flight().len(), 6, "no limit other than the concurrency limit");
@@ -186,7 +186,7 @@
 /// After an outage the calls stay within the slow-start rate, as probes and from the first answer on.
 #[test]
 fn a_recovering_destination_is_not_overloaded() {
-    let mut harness = Harness::new(Terms { senders: 2, ..terms() }, 1, 0, 8.0);
+    let mut harness = Harness::new(Settings { senders: 2, ..terms() }, 1, 0, 8.0);
     harness.submit(60, 0, 0, None);
     harness.run_round();
     harness.complete_all(Outcome::NoConnection);
@@ -286,7 +286,7 @@
 
 #[test]
 fn a_withdrawn_packet_gets_no_answer_and_its_slot_is_released() {
-    let mut harness = Harness::new(Terms { slots: 1, ..terms() }, 1, 0, 100.0);
+    let mut harness = Harness::new(Settings { slots: 1, ..terms() }, 1, 0, 100.0);
     harness.submit(2, 0, 0, None);
     harness.run_round();
     harness.sender.withdraw(harness.now, PacketId(1));
@@ -372,8 +372,8 @@
 /// Where it falls linearly, late packets lose credit every second and are dispatched first.
 #[test]
 fn late_packets_are_dispatched_last_only_where_credit_halves() {
-    for (late, first) in [(Late::Halves, 2), (Late::Line, 1)] {
-        let mut harness = Harness::new(Terms { late, ..terms() }, 1, 0, 100.0);
+    for (late, first) in [(CreditDecay::Halving, 2), (CreditDecay::Linear, 1)] {
+        let mut harness = Harness::new(Settings { late, ..terms() }, 1, 0, 100.0);
         harness.submit(1, 0, 0, None);
         harness.update_list(false, &[list_entry(0, 0, 0, 100.0, false)]);
         harness.update_list(false, &[list_entry(1, 0, 0, 2.0, true)]);
@@ -397,7 +397,7 @@
 /// However many destinations are ejected, their probes occupy at most half of the slots.
 #[test]
 fn probes_of_ejected_upstreams_occupy_at_most_half_of_the_slots() {
-    let mut harness = Harness::new(Terms { dispatches: 9, ..terms() }, 8, 0, 100.0);
+    let mut harness = Harness::new(Settings { dispatches: 9, ..terms() }, 8, 0, 100.0);
     for destination in 0..8 {
         harness.submit(1, destination, 0, None);
     }
@@ -455,7 +455,7 @@
 /// Calls that were never answered filled the slots while their upstream answered others (curridabat-nuevo).
 #[test]
 fn a_stalled_call_is_cancelled_although_its_upstream_answers_others() {
-    let mut harness = Harness::new(Terms { slots: 3, ..terms() }, 3, 0, 100.0);
+    let mut harness = Harness::new(Settings { slots: 3, ..terms() }, 3, 0, 100.0);
     harness.submit(2, 0, 0, None);
     harness.submit(1, 1, 0, None);
     harness.run_round();
@@ -475,7 +475,7 @@
 #[test]
 fn idle_connections_are_closed_where_calls_are_lost_and_senders_are_many() {
     for (senders, lost, expected) in [(40, 1, 1), (40, 0, 0), (2, 1, 0)] {
-        let mut harness = Harness::new(Terms { senders, ..terms() }, 2, 0, 100.0);
+        let mut harness = Harness::new(Settings { senders, ..terms() }, 2, 0, 100.0);
         harness.submit(lost, 0, 0, None);
         harness.run_round();
         harness.complete_all(Outcome::NoConnection);
@@ -508,7 +508,7 @@
 fn refused_senders_call_again_at_different_times() {
     let next_call_after = |seed| {
         let mut harness =
-            Harness::with_seed(seed, Terms { senders: 40, rates_listed: false, ..terms() }, 1, 0, 4.0);
+            Harness::with_seed(seed, Settings { senders: 40, rates_listed: false, ..terms() }, 1, 0, 4.0);
         harness.submit(1, 0, 0, None);
         harness.run_round();
         harness.complete_all(Outcome::Full(None));
@@ -526,7 +526,7 @@
 #[test]
 fn a_rarely_used_upstream_does_not_stay_unresponsive_after_one_lost_answer() {
     for (senders, expected) in [(40, 1), (3, 0)] {
-        let mut harness = Harness::new(Terms { senders, ..terms() }, 1, 0, 2.0);
+        let mut harness = Harness::new(Settings { senders, ..terms() }, 1, 0, 2.0);
         harness.submit(1, 0, 2, None);
         harness.run_round();
         harness.advance(2500);
@@ -545,7 +545,7 @@
 /// quiet).
 #[test]
 fn after_the_first_refusal_one_of_many_senders_calls_again_within_seconds() {
-    let mut harness = Harness::new(Terms { senders: 200, rates_listed: false, ..terms() }, 1, 0, 0.0);
+    let mut harness = Harness::new(Settings { senders: 200, rates_listed: false, ..terms() }, 1, 0, 0.0);
     harness.submit(1, 0, 0, None);
     harness.run_round();
     harness.complete_all(Outcome::Full(None));
@@ -558,8 +558,13 @@
 #[test]
 fn refused_packets_are_dispatched_again_within_the_retry_budget() {
     for reporting in [0, 15] {
-        let terms =
-            Terms { senders: 40, dispatches: 9, rates_listed: reporting > 0, limits_told: true, ..terms() };
+        let terms = Settings {
+            senders: 40,
+            dispatches: 9,
+            rates_listed: reporting > 0,
+            limits_told: true,
+            ..terms()
+        };
         let mut harness = Harness::new(terms, 60, 0, 40.0);
         let mut repeated = [0, 0];
         for round in 0..42 {
@@ -592,7 +597,7 @@
 #[test]
 fn with_sparse_traffic_a_packet_is_dismissed_at_once_if_its_upstream_is_blocked_for_too_long() {
     for (senders, dismissed) in [(40, 1), (3, 0)] {
-        let mut harness = Harness::new(Terms { senders, ..terms() }, 1, 0, 2.0);
+        let mut harness = Harness::new(Settings { senders, ..terms() }, 1, 0, 2.0);
         harness.submit(1, 0, 0, None);
         harness.run_round();
         harness.complete_all(Outcome::Full(Some(ms(30_000))));
@@ -607,7 +612,7 @@
     let mut sent = 0;
     for seed in 0..40 {
         let mut harness =
-            Harness::with_seed(seed, Terms { senders: 40, dispatches: 9, ..terms() }, 1, 0, 4.0);
+            Harness::with_seed(seed, Settings { senders: 40, dispatches: 9, ..terms() }, 1, 0, 4.0);
         harness.submit(1, 0, 0, None);
         for _ in 0..400 {
             harness.advance(10);
@@ -628,7 +633,7 @@
 /// `outage_outcome` returns for the remaining time of the outage. Returns the number of calls in each half
 /// second after the outage.
 fn calls_after_outage(senders: usize, outage_outcome: impl Fn(Duration) -> Outcome) -> Vec<usize> {
-    let terms = || Terms { senders, dispatches: 9, limits_told: true, ..terms() };
+    let terms = || Settings { senders, dispatches: 9, limits_told: true, ..terms() };
     let new = |seed| Harness::with_seed(seed, terms(), 1, 0, 20.0);
     let mut harnesses: Vec<Harness> = (0..senders as u64).map(new).collect();
     let (outage_end, mut calls) = (ms(20_000), vec![0; 10]);
@@ -683,7 +688,7 @@
 fn senders_that_lost_one_call_each_do_not_call_again_together() {
     let mut times: Vec<u128> = Vec::new();
     for seed in 0..24 {
-        let mut harness = Harness::with_seed(seed, Terms { senders: 250, ..terms() }, 1, 0, 8.0);
+        let mut harness = Harness::with_seed(seed, Settings { senders: 250, ..terms() }, 1, 0, 8.0);
         harness.submit(1, 0, 0, None);
         harness.run_round();
         harness.complete_all(Outcome::Error);
@@ -708,7 +713,7 @@
 #[test]
 fn many_senders_start_with_their_share_of_the_listed_rate() {
     let calls_in_first_seconds = |limits_told| {
-        let mut harness = Harness::new(Terms { senders: 200, limits_told, ..terms() }, 1, 0, 4.0);
+        let mut harness = Harness::new(Settings { senders: 200, limits_told, ..terms() }, 1, 0, 4.0);
         harness.submit(8, 0, 0, None);
         let mut sent = 0;
         for _ in 0..150 {
@@ -730,7 +735,7 @@
 /// slot (quito-delivery, big-2).
 #[test]
 fn among_equal_destinations_the_one_that_answers_sooner_gets_the_next_slot() {
-    let mut harness = Harness::new(Terms { senders: 40, slots: 1, ..terms() }, 2, 0, 400.0);
+    let mut harness = Harness::new(Settings { senders: 40, slots: 1, ..terms() }, 2, 0, 400.0);
     for (destination, elapsed) in [(1, 4000), (0, 100)] {
         let id = harness.submit(1, destination, 0, None)[0];
         harness.run_round();
@@ -751,7 +756,7 @@
 fn the_list_is_requested_at_random_times() {
     let mut first_delays = BTreeSet::new();
     for seed in 0..8 {
-        let terms = Terms { list_asked: Some(ms(10_000)), ..terms() };
+        let terms = Settings { list_asked: Some(ms(10_000)), ..terms() };
         let mut harness = Harness::with_seed(seed, terms, 1, 0, 8.0);
         let wait_for_request = |harness: &mut Harness| {
             let (requests, start) = (harness.host.list_requests, harness.now);
@@ -843,7 +848,7 @@
 /// to another sender.
 #[test]
 fn load_shedding_dismisses_new_packets_before_restored_ones() {
-    let mut harness = Harness::new(Terms { hold: 16, ..terms() }, 1, 0, 1.0);
+    let mut harness = Harness::new(Settings { hold: 16, ..terms() }, 1, 0, 1.0);
     harness.now = ms(10_000);
     let restored: Vec<u64> = (0..12).map(|_| harness.restore(0, 0, None, 0, None)).collect();
     let new = harness.submit(12, 0, 0, None);
@@ -908,7 +913,7 @@
 /// tenth of the calls that they handle (fleet day calm+mass).
 #[test]
 fn a_reached_connection_limit_does_not_reduce_the_rate_and_closes_idle_connections() {
-    let mut harness = Harness::new(Terms { senders: 300, ..terms() }, 3, 0, 30.0);
+    let mut harness = Harness::new(Settings { senders: 300, ..terms() }, 3, 0, 30.0);
     // An idle connection is left at endpoint 1, and none at endpoint 2, which was never called.
     let other = harness.submit(1, 1, 0, None)[0];
     harness.run_round();
@@ -945,7 +950,7 @@
 /// the soft limit of a packet.
 #[test]
 fn the_backoff_after_a_reached_connection_limit_is_at_most_a_soft_limit() {
-    let mut harness = Harness::new(Terms { senders: 300, dispatches: 100, ..terms() }, 1, 0, 3000.0);
+    let mut harness = Harness::new(Settings { senders: 300, dispatches: 100, ..terms() }, 1, 0, 3000.0);
     let packet = harness.submit(1, 0, 0, None)[0];
     for call in 0..8 {
         harness.advance(2000);
@@ -959,7 +964,7 @@
 /// (fleet day zone+mass, seed 2002).
 #[test]
 fn held_packets_are_dismissed_when_a_rate_reduction_makes_them_too_late() {
-    let mut harness = Harness::new(Terms { senders: 300, ..terms() }, 12, 0, 30.0);
+    let mut harness = Harness::new(Settings { senders: 300, ..terms() }, 12, 0, 30.0);
     for other in 1..12 {
         let refused = harness.submit(1, other, 0, None)[0];
         harness.run_round();
@@ -982,7 +987,8 @@
 /// per second, and of 11 from the 6th to the 26th second; refused calls count. With `reporting`, answers
 /// report the limit. Returns the number of successful calls in each second.
 fn simulate_lowered_limit(reporting: bool) -> Vec<usize> {
-    let new = |seed| Harness::with_seed(seed, Terms { senders: 100, dispatches: 9, ..terms() }, 1, 0, 22.0);
+    let new =
+        |seed| Harness::with_seed(seed, Settings { senders: 100, dispatches: 9, ..terms() }, 1, 0, 22.0);
     let mut harnesses: Vec<Harness> = (0..100).map(new).collect();
     let (mut tokens, mut successes) = (22.0_f64, vec![0; 40]);
     for tick in 0..40 * 20 {
@@ -1029,7 +1035,7 @@
 /// A single report may be wrong: an implausible limit is capped, and a refusal still reduces the rate.
 #[test]
 fn no_report_raises_the_rate_above_twice_the_listed_rate() {
-    let terms = Terms { senders: 100, hold: 900, dispatches: 9, limits_told: true, ..terms() };
+    let terms = Settings { senders: 100, hold: 900, dispatches: 9, limits_told: true, ..terms() };
     let mut harness = Harness::new(terms, 1, 0, 4.0);
     let mut calls = 0;
     for left in (0..60).map(|n| 0.9 + f64::from(n) / 1000.0) {
@@ -1060,7 +1066,7 @@
 #[test]
 fn reports_are_used_only_with_sparse_traffic() {
     let wake_after = |reporting: bool| {
-        let mut harness = Harness::new(Terms { senders: 3, ..terms() }, 1, 0, 8.0);
+        let mut harness = Harness::new(Settings { senders: 3, ..terms() }, 1, 0, 8.0);
         harness.submit(2, 0, 0, None);
         harness.run_round();
         (0..u8::from(reporting)).for_each(|_| harness.report(1, 1.0, 16.0));
