--- a/crates/sailcart-drill/src/instance.rs
+++ b/crates/sailcart-drill/src/instance.rs
@@ -95,9 +95,9 @@
 }
 
 impl Instance {
-    pub fn new(wall_time: Duration, seed: u64, settings: &Value) -> Result<Self, Fault> {
-        let (terms, names) = sailcart_terms::read(settings)?;
-        let mut sender = Sender::new(terms, seed);
+    pub fn new(wall_time: Duration, seed: u64, settings_value: &Value) -> Result<Self, Fault> {
+        let (settings, names) = sailcart_terms::read(settings_value)?;
+        let mut sender = Sender::new(settings, seed);
         sender.list_failed(Duration::ZERO); // the list is not being watched yet
         Ok(Instance { sender, names, ids: IdMap::default(), start: wall_time })
     }
@@ -146,10 +146,10 @@
             category: CategoryId(category),
             customer: customer.map(CustomerId),
             key: key.map(|key| self.ids.key(key)),
-            ends: self.now(deadline),
+            deadline: self.now(deadline),
             dispatches: 0,
-            doubt: None,
-            taken_on: false,
+            possibly_executed_at: None,
+            accepted_by_previous_process: false,
         };
         self.sender.take(self.now(wall_time), packet);
         Ok(())
--- a/crates/sailcart-lab/src/capacity/hollow.rs
+++ b/crates/sailcart-lab/src/capacity/hollow.rs
@@ -69,19 +69,23 @@
         soft_limit: Duration::from_secs(1),
         patience: Duration::from_secs(60),
         credit: 1.0,
-        late_share: 0.5,
+        min_credit_share: 0.5,
     };
     Settings {
         senders: SENDERS,
         slots: 64,
-        hold: 100_000,
-        dispatches: 6,
-        cancel: true,
-        connect_time_out: Duration::from_secs(1),
+        max_held: 100_000,
+        max_dispatches: 6,
+        can_cancel: true,
+        connect_timeout: Duration::from_secs(1),
         categories: vec![category],
-        over_share: 1.0,
-        kinds: vec![Kind { own_limits: false, batch: 1 }],
-        back: RecoveryProfile { cold_from: 0.3, cold: Duration::from_secs(10), fall_multiple: 1.5 },
+        over_quota_credit_share: 1.0,
+        kinds: vec![Kind { per_route_limits: false, max_batch: 1 }],
+        recovery: RecoveryProfile {
+            initial_capacity_share: 0.3,
+            warm_up: Duration::from_secs(10),
+            overload_factor: 1.5,
+        },
         ..Settings::default()
     }
 }
@@ -117,10 +121,10 @@
             category: CategoryId(0),
             customer: None,
             key: None,
-            ends: self.now + Duration::from_secs(60),
+            deadline: self.now + Duration::from_secs(60),
             dispatches: 0,
-            doubt: None,
-            taken_on: false,
+            possibly_executed_at: None,
+            accepted_by_previous_process: false,
         };
         self.sender.take(self.now, packet);
     }
--- a/crates/sailcart-lab/src/plan.rs
+++ b/crates/sailcart-lab/src/plan.rs
@@ -433,12 +433,12 @@
     Settings {
         senders: senders.count,
         slots: senders.slots,
-        hold: senders.hold,
-        dispatches: senders.dispatches,
-        cancel: senders.cancel,
-        connect_time_out: senders.connect_time_out,
-        retry_after: senders.retry_after,
-        settle: experiment.rules.settle,
+        max_held: senders.hold,
+        max_dispatches: senders.dispatches,
+        can_cancel: senders.cancel,
+        connect_timeout: senders.connect_time_out,
+        max_retry_after: senders.retry_after,
+        key_block_time: experiment.rules.settle,
         categories: experiment
             .categories
             .iter()
@@ -454,24 +454,28 @@
                 soft_limit: category.soft_limit,
                 patience: category.patience,
                 credit: category.credit,
-                late_share: category.late_share,
+                min_credit_share: category.late_share,
             })
             .collect(),
-        customers: experiment.customers.iter().map(|c| sailcart::Customer { quota: c.quota }).collect(),
-        over_share: experiment.rules.over_share,
+        customers: experiment
+            .customers
+            .iter()
+            .map(|c| sailcart::Customer { packets_per_second: c.quota })
+            .collect(),
+        over_quota_credit_share: experiment.rules.over_share,
         kinds: experiment
             .kinds
             .iter()
-            .map(|kind| sailcart::Kind { own_limits: kind.own_limits, batch: kind.batch })
+            .map(|kind| sailcart::Kind { per_route_limits: kind.own_limits, max_batch: kind.batch })
             .collect(),
         rates_listed: senders.rates_listed,
-        list_asked: None,
-        limits_told: true, // as the settings that a sender on sockets is given say
-        late: terms_late(experiment),
-        back: RecoveryProfile {
-            cold_from: experiment.rules.cold_from,
-            cold: experiment.rules.cold,
-            fall_multiple: experiment.rules.fall_multiple,
+        max_list_staleness: None,
+        limits_reported: true, // as the settings that a sender on sockets is given say
+        credit_decay: terms_late(experiment),
+        recovery: RecoveryProfile {
+            initial_capacity_share: experiment.rules.cold_from,
+            warm_up: experiment.rules.cold,
+            overload_factor: experiment.rules.fall_multiple,
         },
     }
 }
--- a/crates/sailcart-lab/src/policies/baseline.rs
+++ b/crates/sailcart-lab/src/policies/baseline.rs
@@ -90,7 +90,7 @@
 
     fn last_start(&self, kept: &Kept) -> Duration {
         let patience = self.terms.categories[kept.packet.category.0].patience;
-        let last = kept.packet.ends.saturating_sub(patience / LAST);
+        let last = kept.packet.deadline.saturating_sub(patience / LAST);
         kept.known_until.map_or(last, |known| last.min(known.saturating_sub(patience / LAST)))
     }
 
@@ -100,7 +100,7 @@
         if kept.known_until.is_some() && repeat == Repeat::Unrepeatable {
             host.scrap(id);
         } else {
-            host.dismiss(id, self.terms.retry_after.map(|most| most.min(BACKOFF.0)));
+            host.dismiss(id, self.terms.max_retry_after.map(|most| most.min(BACKOFF.0)));
         }
         self.line.retain(|other| *other != id);
         self.leave_turn(&kept.packet);
@@ -148,7 +148,7 @@
         let rank = |id: &PacketId| {
             let kept = self.packets.get(id)?;
             let category = &self.terms.categories[kept.packet.category.0];
-            let soft = kept.packet.ends.saturating_sub(category.patience - category.soft_limit);
+            let soft = kept.packet.deadline.saturating_sub(category.patience - category.soft_limit);
             Some((soft < now + LOOK, soft, *id))
         };
         let mut ranked: Vec<_> = self.line.iter().filter_map(rank).collect();
@@ -164,7 +164,7 @@
             kept.known_until = Some(kept.known_until.map_or(known, |before| before.min(known)));
         }
         if let Some((_, rests)) = packet.key.and_then(|key| self.turns.get_mut(&key)) {
-            *rests = now + self.terms.settle;
+            *rests = now + self.terms.key_block_time;
         }
     }
 
@@ -173,12 +173,12 @@
         let repeat = self.terms.categories[kept.packet.category.0].repeat;
         let unsure = kept.known_until.is_some() && repeat == Repeat::Unrepeatable;
         let once = self.name == PolicyName::OneTry && kept.packet.dispatches > 0;
-        unsure || once || kept.packet.dispatches >= self.terms.dispatches || self.last_start(kept) <= now
+        unsure || once || kept.packet.dispatches >= self.terms.max_dispatches || self.last_start(kept) <= now
     }
 
     /// How long a call may take; `lost` is when its answer is held for lost.
     fn time_out(&self, now: Duration, packet: &Packet, lost: Option<Duration>) -> Duration {
-        let left = packet.ends.saturating_sub(now);
+        let left = packet.deadline.saturating_sub(now);
         let category = self.terms.categories[packet.category.0];
         let time_out = match category.repeat {
             Repeat::Unrepeatable => left,
@@ -236,7 +236,8 @@
         if let (true, Some(key)) = (category.in_order, packet.key) {
             self.turns.entry(key).or_default().0.push_back(packet.id);
         }
-        let known_until = packet.doubt.map(|doubt| doubt.saturating_add(memory(category.repeat)));
+        let known_until =
+            packet.possibly_executed_at.map(|doubt| doubt.saturating_add(memory(category.repeat)));
         let id = packet.id;
         self.packets.insert(id, Kept { packet, state: State::Held, not_before: Duration::ZERO, known_until });
         self.line.push_back(id);
--- a/crates/sailcart-lab/src/receivers/limit.rs
+++ b/crates/sailcart-lab/src/receivers/limit.rs
@@ -92,6 +92,6 @@
     /// Share of the limit that is left, and the limit in calls a second.
     pub fn report(&self, now: Duration) -> Option<LimitReport> {
         let left = (self.read(now) / self.most()).clamp(0.0, 1.0);
-        (self.limit.by != LimitBy::None).then_some(LimitReport { left, limit: self.limit.rate })
+        (self.limit.by != LimitBy::None).then_some(LimitReport { unused_share: left, limit: self.limit.rate })
     }
 }
--- a/crates/sailcart-lab/src/simulated/clients.rs
+++ b/crates/sailcart-lab/src/simulated/clients.rs
@@ -36,8 +36,8 @@
         self.submissions.push(Submission::new(id, sender, tries, self.now, ends));
         self.see(Seen::Handed(Handed::new(self.plan, packet, id, sender)));
         self.tally.count(Count::HandedIn);
-        if self.senders[sender.0].held.len() >= self.plan.terms.hold {
-            let retry_after = self.plan.terms.retry_after;
+        if self.senders[sender.0].held.len() >= self.plan.terms.max_held {
+            let retry_after = self.plan.terms.max_retry_after;
             return self.end_packet(Ended { packet, end: End::Dismissed, retry_after });
         }
         self.tally.holds(origin.destination, true);
--- a/crates/sailcart-lab/src/simulated/dispatching.rs
+++ b/crates/sailcart-lab/src/simulated/dispatching.rs
@@ -77,7 +77,7 @@
                 false
             }
             Connect::Never => {
-                let limit = self.plan.terms.connect_time_out.min(time_out);
+                let limit = self.plan.terms.connect_timeout.min(time_out);
                 self.queue.push(self.now + limit, Event::NotConnected(id));
                 false
             }
--- a/crates/sailcart-lab/src/simulated/lives.rs
+++ b/crates/sailcart-lab/src/simulated/lives.rs
@@ -21,7 +21,7 @@
         let lines = self.plan.list_at(self.now);
         policy.list(self.now, true, &lines);
         for packet in &self.senders[sender.0].held {
-            policy.take(self.now, Packet { taken_on: true, ..self.describe(*packet) });
+            policy.take(self.now, Packet { accepted_by_previous_process: true, ..self.describe(*packet) });
         }
         self.senders[sender.0].begin(policy, self.now);
         self.see_start(sender, &lines);
--- a/crates/sailcart-lab/src/simulated/rounds.rs
+++ b/crates/sailcart-lab/src/simulated/rounds.rs
@@ -50,10 +50,10 @@
             category: origin.category,
             customer: origin.customer,
             key: origin.key,
-            ends: submission.ends,
+            deadline: submission.ends,
             dispatches: submission.dispatches,
-            doubt: submission.doubt,
-            taken_on: false,
+            possibly_executed_at: submission.doubt,
+            accepted_by_previous_process: false,
         }
     }
 
--- a/crates/sailcart-lab/src/sockets/protocol.rs
+++ b/crates/sailcart-lab/src/sockets/protocol.rs
@@ -154,7 +154,7 @@
 
 /// An answer as it is written; `None` where the connection just ends.
 pub fn written(what: &Answer, ids: &[String], report: Option<LimitReport>) -> Option<Vec<u8>> {
-    let report = report.map_or(String::new(), |LimitReport { left, limit }| {
+    let report = report.map_or(String::new(), |LimitReport { unused_share: left, limit }| {
         format!("X-Load-Report: x0={left:.3},x1={limit:.3}\r\n")
     });
     let several = ids.len() > 1;
--- a/crates/sailcart-sender/src/config/mod.rs
+++ b/crates/sailcart-sender/src/config/mod.rs
@@ -31,7 +31,7 @@
     pub seed: u64,
     /// The destination list in the configuration.
     pub known: KnownList,
-    pub terms: Settings,
+    pub settings: Settings,
     pub names: Names,
     pub carriage: HostSettings,
     pub bounds: Bounds,
@@ -125,12 +125,13 @@
             None => read_text(member(&file, key)?, key).map(str::to_owned),
         }
     };
-    let settings = member(&file, "settings")?;
-    let (terms, names) = sailcart_terms::read(settings).map_err(|error| with_context("settings", error))?;
-    let host_settings =
-        sailcart_terms::read_host_settings(settings).map_err(|error| with_context("settings", error))?;
+    let settings_value = member(&file, "settings")?;
+    let (settings, names) =
+        sailcart_terms::read(settings_value).map_err(|error| with_context("settings", error))?;
+    let host_settings = sailcart_terms::read_host_settings(settings_value)
+        .map_err(|error| with_context("settings", error))?;
     let bounds =
-        read_bounds(file.get("limits"), terms.slots).map_err(|error| with_context("limits", error))?;
+        read_bounds(file.get("limits"), settings.slots).map_err(|error| with_context("limits", error))?;
     Ok(Mandate {
         name: value_of("ROUTER_NAME", "name")?,
         listen: parse_address("listen", &value_of("ROUTER_LISTEN", "listen")?)?,
@@ -141,7 +142,7 @@
         state: existing_folder(&value_of("ROUTER_STATE", "state")?)?,
         seed: read_seed(file.get("seed"))?,
         known,
-        terms,
+        settings,
         names,
         carriage: host_settings,
         bounds,
@@ -235,7 +236,7 @@
 
 /// A summary of the configuration for people, as printed by `sailcart check`.
 pub fn summary(config: &Mandate) -> String {
-    let Mandate { name, listen, source, state, terms, bounds, known, .. } = config;
+    let Mandate { name, listen, source, state, settings, bounds, known, .. } = config;
     let Bounds { clients, idle, journal, listed, .. } = bounds;
     let source = match source {
         Source::Platform(discovery) => format!("discovery at {discovery}"),
@@ -247,10 +248,10 @@
          {clients} client connections, {idle} idle connections to endpoints, {journal} bytes of journal at most\n\
          {listed} endpoints listed by discovery at most",
         state.display(),
-        terms.slots,
-        terms.hold,
-        terms.categories.len(),
-        terms.kinds.len(),
+        settings.slots,
+        settings.max_held,
+        settings.categories.len(),
+        settings.kinds.len(),
         known.summary().read,
     )
 }
--- a/crates/sailcart-sender/src/exchange/host_state.rs
+++ b/crates/sailcart-sender/src/exchange/host_state.rs
@@ -55,16 +55,16 @@
 }
 
 impl HostState {
-    pub(super) fn new(terms: &sailcart::Settings, names: Names, ledger: Ledger) -> Self {
+    pub(super) fn new(settings: &sailcart::Settings, names: Names, ledger: Ledger) -> Self {
         let states = ledger.unended().into_iter().map(|packet| ledger.stand(packet.number));
         let clock = Clock::new(states.filter_map(|state| state.doubt.or(state.out)));
         let unacknowledged = Untold::new(ledger.owed().map(|(id, ..)| id));
         HostState {
             clock,
             names,
-            batch_by_kind: terms.kinds.iter().map(|kind| kind.batch.max(1)).collect(),
-            patience_by_category: terms.categories.iter().map(|category| category.patience).collect(),
-            retry_after: terms.retry_after,
+            batch_by_kind: settings.kinds.iter().map(|kind| kind.max_batch.max(1)).collect(),
+            patience_by_category: settings.categories.iter().map(|category| category.patience).collect(),
+            retry_after: settings.max_retry_after,
             ledger,
             directory: Directory::new(),
             has_current_list: false,
@@ -76,7 +76,7 @@
             wakes: Wakes::default(),
             unacknowledged,
             violations: Violations::default(),
-            in_order_by_category: terms.categories.iter().map(|category| category.in_order).collect(),
+            in_order_by_category: settings.categories.iter().map(|category| category.in_order).collect(),
         }
     }
 
--- a/crates/sailcart-sender/src/exchange/mod.rs
+++ b/crates/sailcart-sender/src/exchange/mod.rs
@@ -56,9 +56,9 @@
 impl Exchange {
     /// Creates the sender and its host with the state that the journal restored. `seed` drives the sender's
     /// random draws.
-    pub fn new(terms: sailcart::Settings, seed: u64, names: Names, ledger: Ledger) -> Self {
-        let host = HostState::new(&terms, names, ledger);
-        let inner = Inner { sender: Sender::new(terms, seed), host, stopped: false };
+    pub fn new(settings: sailcart::Settings, seed: u64, names: Names, ledger: Ledger) -> Self {
+        let host = HostState::new(&settings, names, ledger);
+        let inner = Inner { sender: Sender::new(settings, seed), host, stopped: false };
         let (round_requested, notices_acknowledged) = (Notify::new(), Notify::new());
         let (notices, notices_out) = (Notify::new(), Notify::new());
         Exchange { inner: RefCell::new(inner), round_requested, notices, notices_out, notices_acknowledged }
--- a/crates/sailcart-sender/src/exchange/packets.rs
+++ b/crates/sailcart-sender/src/exchange/packets.rs
@@ -65,8 +65,14 @@
                 // The previous process may have had a wrong clock: the time left is never longer than the
                 // category's patience.
                 let max = now.saturating_add(host.patience_by_category[restored.category.0]);
-                sender
-                    .take(now, sailcart::Packet { ends: restored.ends.min(max), taken_on: true, ..restored });
+                sender.take(
+                    now,
+                    sailcart::Packet {
+                        deadline: restored.deadline.min(max),
+                        accepted_by_previous_process: true,
+                        ..restored
+                    },
+                );
             }
             Err(unknown) => {
                 log::warn!("packet {} scrapped, code=unknown_{unknown}", packet.id);
@@ -165,10 +171,10 @@
             category: CategoryId(*category),
             customer: customer.map(CustomerId),
             key: packet.about.as_deref().map(key_id),
-            ends: self.clock.deadline(packet.ends),
+            deadline: self.clock.deadline(packet.ends),
             dispatches: state.dispatches,
-            doubt: state.doubt.or(state.out).map(|sent_at| self.clock.dispatch_time(sent_at)),
-            taken_on: false,
+            possibly_executed_at: state.doubt.or(state.out).map(|sent_at| self.clock.dispatch_time(sent_at)),
+            accepted_by_previous_process: false,
         })
     }
 }
--- a/crates/sailcart-sender/src/life/start.rs
+++ b/crates/sailcart-sender/src/life/start.rs
@@ -48,13 +48,13 @@
     let ledger =
         Ledger::open(&mandate.state, mandate.bounds.journal, mandate.bounds.ended, mandate.bounds.sync);
     let ledger = ledger.map_err(|e| with_key("state", e))?;
-    let (terms, known, bounds) = (mandate.terms, mandate.known, mandate.bounds);
+    let (settings, known, bounds) = (mandate.settings, mandate.known, mandate.bounds);
     // An eighth before the endpoint closes the connection, which is longer than a call takes to reach it: a
     // call that crosses the endpoint's close is lost.
     let pool = Pool::new(mandate.carriage.idle_close * 7 / 8, bounds.idle);
-    let endpoints = Rc::new(Endpoints::new(pool, terms.connect_time_out));
-    let asked = terms.list_asked;
-    let exchange = Rc::new(Exchange::new(terms, mandate.seed, mandate.names, ledger));
+    let endpoints = Rc::new(Endpoints::new(pool, settings.connect_timeout));
+    let asked = settings.max_list_staleness;
+    let exchange = Rc::new(Exchange::new(settings, mandate.seed, mandate.names, ledger));
     recovery::recover(&exchange, &known);
     let reload_target = match mandate.source {
         Source::Platform(discovery) => {
--- a/crates/sailcart-sender/tests/directory.rs
+++ b/crates/sailcart-sender/tests/directory.rs
@@ -539,7 +539,7 @@
     let environment = |name: &str| (name == "ROUTER_STATE").then(|| state.to_owned());
     let mandate = config::read(Some(file.into()), &environment).unwrap_or_else(|fault| panic!("{}", fault.0));
     let ledger = Ledger::open(folder, 1_000_000, 100, sailcart_store::Sync::None).expect("a ledger");
-    Exchange::new(mandate.terms, 1, mandate.names, ledger)
+    Exchange::new(mandate.settings, 1, mandate.names, ledger)
 }
 
 fn entries(numbers: std::ops::Range<u32>) -> Vec<Entry> {
--- a/crates/sailcart-sender/tests/wire.rs
+++ b/crates/sailcart-sender/tests/wire.rs
@@ -96,7 +96,7 @@
     let told = |value: &str| {
         let answer = format!("HTTP/1.1 200 OK\r\nx-load-report: {value}\r\n\r\n");
         let (head, _) = http::head(answer.as_bytes()).expect("a good head").expect("a whole head");
-        call::report(&head, &reports).map(|report| (report.left, report.limit))
+        call::report(&head, &reports).map(|report| (report.unused_share, report.limit))
     };
     assert_eq!(told("x0=0.4,x1=25"), Some((0.4, 25.0)));
     assert_eq!(told("other=3, x1 = 25.5 , x0=0"), Some((0.0, 25.5)));
--- a/crates/sailcart-terms/src/lib.rs
+++ b/crates/sailcart-terms/src/lib.rs
@@ -34,8 +34,9 @@
     /// Builds a report from its fields, which `value` looks up by position and name. Returns `None` if a
     /// field is missing, the share is outside of 0 to 1, or the limit is not a positive finite number.
     pub fn read(&self, value: impl Fn(&(usize, String)) -> Option<f64>) -> Option<LimitReport> {
-        let report = LimitReport { left: value(&self.left)?, limit: value(&self.limit)? };
-        let valid = (0.0..=1.0).contains(&report.left) && report.limit.is_finite() && report.limit > 0.0;
+        let report = LimitReport { unused_share: value(&self.left)?, limit: value(&self.limit)? };
+        let valid =
+            (0.0..=1.0).contains(&report.unused_share) && report.limit.is_finite() && report.limit > 0.0;
         valid.then_some(report)
     }
 }
@@ -49,80 +50,80 @@
 }
 
 /// Reads the settings of the host. A simulator is its own host and doesn't need them.
-pub fn read_host_settings(settings: &Value) -> Result<HostSettings, Fault> {
+pub fn read_host_settings(value: &Value) -> Result<HostSettings, Fault> {
     Ok(HostSettings {
-        round: milliseconds_in(settings, "period_ms")?,
-        idle_close: milliseconds_in(member(settings, "bounds")?, "idle_close_ms")?,
+        round: milliseconds_in(value, "period_ms")?,
+        idle_close: milliseconds_in(member(value, "bounds")?, "idle_close_ms")?,
     })
 }
 
 /// Reads the settings that decisions depend on. Unknown keys are ignored. The error names the key that is
 /// missing or malformed.
-pub fn read(settings: &Value) -> Result<(Settings, Names), Fault> {
-    let bounds = member(settings, "bounds")?;
-    let domain = member(settings, "domain")?;
-    let rules = member(settings, "rules")?;
-    let categories = list_in(settings, "lanes")?;
-    let customers = match settings.get("customers") {
+pub fn read(value: &Value) -> Result<(Settings, Names), Fault> {
+    let bounds = member(value, "bounds")?;
+    let domain = member(value, "domain")?;
+    let rules = member(value, "rules")?;
+    let categories = list_in(value, "lanes")?;
+    let customers = match value.get("customers") {
         None | Some(Value::Null) => &[],
-        Some(_) => list_in(settings, "customers")?,
+        Some(_) => list_in(value, "customers")?,
     };
-    let kinds = read_texts(list_in(settings, "kinds")?, "kinds")?;
+    let kinds = read_texts(list_in(value, "kinds")?, "kinds")?;
     let names = Names {
         categories: index_by_name(entry_names(categories)?),
         customers: index_by_name(entry_names(customers)?),
         kinds: index_by_name(kinds.clone()),
-        reports: report_fields(settings)?,
+        reports: report_fields(value)?,
     };
-    let retry_after = match bool_in(bounds, "retry_after")? {
+    let max_retry_after = match bool_in(bounds, "retry_after")? {
         true => Some(milliseconds_in(bounds, "max_retry_after_ms")?),
         false => None,
     };
-    let terms = Settings {
-        senders: positive(count_in(settings, "balancers")?, "balancers")?,
+    let settings = Settings {
+        senders: positive(count_in(value, "balancers")?, "balancers")?,
         slots: positive(count_in(domain, "call_slots")?, "call_slots")?,
-        hold: count_in(bounds, "max_open")?,
-        dispatches: u32::try_from(count_in(bounds, "send_cap")?).unwrap_or(u32::MAX),
-        cancel: bool_in(bounds, "cancel")?,
-        connect_time_out: milliseconds_in(bounds, "connect_timeout_ms")?,
-        retry_after,
-        settle: match rules.get("settle_after_doubt_ms") {
+        max_held: count_in(bounds, "max_open")?,
+        max_dispatches: u32::try_from(count_in(bounds, "send_cap")?).unwrap_or(u32::MAX),
+        can_cancel: bool_in(bounds, "cancel")?,
+        connect_timeout: milliseconds_in(bounds, "connect_timeout_ms")?,
+        max_retry_after,
+        key_block_time: match rules.get("settle_after_doubt_ms") {
             None | Some(Value::Null) => Duration::ZERO,
             Some(_) => milliseconds_in(rules, "settle_after_doubt_ms")?,
         },
         categories: categories.iter().map(read_category).collect::<Result<_, _>>()?,
         customers: customers
             .iter()
-            .map(|customer| Ok(Customer { quota: number_in(customer, "quota_per_s")? }))
+            .map(|customer| Ok(Customer { packets_per_second: number_in(customer, "quota_per_s")? }))
             .collect::<Result<_, Fault>>()?,
-        over_share: match settings.get("over_share_worth") {
+        over_quota_credit_share: match value.get("over_share_worth") {
             None | Some(Value::Null) => 1.0,
-            Some(_) => number_in(settings, "over_share_worth")?,
+            Some(_) => number_in(value, "over_share_worth")?,
         },
         kinds: (0..kinds.len()).map(|index| read_kind(domain, index)).collect::<Result<_, _>>()?,
-        limits_told: names.reports.is_some(),
-        list_asked: match settings.get("registry_mode").and_then(Value::as_str) {
+        limits_reported: names.reports.is_some(),
+        max_list_staleness: match value.get("registry_mode").and_then(Value::as_str) {
             Some("subscribe") => Some(milliseconds_in(rules, "ask_within_ms")?),
             _ => None,
         },
-        rates_listed: matches!(text_in(settings, "weights")?, "nominal" | "rough"),
-        late: match text_in(domain, "late")? {
+        rates_listed: matches!(text_in(value, "weights")?, "nominal" | "rough"),
+        credit_decay: match text_in(domain, "late")? {
             "line" => CreditDecay::Linear,
             "halves" => CreditDecay::Halving,
             other => return Err(format!("expected line or halves in late, not {other}").into()),
         },
-        back: RecoveryProfile {
-            cold_from: number_in(rules, "cold_from")?,
-            cold: positive(milliseconds_in(rules, "cold_ms")?, "cold_ms")?,
-            fall_multiple: number_in(rules, "fall_multiple")?,
+        recovery: RecoveryProfile {
+            initial_capacity_share: number_in(rules, "cold_from")?,
+            warm_up: positive(milliseconds_in(rules, "cold_ms")?, "cold_ms")?,
+            overload_factor: number_in(rules, "fall_multiple")?,
         },
     };
-    Ok((terms, names))
+    Ok((settings, names))
 }
 
 /// Of the columns of the answers' load reports, those that contain an upstream's limit.
-fn report_fields(settings: &Value) -> Result<Option<Reports>, Fault> {
-    let Some(report) = settings.get("report").filter(|report| !report.is_null()) else { return Ok(None) };
+fn report_fields(value: &Value) -> Result<Option<Reports>, Fault> {
+    let Some(report) = value.get("report").filter(|report| !report.is_null()) else { return Ok(None) };
     if text_in(report, "how")? != "answers" {
         return Ok(None);
     }
@@ -149,7 +150,7 @@
         soft_limit: positive(milliseconds_in(category, "aim_ms")?, "aim_ms")?,
         patience: positive(milliseconds_in(category, "hard_limit_ms")?, "hard_limit_ms")?,
         credit: number_in(category, "gain")?,
-        late_share: number_in(category, "late_share")?,
+        min_credit_share: number_in(category, "late_share")?,
     })
 }
 
@@ -164,7 +165,7 @@
         .ok_or("expected an array of true or false in own_limits")?;
     let batch = batches.get(index).or(batches.last()).and_then(Value::as_u64);
     let batch = batch.ok_or("expected an array of whole numbers in kind_batch")?;
-    Ok(Kind { own_limits: has_own_limits, batch: usize::try_from(batch).unwrap_or(1) })
+    Ok(Kind { per_route_limits: has_own_limits, max_batch: usize::try_from(batch).unwrap_or(1) })
 }
 
 fn index_by_name(names: Vec<&str>) -> HashMap<String, usize> {
--- a/src/control.rs
+++ b/src/control.rs
@@ -152,10 +152,11 @@
             Health::Healthy => return f64::INFINITY,
             Health::Unresponsive | Health::Ejected => 0.0,
             Health::Recovering(since) => {
-                now.saturating_sub(since).as_secs_f64() / recovery.cold.as_secs_f64()
+                now.saturating_sub(since).as_secs_f64() / recovery.warm_up.as_secs_f64()
             }
         };
-        let capacity_share = recovery.cold_from + (1.0 - recovery.cold_from) * warm_up.min(1.0);
+        let capacity_share =
+            recovery.initial_capacity_share + (1.0 - recovery.initial_capacity_share) * warm_up.min(1.0);
         let normal_rate = match self.listed_rate {
             listed if parameters.sparse_traffic => {
                 let demand = self.demand_rate(now, parameters);
@@ -164,7 +165,7 @@
             }
             listed => listed.map_or(self.healthy_rate, |listed| listed / parameters.senders),
         };
-        (TARGET_UTILIZATION * recovery.fall_multiple * capacity_share * normal_rate)
+        (TARGET_UTILIZATION * recovery.overload_factor * capacity_share * normal_rate)
             .max(MIN_RATE / parameters.senders)
     }
 
@@ -237,7 +238,7 @@
                 self.rate = self.rate.map(|rate| rate.max(self.target_rate));
             }
             Health::Recovering(since) => {
-                let warm = now.saturating_sub(since) >= parameters.recovery.cold;
+                let warm = now.saturating_sub(since) >= parameters.recovery.warm_up;
                 self.health = if warm { Health::Healthy } else { self.health };
             }
         }
@@ -275,7 +276,9 @@
         let Some((report, share)) = self.last_report.zip(self.reported_share(parameters)) else {
             return false;
         };
-        let adapted = |rate: f64| (rate * (0.5 + report.left)).max(report.left * share).min(report.limit);
+        let adapted = |rate: f64| {
+            (rate * (0.5 + report.unused_share)).max(report.unused_share * share).min(report.limit)
+        };
         self.rate = self.rate.map(adapted);
         true
     }
@@ -324,8 +327,9 @@
         if parameters.sparse_traffic {
             let packet_interval = time_to_accrue(1.0, self.demand_rate(now, parameters));
             let backoff = (min_backoff + now.saturating_sub(self.first_loss_at)).min(packet_interval);
-            let cold_load =
-                TARGET_UTILIZATION * parameters.recovery.fall_multiple * parameters.recovery.cold_from;
+            let cold_load = TARGET_UTILIZATION
+                * parameters.recovery.overload_factor
+                * parameters.recovery.initial_capacity_share;
             self.blocked_until =
                 self.blocked_until.max(now.saturating_add(backoff.mul_f64(2.0 * jitter / cold_load)));
         }
@@ -406,7 +410,7 @@
     /// Whether a refusal may be due to an outage: with sparse traffic, if no report says that little of the
     /// limit is left. Otherwise the rate adaptation handles the refusal.
     fn refusal_may_be_outage(&self, parameters: &Parameters) -> bool {
-        parameters.sparse_traffic && self.last_report.is_none_or(|report| report.left > 0.5)
+        parameters.sparse_traffic && self.last_report.is_none_or(|report| report.unused_share > 0.5)
     }
 }
 
@@ -426,14 +430,14 @@
 impl TrackedPacket {
     /// It was accepted by the previous process and has not been dispatched yet.
     fn is_restored_and_untried(&self) -> bool {
-        self.packet.taken_on && self.packet.dispatches == 0
+        self.packet.accepted_by_previous_process && self.packet.dispatches == 0
     }
 }
 
 /// The settings, the values derived from them, and the measurements that all upstreams share.
 #[derive(Default)]
 struct Parameters {
-    terms: Settings,
+    settings: Settings,
     /// Number of senders, at least one.
     senders: f64,
     /// Share of the minimum rate, and of the minimum step of the rate, that is left to each of many senders.
@@ -441,7 +445,7 @@
     /// There are so many senders that an upstream receives a call from each of them only now and then.
     sparse_traffic: bool,
     /// Number of packets held above which load is shed.
-    max_held: usize,
+    shedding_threshold: usize,
     /// This sender's share of each customer's quota, in packets per second.
     customer_quotas: Vec<f64>,
     /// The shortest soft limit of all categories: the time scale of all measurements.
@@ -452,21 +456,27 @@
 }
 
 impl Parameters {
-    fn new(terms: Settings) -> Self {
-        let senders = terms.senders.max(1) as f64;
+    fn new(settings: Settings) -> Self {
+        let senders = settings.senders.max(1) as f64;
         let min_soft_limit =
-            terms.categories.iter().map(|category| category.soft_limit).min().unwrap_or_default();
+            settings.categories.iter().map(|category| category.soft_limit).min().unwrap_or_default();
         let min_soft_limit = min_soft_limit.max(Duration::from_millis(1));
         Parameters {
             senders,
             min_rate_share: (SENDERS_AT_FULL_MIN_RATE / senders).min(1.0),
             sparse_traffic: senders > 4.0 * SENDERS_AT_FULL_MIN_RATE,
-            max_held: terms.hold.saturating_sub((terms.hold / HOLD_RESERVE_DIVISOR).max(1)),
+            shedding_threshold: settings
+                .max_held
+                .saturating_sub((settings.max_held / HOLD_RESERVE_DIVISOR).max(1)),
             min_soft_limit,
             mean_answer_time: min_soft_limit / 4,
-            customer_quotas: terms.customers.iter().map(|customer| customer.quota / senders).collect(),
-            recovery: terms.back.clone(),
-            terms,
+            customer_quotas: settings
+                .customers
+                .iter()
+                .map(|customer| customer.packets_per_second / senders)
+                .collect(),
+            recovery: settings.recovery.clone(),
+            settings,
         }
     }
 }
@@ -514,17 +524,17 @@
 
 impl Sender {
     /// Creates a sender without destinations or packets. The same seed and calls give the same decisions.
-    pub fn new(terms: Settings, seed: u64) -> Self {
-        let customer_buckets = terms.customers.iter().map(|_| TokenBucket::default()).collect();
+    pub fn new(settings: Settings, seed: u64) -> Self {
+        let customer_buckets = settings.customers.iter().map(|_| TokenBucket::default()).collect();
         let rng = Some(ChaCha8Rng::seed_from_u64(seed));
-        let kind_counters = terms.kinds.iter().map(|_| Default::default()).collect();
-        let retry_budget = terms.slots as f64;
+        let kind_counters = settings.kinds.iter().map(|_| Default::default()).collect();
+        let retry_budget = settings.slots as f64;
         Sender {
             retry_budget,
             customer_buckets,
             kind_counters,
             rng,
-            parameters: Parameters::new(terms),
+            parameters: Parameters::new(settings),
             ..Sender::default()
         }
     }
@@ -534,7 +544,10 @@
     /// within a quarter of the permitted staleness, and the range doubles with each consecutive failure, up
     /// to all of it.
     pub fn list_failed(&mut self, now: Duration) {
-        let Some((staleness, rng)) = self.parameters.terms.list_asked.zip(self.rng.as_mut()) else { return };
+        let Some((staleness, rng)) = self.parameters.settings.max_list_staleness.zip(self.rng.as_mut())
+        else {
+            return;
+        };
         let max_delay = (staleness / 4).saturating_mul(1 << self.list_request_failures.min(2));
         self.list_request_at = Some(now.saturating_add(max_delay.mul_f64(rng.random())));
         self.list_request_failures += 1;
@@ -581,20 +594,22 @@
 
     /// Applies an entry of the list to a destination that has traffic.
     fn apply_entry(&mut self, entry: &ListEntry) {
-        let kind = &self.parameters.terms.kinds[entry.kind.0];
-        let upstream_id = (entry.destination, kind.own_limits.then_some(entry.endpoint));
+        let kind = &self.parameters.settings.kinds[entry.kind.0];
+        let upstream_id = (entry.destination, kind.per_route_limits.then_some(entry.endpoint));
         let destination = self.destinations.entry(entry.destination).or_default();
-        destination.max_batch = kind.batch;
+        destination.max_batch = kind.max_batch;
         destination.upstreams.insert(upstream_id);
         let upstream = self.upstreams.entry(upstream_id).or_default();
-        if self.parameters.terms.rates_listed && entry.rate > 0.0 && upstream.listed_rate != Some(entry.rate)
+        if self.parameters.settings.rates_listed
+            && entry.rate > 0.0
+            && upstream.listed_rate != Some(entry.rate)
         {
             // All senders share the listed rate, so each starts with a part of it and climbs to the full
             // rate.
             let share = 2.0 * entry.rate / (1.0 + self.parameters.senders);
             (upstream.listed_rate, upstream.target_rate) = (Some(entry.rate), share);
             // Where answers report limits, the first reports correct a rate that starts too high.
-            let min_rate_shared = self.parameters.sparse_traffic && !self.parameters.terms.limits_told;
+            let min_rate_shared = self.parameters.sparse_traffic && !self.parameters.settings.limits_reported;
             let min_rate = if min_rate_shared { MIN_RATE * self.parameters.min_rate_share } else { MIN_RATE };
             upstream.rate = Some(share.max(min_rate).min(entry.rate));
         }
@@ -606,7 +621,7 @@
             upstream_id,
             live: entry.live,
             kind: entry.kind,
-            concurrency_limit: self.parameters.terms.slots,
+            concurrency_limit: self.parameters.settings.slots,
         };
         self.endpoints.entry(entry.endpoint).or_insert(new_endpoint).live = entry.live;
     }
@@ -634,7 +649,7 @@
         for id in candidates {
             let Some(destination) = self.destinations.get(&id) else { continue };
             let recently_used =
-                destination.last_held_at.saturating_add(self.parameters.recovery.cold) > self.now;
+                destination.last_held_at.saturating_add(self.parameters.recovery.warm_up) > self.now;
             let not_live = |id: &EndpointId| self.endpoints.get(id).is_none_or(|endpoint| !endpoint.live);
             if destination.endpoints.is_empty() && !self.held.contains_key(&id) && !recently_used {
                 self.remove_destination(id);
@@ -675,7 +690,7 @@
                 upstream.health == Health::Healthy && upstream.blocked_until <= self.now
             };
             let idle = !self.held.contains_key(&id) && self.calls_in_flight(&id) == 0;
-            let warm = destination.last_held_at.saturating_add(self.parameters.recovery.cold) <= self.now;
+            let warm = destination.last_held_at.saturating_add(self.parameters.recovery.warm_up) <= self.now;
             if idle && warm && self.upstreams_of(&id).all(unrestricted) {
                 self.remove_destination(id);
             } else {
@@ -690,13 +705,15 @@
     /// any sender.
     pub fn take(&mut self, now: Duration, packet: Packet) {
         self.now = now.max(self.now);
-        let category = self.parameters.terms.categories[packet.category.0];
-        let answer_due = packet.ends.saturating_sub(category.patience.saturating_sub(category.soft_limit));
+        let category = self.parameters.settings.categories[packet.category.0];
+        let answer_due =
+            packet.deadline.saturating_sub(category.patience.saturating_sub(category.soft_limit));
         if let (true, Some(key)) = (category.in_order, packet.key) {
             let key_queue = self.key_queues.entry(key).or_default();
             key_queue.packets.push_back(packet.id);
-            key_queue.blocked_until =
-                key_queue.blocked_until.max(packet.doubt.map_or(now, |_| now + self.parameters.terms.settle));
+            key_queue.blocked_until = key_queue.blocked_until.max(
+                packet.possibly_executed_at.map_or(now, |_| now + self.parameters.settings.key_block_time),
+            );
         }
         // Beyond this sender's share of its customer's quota a packet earns little credit.
         let over_quota = packet.customer.is_some_and(|CustomerId(index)| {
@@ -707,7 +724,8 @@
                 quota * self.parameters.min_soft_limit.as_secs_f64(),
             )
         });
-        let (id, destination, state) = (packet.id, packet.destination, PacketState::Held(packet.doubt));
+        let (id, destination, state) =
+            (packet.id, packet.destination, PacketState::Held(packet.possibly_executed_at));
         self.packets
             .insert(id, TrackedPacket { packet, category, answer_due, over_quota, refused: false, state });
         self.evict_idle();
@@ -781,7 +799,8 @@
         let limit_unknown = self.parameters.sparse_traffic
             && upstreams.into_iter().all(|upstream_id| has_no_limit(&self.upstreams[upstream_id]));
         tracked.refused |= limit_unknown && matches!(outcome, Outcome::Full(_));
-        let min_dispatches = if outcome == Outcome::Moot { self.parameters.terms.dispatches } else { 0 };
+        let min_dispatches =
+            if outcome == Outcome::Moot { self.parameters.settings.max_dispatches } else { 0 };
         tracked.packet.dispatches -= u32::from(outcome == Outcome::Unsent);
         tracked.packet.dispatches = tracked.packet.dispatches.max(min_dispatches);
         let (state, key, destination) = (tracked.state, tracked.packet.key, tracked.packet.destination);
@@ -791,7 +810,7 @@
         if let (true, Some(key_queue)) =
             (may_still_execute, key.and_then(|key| self.key_queues.get_mut(&key)))
         {
-            key_queue.blocked_until = now.saturating_add(self.parameters.terms.settle);
+            key_queue.blocked_until = now.saturating_add(self.parameters.settings.key_block_time);
         }
         let (PacketState::InFlight(_, possibly_executed_at), false) =
             (state, completed || outcome == Outcome::Done)
@@ -840,10 +859,10 @@
         };
         match outcome {
             Outcome::Done => {
-                endpoint.concurrency_limit = (endpoint.concurrency_limit + 1).min(parameters.terms.slots);
+                endpoint.concurrency_limit = (endpoint.concurrency_limit + 1).min(parameters.settings.slots);
                 answers.add(now, parameters.min_soft_limit * 8);
                 self.retry_budget =
-                    (self.retry_budget + RETRIES_PER_ANSWER).min(parameters.terms.slots as f64);
+                    (self.retry_budget + RETRIES_PER_ANSWER).min(parameters.settings.slots as f64);
                 upstream.record_success(now, elapsed, kind_headroom, parameters);
                 self.parameters.mean_answer_time = (self.parameters.mean_answer_time * 7 + elapsed) / 8;
             }
@@ -855,7 +874,7 @@
                     // sign of an outage. The jitter is inverted, so that it does not coincide with that of
                     // the token bucket.
                     let min_backoff =
-                        parameters.min_soft_limit / if parameters.terms.limits_told { 1 } else { 2 };
+                        parameters.min_soft_limit / if parameters.settings.limits_reported { 1 } else { 2 };
                     upstream.back_off(now, min_backoff, 1.0 - jitter, parameters);
                 }
             }
@@ -956,7 +975,8 @@
         let wait = self.estimated_wait(destination, self.held.get(&destination).map_or(0, BTreeSet::len));
         let may_not_repeat =
             tracked.category.repeat == Repeat::Unrepeatable && tracked.state != PacketState::Held(None);
-        let exhausted = may_not_repeat || tracked.packet.dispatches >= self.parameters.terms.dispatches;
+        let exhausted =
+            may_not_repeat || tracked.packet.dispatches >= self.parameters.settings.max_dispatches;
         if exhausted || self.would_expire(wait, tracked) {
             self.pending_failures.push((id, Some(wait)));
         }
@@ -986,7 +1006,7 @@
         let upstreams = self.upstreams_of(&tracked.packet.destination);
         let Some(blocked) = upstreams.map(|upstream| upstream.blocked_until).min() else { return false };
         let until = if tracked.is_restored_and_untried() { blocked } else { self.now.saturating_add(wait) };
-        until > tracked.packet.ends
+        until > tracked.packet.deadline
     }
 
     /// Checks the held packets of a destination again after an upstream's rate was reduced, because otherwise
@@ -1011,7 +1031,7 @@
             _ => Duration::MAX,
         };
         repeat_deadline
-            .min(tracked.packet.ends)
+            .min(tracked.packet.deadline)
             .saturating_sub(tracked.category.soft_limit / DEADLINE_MARGIN_DIVISOR)
     }
 
@@ -1085,7 +1105,7 @@
         let may_resubmit = possibly_executed_at.is_none() || tracked.category.repeat != Repeat::Unrepeatable;
         if may_resubmit {
             let wait = wait.unwrap_or_default().max(tracked.category.soft_limit / DEADLINE_MARGIN_DIVISOR);
-            host.dismiss(id, self.parameters.terms.retry_after.map(|max| wait.min(max)));
+            host.dismiss(id, self.parameters.settings.max_retry_after.map(|max| wait.min(max)));
             self.change_state(id, PacketState::Dismissed);
         } else {
             host.scrap(id);
@@ -1114,17 +1134,17 @@
     /// loses the one with the earliest deadline, those beyond a quota first. Packets that the previous
     /// process accepted and did not dispatch are spared as long as there are others.
     fn shed_load(&mut self, host: &mut impl Host) {
-        while self.packets.len() > self.parameters.max_held {
+        while self.packets.len() > self.parameters.shedding_threshold {
             let sheddable = |held: &&BTreeSet<PacketId>| {
                 held.iter().filter(|id| !self.packets[id].is_restored_and_untried()).count()
             };
             let Some(fullest) = self.held.values().max_by_key(sheddable) else { return };
             let order = |id: &&PacketId| {
                 let TrackedPacket { packet, over_quota, .. } = &self.packets[id];
-                (self.packets[id].is_restored_and_untried(), !over_quota, packet.ends, **id)
+                (self.packets[id].is_restored_and_untried(), !over_quota, packet.deadline, **id)
             };
             let Some(victim) = fullest.iter().min_by_key(order).copied() else { return };
-            self.fail_packet(victim, self.parameters.terms.retry_after, host);
+            self.fail_packet(victim, self.parameters.settings.max_retry_after, host);
         }
     }
 
@@ -1133,8 +1153,8 @@
     /// first. At a healthy upstream, which may just be slow, a call counts as stalled after twice the stall
     /// timeout. Trade-off: an answer may be lost that was about to arrive.
     fn cancel_stalled_calls(&mut self, host: &mut impl Host) {
-        if !self.parameters.terms.cancel
-            || self.calls.len() < self.parameters.terms.slots
+        if !self.parameters.settings.can_cancel
+            || self.calls.len() < self.parameters.settings.slots
             || !self.healthy_destination_waits()
         {
             return;
@@ -1154,7 +1174,9 @@
             }
         }
         stalled.sort();
-        for (_, _, id) in stalled.iter().take(stalled.len().saturating_sub(self.parameters.terms.slots / 8)) {
+        for (_, _, id) in
+            stalled.iter().take(stalled.len().saturating_sub(self.parameters.settings.slots / 8))
+        {
             if let Some(call) = self.calls.get_mut(id).filter(|call| !call.cancelled) {
                 call.cancelled = true;
                 for packet in &call.pending_packets {
@@ -1175,13 +1197,13 @@
     /// where slots are scarce, one call to a slow destination takes as long as many calls to others.
     fn assign_slots(&mut self, host: &mut impl Host) {
         let available = |upstream: &Upstream| upstream.available_in(self.now, &self.parameters).is_zero();
-        let held = self.held.keys().copied().filter(|_| self.calls.len() < self.parameters.terms.slots);
+        let held = self.held.keys().copied().filter(|_| self.calls.len() < self.parameters.settings.slots);
         let mut ready: Vec<_> = held.filter(|id| self.upstreams_of(id).any(available)).collect();
         if ready.is_empty() {
             return;
         }
         let shares = self.max_min_shares();
-        while self.calls.len() < self.parameters.terms.slots {
+        while self.calls.len() < self.parameters.settings.slots {
             let below_share = |id: &DestinationId| shares[id] - self.calls_in_flight(id) as f64;
             let answer_time = |upstream: &Upstream| upstream.expected_answer_time(&self.parameters);
             let rank = |id| (below_share(id), self.upstreams_of(id).map(answer_time).min());
@@ -1206,7 +1228,7 @@
         let mut demands: Vec<_> = competing.iter().map(|id| (demand(id), *id)).collect();
         demands.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         let (mut remaining_slots, mut remaining_destinations) =
-            (self.parameters.terms.slots as f64, demands.len() as f64);
+            (self.parameters.settings.slots as f64, demands.len() as f64);
         let mut shares = BTreeMap::new();
         for (demand, id) in demands {
             let share = demand.min(remaining_slots / remaining_destinations);
@@ -1229,8 +1251,11 @@
                 || upstream.expected_answer_time(&self.parameters) > self.parameters.min_soft_limit
         };
         let degraded = self.upstreams_of(id).any(degraded);
-        let limit =
-            if degraded { self.parameters.terms.slots / 2 } else { self.parameters.terms.slots * 3 / 4 };
+        let limit = if degraded {
+            self.parameters.settings.slots / 2
+        } else {
+            self.parameters.settings.slots * 3 / 4
+        };
         limit.max(1)
     }
 
@@ -1282,7 +1307,7 @@
     /// packet that must not be repeated.
     fn dispatch_timeout(&self, id: PacketId) -> Duration {
         let TrackedPacket { packet, category, .. } = &self.packets[&id];
-        let remaining = packet.ends.saturating_sub(self.now);
+        let remaining = packet.deadline.saturating_sub(self.now);
         if category.repeat == Repeat::Unrepeatable { remaining } else { remaining.min(category.patience / 3) }
     }
 
@@ -1294,7 +1319,7 @@
             .calls
             .values()
             .filter(|call| self.upstreams[&call.upstream_id].health.receives_only_probes());
-        let probes_left = (self.parameters.terms.slots / 2).max(1).saturating_sub(probes.count());
+        let probes_left = (self.parameters.settings.slots / 2).max(1).saturating_sub(probes.count());
         let (now, parameters) = (self.now, &self.parameters);
         let mut candidates: Vec<(f64, EndpointId)> = Vec::new();
         for id in &self.destinations[&id].endpoints {
@@ -1341,9 +1366,9 @@
             .then_some((tracked.category.repeat, tracked.packet.dispatches));
         // Where the credit falls linearly, a late packet loses credit every second, while the others lose
         // none yet.
-        let late = self.parameters.terms.late == CreditDecay::Halving
+        let late = self.parameters.settings.credit_decay == CreditDecay::Halving
             && tracked.answer_due < self.now + upstream.expected_answer_time(&self.parameters);
-        (probe, tracked.over_quota, late, if late { tracked.packet.ends } else { tracked.answer_due })
+        (probe, tracked.over_quota, late, if late { tracked.packet.deadline } else { tracked.answer_due })
     }
 
     /// Requests a wake at the next time at which a decision can change.
--- a/src/host.rs
+++ b/src/host.rs
@@ -59,10 +59,10 @@
     /// Credit for an answer within the soft limit.
     pub credit: f64,
     /// Minimum share of the credit for a late answer, which is reached at the end of the patience.
-    pub late_share: f64,
+    pub min_credit_share: f64,
 }
 
-/// How the credit falls after the soft limit, down to the category's [`Category::late_share`].
+/// How the credit falls after the soft limit, down to the category's [`Category::min_credit_share`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CreditDecay {
     /// Linearly until the end of the patience.
@@ -76,27 +76,27 @@
 #[derive(Clone, Debug)]
 pub struct Customer {
     /// Agreed packets per second over all senders.
-    pub quota: f64,
+    pub packets_per_second: f64,
 }
 
 /// The properties shared by all destinations of one kind.
 #[derive(Clone, Debug)]
 pub struct Kind {
     /// Each endpoint is a route with a rate limit and outages of its own.
-    pub own_limits: bool,
+    pub per_route_limits: bool,
     /// Maximum number of packets per call.
-    pub batch: usize,
+    pub max_batch: usize,
 }
 
 /// The capacity of a destination while it recovers from an outage.
 #[derive(Clone, Debug, Default)]
 pub struct RecoveryProfile {
     /// Share of its normal capacity that is available at the start of the recovery.
-    pub cold_from: f64,
+    pub initial_capacity_share: f64,
     /// Time until the full capacity is available again.
-    pub cold: Duration,
+    pub warm_up: Duration,
     /// The destination fails again when its load exceeds this multiple of its present capacity.
-    pub fall_multiple: f64,
+    pub overload_factor: f64,
 }
 
 /// The settings of a sender, fixed at its start.
@@ -107,31 +107,31 @@
     /// Maximum number of calls in flight.
     pub slots: usize,
     /// Maximum number of packets held, whether or not they have been dispatched.
-    pub hold: usize,
+    pub max_held: usize,
     /// Maximum number of dispatches per packet.
-    pub dispatches: u32,
+    pub max_dispatches: u32,
     /// Whether the host can cancel a dispatch in flight.
-    pub cancel: bool,
+    pub can_cancel: bool,
     /// Timeout for opening a connection, applied by the host.
-    pub connect_time_out: Duration,
+    pub connect_timeout: Duration,
     /// Maximum wait that a dismissal may ask of the client; `None` where dismissals carry no wait.
-    pub retry_after: Option<Duration>,
+    pub max_retry_after: Option<Duration>,
     /// How long a key is blocked after a dispatch that may still execute.
-    pub settle: Duration,
+    pub key_block_time: Duration,
     pub categories: Vec<Category>,
     pub customers: Vec<Customer>,
     /// Share of the credit for a packet beyond its customer's quota.
-    pub over_share: f64,
+    pub over_quota_credit_share: f64,
     pub kinds: Vec<Kind>,
     /// The destination list contains each destination's rate.
     pub rates_listed: bool,
     /// Maximum staleness of the destination list, where the sender has to request it. `None` where updates
     /// are pushed to the sender.
-    pub list_asked: Option<Duration>,
+    pub max_list_staleness: Option<Duration>,
     /// Answers report the remaining rate limit ([`LimitReport`]).
-    pub limits_told: bool,
-    pub late: CreditDecay,
-    pub back: RecoveryProfile,
+    pub limits_reported: bool,
+    pub credit_decay: CreditDecay,
+    pub recovery: RecoveryProfile,
 }
 
 /// An entry of the destination list.
@@ -155,14 +155,14 @@
     pub customer: Option<CustomerId>,
     pub key: Option<KeyId>,
     /// When the client abandons the packet.
-    pub ends: Duration,
+    pub deadline: Duration,
     /// Number of dispatches so far; more than zero only for a packet restored after a restart.
     pub dispatches: u32,
     /// When the first dispatch that may have executed was sent.
-    pub doubt: Option<Duration>,
+    pub possibly_executed_at: Option<Duration>,
     /// Accepted by the previous process of this sender. The client was notified of that, so nobody submits
     /// the packet again.
-    pub taken_on: bool,
+    pub accepted_by_previous_process: bool,
 }
 
 /// The result of a dispatch.
@@ -198,7 +198,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitReport {
     /// Share of the limit that is unused at present, from 0 to 1.
-    pub left: f64,
+    pub unused_share: f64,
     /// The limit in calls per second.
     pub limit: f64,
 }
@@ -207,7 +207,7 @@
 /// [`Sender::decide`](crate::Sender::decide).
 pub trait Host {
     /// Dispatches a packet. Dispatches of one round to one endpoint are sent as one call, up to the maximum
-    /// batch of the kind ([`Kind::batch`]).
+    /// batch of the kind ([`Kind::max_batch`]).
     fn dispatch(&mut self, packet: PacketId, endpoint: EndpointId, timeout: Duration);
     /// Cancels a packet's dispatch, numbered from 0. Its outcome is still reported.
     fn cancel(&mut self, packet: PacketId, dispatch: u32);
@@ -218,7 +218,7 @@
     /// Closes this sender's idle connections to an endpoint.
     fn close_idle(&mut self, endpoint: EndpointId);
     /// Requests the destination list and its updates from now on. The response is an update of the list or
-    /// [`Sender::list_failed`](crate::Sender::list_failed). Called only where [`Settings::list_asked`] is set.
+    /// [`Sender::list_failed`](crate::Sender::list_failed). Called only where [`Settings::max_list_staleness`] is set.
     fn ask_list(&mut self);
     /// Requests a round no later than after this span.
     fn wake(&mut self, after: Duration);
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -12,37 +12,40 @@
 
 /// Settings of a single sender with 8 slots and three categories: idempotent, deduplicated, and unrepeatable
 /// in order. The destinations of kind 0 take one packet per call, those of kind 1 five.
-pub fn terms() -> Settings {
+pub fn settings() -> Settings {
     let category = |repeat, in_order| Category {
         repeat,
         in_order,
         soft_limit: ms(2000),
         patience: ms(20_000),
         credit: 1.0,
-        late_share: 0.4,
+        min_credit_share: 0.4,
     };
     Settings {
         senders: 1,
         slots: 8,
-        hold: 64,
-        dispatches: 3,
-        cancel: true,
-        connect_time_out: ms(1000),
-        retry_after: Some(ms(2000)),
-        settle: ms(100),
+        max_held: 64,
+        max_dispatches: 3,
+        can_cancel: true,
+        connect_timeout: ms(1000),
+        max_retry_after: Some(ms(2000)),
+        key_block_time: ms(100),
         categories: vec![
             category(Repeat::Idempotent, false),
             category(Repeat::Deduplicated { memory: ms(5000) }, false),
             category(Repeat::Unrepeatable, true),
         ],
-        customers: vec![Customer { quota: 4.0 }],
-        over_share: 0.05,
-        kinds: vec![Kind { own_limits: false, batch: 1 }, Kind { own_limits: false, batch: 5 }],
+        customers: vec![Customer { packets_per_second: 4.0 }],
+        over_quota_credit_share: 0.05,
+        kinds: vec![
+            Kind { per_route_limits: false, max_batch: 1 },
+            Kind { per_route_limits: false, max_batch: 5 },
+        ],
         rates_listed: true,
-        limits_told: false,
-        list_asked: None,
-        late: CreditDecay::Halving,
-        back: RecoveryProfile { cold_from: 0.25, cold: ms(10_000), fall_multiple: 2.0 },
+        limits_reported: false,
+        max_list_staleness: None,
+        credit_decay: CreditDecay::Halving,
+        recovery: RecoveryProfile { initial_capacity_share: 0.25, warm_up: ms(10_000), overload_factor: 2.0 },
     }
 }
 
@@ -107,12 +110,12 @@
 impl Harness {
     /// A sender with `destinations` listed: destination n has endpoint n and the listed rate `rate`, in calls
     /// per second.
-    pub fn new(terms: Settings, destinations: u32, kind: usize, rate: f64) -> Self {
-        Harness::with_seed(7, terms, destinations, kind, rate)
+    pub fn new(settings: Settings, destinations: u32, kind: usize, rate: f64) -> Self {
+        Harness::with_seed(7, settings, destinations, kind, rate)
     }
 
-    pub fn with_seed(seed: u64, terms: Settings, destinations: u32, kind: usize, rate: f64) -> Self {
-        let mut sender = Sender::new(terms, seed);
+    pub fn with_seed(seed: u64, settings: Settings, destinations: u32, kind: usize, rate: f64) -> Self {
+        let mut sender = Sender::new(settings, seed);
         let entries: Vec<_> = (0..destinations).map(|n| list_entry(n, n, kind, rate, true)).collect();
         sender.list(Duration::ZERO, true, &entries);
         Harness { sender, now: Duration::ZERO, host: FakeHost::default(), last_packet: 0 }
@@ -131,12 +134,12 @@
         category: usize,
         key: Option<u64>,
         dispatches: u32,
-        doubt: Option<Duration>,
+        possibly_executed_at: Option<Duration>,
     ) -> u64 {
         self.accept(Packet {
             dispatches,
-            doubt,
-            taken_on: true,
+            possibly_executed_at,
+            accepted_by_previous_process: true,
             ..self.new_packet(destination, category, key)
         })
     }
@@ -148,10 +151,10 @@
             category: CategoryId(category),
             customer: None,
             key: key.map(KeyId),
-            ends: self.now + ms(20_000),
+            deadline: self.now + ms(20_000),
             dispatches: 0,
-            doubt: None,
-            taken_on: false,
+            possibly_executed_at: None,
+            accepted_by_previous_process: false,
         }
     }
 
@@ -178,8 +181,8 @@
     }
 
     /// Reports the rate limit with the answer to a dispatch in flight.
-    pub fn report(&mut self, packet: u64, left: f64, limit: f64) {
-        self.sender.report(PacketId(packet), LimitReport { left, limit });
+    pub fn report(&mut self, packet: u64, unused_share: f64, limit: f64) {
+        self.sender.report(PacketId(packet), LimitReport { unused_share, limit });
     }
 
     /// Completes all dispatches in flight with the same outcome.
--- a/tests/scalability.rs
+++ b/tests/scalability.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use harness::{Harness, list_entry, ms, terms};
+use harness::{Harness, list_entry, ms, settings};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use sailcart::*;
@@ -34,7 +34,7 @@
 #[test]
 fn work_for_a_list_update_is_proportional_to_the_update() {
     let visits = SIZES.map(|size| {
-        let mut harness = Harness::new(terms(), size, 0, 8.0);
+        let mut harness = Harness::new(settings(), size, 0, 8.0);
         harness.submit(10, 3, 0, None);
         harness.run_round();
         entries_visited(&mut harness, |harness| {
@@ -50,7 +50,7 @@
 #[test]
 fn work_for_a_list_update_does_not_depend_on_how_many_destinations_had_traffic() {
     let visits = SIZES.map(|size| {
-        let mut harness = Harness::new(terms(), size, 0, 8.0);
+        let mut harness = Harness::new(settings(), size, 0, 8.0);
         use_destinations(&mut harness, 0..size, 20);
         entries_visited(&mut harness, |harness| {
             harness.update_list(false, &[list_entry(size - 1, size - 1, 0, 8.0, false)]);
@@ -63,7 +63,7 @@
 #[test]
 fn work_for_an_empty_list_update_does_not_depend_on_the_list() {
     let visits = SIZES.map(|size| {
-        let mut harness = Harness::new(terms(), size, 0, 8.0);
+        let mut harness = Harness::new(settings(), size, 0, 8.0);
         harness.submit(1, 3, 0, None);
         harness.run_round();
         harness.complete_all(Outcome::Done);
@@ -75,7 +75,7 @@
 #[test]
 fn work_of_a_round_is_proportional_to_the_destinations_with_traffic() {
     let visits = SIZES.map(|size| {
-        let mut harness = Harness::new(terms(), size, 0, 8.0);
+        let mut harness = Harness::new(settings(), size, 0, 8.0);
         for destination in 0..10 {
             harness.submit(2, destination, 0, None);
         }
@@ -94,7 +94,7 @@
 #[test]
 fn work_for_a_full_snapshot_is_proportional_to_the_list() {
     let visits = SIZES.map(|size| {
-        let mut harness = Harness::new(terms(), size, 0, 8.0);
+        let mut harness = Harness::new(settings(), size, 0, 8.0);
         let entries: Vec<ListEntry> = (0..size).map(|n| list_entry(n, n, 0, 8.0, true)).collect();
         entries_visited(&mut harness, |harness| harness.update_list(true, &entries))
     });
@@ -105,7 +105,7 @@
 /// others are listed and get no packets. Returns the decisions of each round.
 fn simulate(seed: u64, idle_destinations: u32, senders: usize) -> Vec<String> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut harness = Harness::with_seed(seed, Settings { senders, ..terms() }, 20, 0, 6.0);
+    let mut harness = Harness::with_seed(seed, Settings { senders, ..settings() }, 20, 0, 6.0);
     let idle: Vec<ListEntry> =
         (100..100 + idle_destinations).map(|n| list_entry(n, n, 0, 6.0, true)).collect();
     harness.update_list(false, &idle);
@@ -165,7 +165,7 @@
 
 #[test]
 fn number_of_active_destinations_is_bounded() {
-    let mut harness = Harness::new(terms(), 20_000, 0, 8.0);
+    let mut harness = Harness::new(settings(), 20_000, 0, 8.0);
     use_destinations(&mut harness, 0..20_000, 20);
     // The destinations of the last ten seconds, fifty per second, stay for the warm-up time.
     assert!(
@@ -177,7 +177,7 @@
 
 #[test]
 fn a_retry_after_wait_is_not_evicted() {
-    let mut harness = Harness::new(terms(), 20_000, 0, 8.0);
+    let mut harness = Harness::new(settings(), 20_000, 0, 8.0);
     let packet = harness.submit(1, 0, 0, None)[0];
     harness.run_round();
     harness.complete(packet, Outcome::Full(Some(Duration::from_secs(600))));
@@ -194,8 +194,8 @@
 /// A wait too short to indicate an outage, with a warm-up time that does not cover it.
 #[test]
 fn a_short_retry_after_wait_is_not_evicted() {
-    let back = RecoveryProfile { cold: ms(1), ..terms().back };
-    let mut harness = Harness::new(Settings { back, ..terms() }, 20_000, 0, 8.0);
+    let recovery = RecoveryProfile { warm_up: ms(1), ..settings().recovery };
+    let mut harness = Harness::new(Settings { recovery, ..settings() }, 20_000, 0, 8.0);
     let packet = harness.submit(1, 0, 0, None)[0];
     harness.run_round();
     harness.complete(packet, Outcome::Full(Some(ms(2000))));
@@ -213,7 +213,7 @@
 
 #[test]
 fn a_detected_outage_is_not_evicted() {
-    let mut harness = Harness::new(Settings { dispatches: 20, ..terms() }, 20_000, 0, 8.0);
+    let mut harness = Harness::new(Settings { max_dispatches: 20, ..settings() }, 20_000, 0, 8.0);
     for _ in 0..4 {
         let packet = harness.submit(1, 0, 0, None)[0];
         harness.advance(1000);
@@ -234,7 +234,7 @@
 /// An evicted destination is still listed: its next packet finds it like a new one.
 #[test]
 fn an_evicted_destination_is_activated_by_its_next_packet() {
-    let mut harness = Harness::new(terms(), 20_000, 0, 8.0);
+    let mut harness = Harness::new(settings(), 20_000, 0, 8.0);
     use_destinations(&mut harness, 0..12_000, 20);
     assert!(harness.sender.active_destinations() < 12_000);
     let packet = harness.submit(1, 0, 0, None)[0];
@@ -251,7 +251,7 @@
 /// Destinations that are listed under a new id each time must not accumulate.
 #[test]
 fn state_of_delisted_destinations_is_removed() {
-    let mut harness = Harness::new(terms(), 20, 0, 8.0);
+    let mut harness = Harness::new(settings(), 20, 0, 8.0);
     for n in 1..2000_u32 {
         let id = 20 + n;
         harness.update_list(false, &[list_entry(id, id, 0, 8.0, true)]);
@@ -270,7 +270,7 @@
 #[test]
 fn an_endpoint_of_two_destinations_may_drain_in_either_order() {
     for drains_first in [0, 1] {
-        let mut harness = Harness::new(terms(), 2, 0, 8.0);
+        let mut harness = Harness::new(settings(), 2, 0, 8.0);
         harness.update_list(false, &[list_entry(0, 1, 0, 8.0, true)]);
         harness.submit(2, 0, 0, None);
         harness.submit(2, 1, 0, None);
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -9,13 +9,13 @@
 
 mod harness;
 
-use harness::{Failure, Harness, list_entry, ms, terms};
+use harness::{Failure, Harness, list_entry, ms, settings};
 use sailcart::*;
 
 /// The token bucket starts full, refills with time, and defers a packet until its deficit is refilled.
 #[test]
 fn token_bucket_defers_by_its_deficit() {
-    let mut harness = Harness::new(terms(), 1, 0, 8.0);
+    let mut harness = Harness::new(settings(), 1, 0, 8.0);
     harness.submit(4, 0, 0, None);
     harness.run_round();
     assert_eq!(harness.in_flight().len(), 2, "a burst of a quarter of a second at 8 calls per second");
@@ -29,7 +29,7 @@
 
 #[test]
 fn packets_that_would_get_no_token_within_their_patience_are_dismissed_at_once() {
-    let mut harness = Harness::new(terms(), 1, 0, 2.0);
+    let mut harness = Harness::new(settings(), 1, 0, 2.0);
     harness.submit(50, 0, 0, None);
     harness.run_round();
     let dismissed =
@@ -41,7 +41,7 @@
 /// the tokens.
 #[test]
 fn refusals_of_one_burst_halve_the_rate_once() {
-    let mut harness = Harness::new(terms(), 1, 0, 16.0);
+    let mut harness = Harness::new(settings(), 1, 0, 16.0);
     harness.submit(9, 0, 0, None);
     harness.run_round();
     assert_eq!(harness.in_flight().len(), 4);
@@ -59,7 +59,7 @@
 #[test]
 fn many_senders_share_the_minimum_rate() {
     for (senders, interval_ms) in [(3, 2000), (12, 8000)] {
-        let mut harness = Harness::new(Settings { senders, ..terms() }, 1, 0, 2.0);
+        let mut harness = Harness::new(Settings { senders, ..settings() }, 1, 0, 2.0);
         for _ in 0..4 {
             harness.submit(1, 0, 0, None);
             harness.advance(12_000);
@@ -75,7 +75,7 @@
 
 #[test]
 fn success_raises_the_rate_again() {
-    let mut harness = Harness::new(terms(), 1, 0, 16.0);
+    let mut harness = Harness::new(settings(), 1, 0, 16.0);
     harness.submit(40, 0, 0, None);
     harness.run_round();
     harness.complete_all(Outcome::Full(None));
@@ -92,7 +92,7 @@
 /// (amman-dispatch).
 #[test]
 fn a_listed_upstream_starts_at_a_share_of_its_rate_and_climbs_to_the_full_rate() {
-    let mut harness = Harness::new(Settings { senders: 3, hold: 900, ..terms() }, 1, 0, 8.0);
+    let mut harness = Harness::new(Settings { senders: 3, max_held: 900, ..settings() }, 1, 0, 8.0);
     let mut sent = [0; 4];
     for round in 0..1600 {
         if round % 20 == 0 {
@@ -110,7 +110,7 @@
 /// fast_errors).
 #[test]
 fn an_upstream_without_listed_rate_is_limited_from_its_first_refusal_and_recovers() {
-    let mut harness = Harness::new(Settings { rates_listed: false, ..terms() }, 1, 0, 1.0);
+    let mut harness = Harness::new(Settings { rates_listed: false, ..settings() }, 1, 0, 1.0);
     harness.submit(40, 0, 0, None);
     harness.run_round();
     assert_eq!(harness.in_flight().len(), 6, "no limit other than the concurrency limit");
@@ -126,7 +126,7 @@
 
 #[test]
 fn scarce_slots_are_divided_by_max_min_fair_shares() {
-    let mut harness = Harness::new(terms(), 3, 0, 100.0);
+    let mut harness = Harness::new(settings(), 3, 0, 100.0);
     harness.submit(20, 0, 0, None);
     harness.submit(20, 1, 0, None);
     harness.submit(1, 2, 0, None);
@@ -138,7 +138,7 @@
 
 #[test]
 fn a_destination_uses_at_most_three_quarters_of_the_slots_and_half_while_failing() {
-    let mut harness = Harness::new(terms(), 1, 0, 100.0);
+    let mut harness = Harness::new(settings(), 1, 0, 100.0);
     harness.submit(20, 0, 0, None);
     harness.run_round();
     assert_eq!(harness.in_flight().len(), 6);
@@ -151,7 +151,7 @@
 /// Calls to destinations that did not answer occupied every slot until their timeout (all three deployments).
 #[test]
 fn stalled_calls_are_cancelled_for_a_healthy_destination() {
-    let mut harness = Harness::new(terms(), 6, 0, 100.0);
+    let mut harness = Harness::new(settings(), 6, 0, 100.0);
     for destination in 0..4 {
         harness.submit(2, destination, 0, None);
     }
@@ -171,7 +171,7 @@
 /// Before the first timeout an unresponsive upstream gets new calls only at its slow-start rate.
 #[test]
 fn an_unresponsive_upstream_is_throttled_until_it_answers() {
-    let mut harness = Harness::new(terms(), 1, 0, 100.0);
+    let mut harness = Harness::new(settings(), 1, 0, 100.0);
     harness.submit(1, 0, 0, None);
     harness.run_round();
     harness.advance(2000);
@@ -186,7 +186,7 @@
 /// After an outage the calls stay within the slow-start rate, as probes and from the first answer on.
 #[test]
 fn a_recovering_destination_is_not_overloaded() {
-    let mut harness = Harness::new(Settings { senders: 2, ..terms() }, 1, 0, 8.0);
+    let mut harness = Harness::new(Settings { senders: 2, ..settings() }, 1, 0, 8.0);
     harness.submit(60, 0, 0, None);
     harness.run_round();
     harness.complete_all(Outcome::NoConnection);
@@ -205,7 +205,7 @@
 
 #[test]
 fn a_retry_after_wait_blocks_every_packet_and_the_longest_wait_applies() {
-    let mut harness = Harness::new(terms(), 1, 1, 100.0);
+    let mut harness = Harness::new(settings(), 1, 1, 100.0);
     let sent = harness.submit(2, 0, 0, None);
     harness.run_round();
     harness.complete(sent[0], Outcome::Full(Some(ms(800))));
@@ -222,7 +222,7 @@
 /// A Retry-After wait applies to the destination, not only to the endpoint that requested it.
 #[test]
 fn a_retry_after_wait_still_applies_when_all_endpoints_are_replaced() {
-    let mut harness = Harness::new(terms(), 1, 0, 100.0);
+    let mut harness = Harness::new(settings(), 1, 0, 100.0);
     harness.submit(1, 0, 0, None);
     harness.run_round();
     harness.complete_all(Outcome::Full(Some(ms(900))));
@@ -236,7 +236,7 @@
 
 #[test]
 fn draining_and_removed_endpoints_get_no_new_calls() {
-    let mut harness = Harness::new(terms(), 2, 0, 100.0);
+    let mut harness = Harness::new(settings(), 2, 0, 100.0);
     harness.submit(1, 0, 0, None);
     harness.run_round();
     harness.update_list(false, &[list_entry(0, 0, 0, 100.0, false)]);
@@ -258,7 +258,7 @@
 /// ends.
 #[test]
 fn held_packets_of_a_delisted_destination_are_dismissed() {
-    let mut harness = Harness::new(terms(), 1, 0, 1.0);
+    let mut harness = Harness::new(settings(), 1, 0, 1.0);
     harness.submit(2, 0, 0, None);
     harness.run_round();
     harness.update_list(false, &[list_entry(0, 0, 0, 1.0, false)]);
@@ -271,7 +271,7 @@
 
 #[test]
 fn every_packet_is_completed_within_its_patience_and_only_once() {
-    let mut harness = Harness::new(terms(), 1, 0, 0.5);
+    let mut harness = Harness::new(settings(), 1, 0, 0.5);
     harness.submit(1, 0, 0, None);
     harness.run_round();
     harness.complete_all(Outcome::Full(Some(ms(30_000))));
@@ -286,7 +286,7 @@
 
 #[test]
 fn a_withdrawn_packet_gets_no_answer_and_its_slot_is_released() {
-    let mut harness = Harness::new(Settings { slots: 1, ..terms() }, 1, 0, 100.0);
+    let mut harness = Harness::new(Settings { slots: 1, ..settings() }, 1, 0, 100.0);
     harness.submit(2, 0, 0, None);
     harness.run_round();
     harness.sender.withdraw(harness.now, PacketId(1));
@@ -299,7 +299,7 @@
 
 #[test]
 fn an_unrepeatable_packet_that_may_have_executed_is_scrapped_at_once() {
-    let mut harness = Harness::new(terms(), 1, 0, 100.0);
+    let mut harness = Harness::new(settings(), 1, 0, 100.0);
     harness.submit(2, 0, 2, None);
     harness.run_round();
     harness.complete(1, Outcome::Error);
@@ -312,7 +312,7 @@
 
 #[test]
 fn a_deduplicated_packet_is_not_dispatched_after_the_deduplication_memory_ends() {
-    let mut harness = Harness::new(terms(), 1, 0, 100.0);
+    let mut harness = Harness::new(settings(), 1, 0, 100.0);
     harness.submit(1, 0, 1, None);
     harness.run_round();
     harness.now = ms(4000);
@@ -332,7 +332,7 @@
 
 #[test]
 fn a_packet_gets_no_more_dispatches_than_allowed() {
-    let mut harness = Harness::new(terms(), 1, 0, 100.0);
+    let mut harness = Harness::new(settings(), 1, 0, 100.0);
     harness.submit(1, 0, 0, None);
     for dispatch in 1..=3 {
         harness.advance(3000);
@@ -345,7 +345,7 @@
 
 #[test]
 fn packets_of_one_key_are_dispatched_in_order_and_wait_after_a_possible_execution() {
-    let mut harness = Harness::new(terms(), 1, 0, 100.0);
+    let mut harness = Harness::new(settings(), 1, 0, 100.0);
     harness.submit(2, 0, 2, Some(1));
     harness.submit(1, 0, 2, Some(2));
     harness.run_round();
@@ -360,7 +360,7 @@
 
 #[test]
 fn packets_for_one_endpoint_share_a_call_and_its_token() {
-    let mut harness = Harness::new(terms(), 1, 1, 4.0);
+    let mut harness = Harness::new(settings(), 1, 1, 4.0);
     harness.submit(7, 0, 0, None);
     harness.run_round();
     assert_eq!(harness.in_flight().len(), 5);
@@ -372,8 +372,8 @@
 /// Where it falls linearly, late packets lose credit every second and are dispatched first.
 #[test]
 fn late_packets_are_dispatched_last_only_where_credit_halves() {
-    for (late, first) in [(CreditDecay::Halving, 2), (CreditDecay::Linear, 1)] {
-        let mut harness = Harness::new(Settings { late, ..terms() }, 1, 0, 100.0);
+    for (credit_decay, first) in [(CreditDecay::Halving, 2), (CreditDecay::Linear, 1)] {
+        let mut harness = Harness::new(Settings { credit_decay, ..settings() }, 1, 0, 100.0);
         harness.submit(1, 0, 0, None);
         harness.update_list(false, &[list_entry(0, 0, 0, 100.0, false)]);
         harness.update_list(false, &[list_entry(1, 0, 0, 2.0, true)]);
@@ -386,7 +386,7 @@
 
 #[test]
 fn a_full_hold_sheds_the_oldest_packet_of_the_destination_with_the_most() {
-    let mut harness = Harness::new(terms(), 2, 0, 100.0);
+    let mut harness = Harness::new(settings(), 2, 0, 100.0);
     harness.update_list(true, &[]);
     harness.submit(1, 1, 0, None);
     harness.submit(60, 0, 0, None);
@@ -397,7 +397,7 @@
 /// However many destinations are ejected, their probes occupy at most half of the slots.
 #[test]
 fn probes_of_ejected_upstreams_occupy_at_most_half_of_the_slots() {
-    let mut harness = Harness::new(Settings { dispatches: 9, ..terms() }, 8, 0, 100.0);
+    let mut harness = Harness::new(Settings { max_dispatches: 9, ..settings() }, 8, 0, 100.0);
     for destination in 0..8 {
         harness.submit(1, destination, 0, None);
     }
@@ -415,7 +415,7 @@
 /// outage.
 #[test]
 fn an_upstream_that_loses_some_of_its_calls_is_not_throttled() {
-    let mut harness = Harness::new(terms(), 1, 0, 4.0);
+    let mut harness = Harness::new(settings(), 1, 0, 4.0);
     harness.submit(30, 0, 0, None);
     for call in 0..10 {
         harness.advance(250);
@@ -435,7 +435,7 @@
 /// an outage.
 #[test]
 fn lost_connections_are_not_an_outage() {
-    let mut harness = Harness::new(terms(), 1, 0, 40.0);
+    let mut harness = Harness::new(settings(), 1, 0, 40.0);
     for call in 0..60 {
         harness.submit(1, 0, 0, None);
         harness.advance(50);
@@ -455,7 +455,7 @@
 /// Calls that were never answered filled the slots while their upstream answered others (curridabat-nuevo).
 #[test]
 fn a_stalled_call_is_cancelled_although_its_upstream_answers_others() {
-    let mut harness = Harness::new(Settings { slots: 3, ..terms() }, 3, 0, 100.0);
+    let mut harness = Harness::new(Settings { slots: 3, ..settings() }, 3, 0, 100.0);
     harness.submit(2, 0, 0, None);
     harness.submit(1, 1, 0, None);
     harness.run_round();
@@ -475,7 +475,7 @@
 #[test]
 fn idle_connections_are_closed_where_calls_are_lost_and_senders_are_many() {
     for (senders, lost, expected) in [(40, 1, 1), (40, 0, 0), (2, 1, 0)] {
-        let mut harness = Harness::new(Settings { senders, ..terms() }, 2, 0, 100.0);
+        let mut harness = Harness::new(Settings { senders, ..settings() }, 2, 0, 100.0);
         harness.submit(lost, 0, 0, None);
         harness.run_round();
         harness.complete_all(Outcome::NoConnection);
@@ -492,7 +492,7 @@
 /// packet was never answered (curridabat-nuevo-later).
 #[test]
 fn a_wake_rounded_down_to_microseconds_is_not_too_early() {
-    let mut harness = Harness::new(terms(), 1, 0, 3.0);
+    let mut harness = Harness::new(settings(), 1, 0, 3.0);
     harness.submit(2, 0, 0, None);
     harness.run_round();
     assert_eq!(harness.in_flight().len(), 1);
@@ -508,7 +508,7 @@
 fn refused_senders_call_again_at_different_times() {
     let next_call_after = |seed| {
         let mut harness =
-            Harness::with_seed(seed, Settings { senders: 40, rates_listed: false, ..terms() }, 1, 0, 4.0);
+            Harness::with_seed(seed, Settings { senders: 40, rates_listed: false, ..settings() }, 1, 0, 4.0);
         harness.submit(1, 0, 0, None);
         harness.run_round();
         harness.complete_all(Outcome::Full(None));
@@ -526,7 +526,7 @@
 #[test]
 fn a_rarely_used_upstream_does_not_stay_unresponsive_after_one_lost_answer() {
     for (senders, expected) in [(40, 1), (3, 0)] {
-        let mut harness = Harness::new(Settings { senders, ..terms() }, 1, 0, 2.0);
+        let mut harness = Harness::new(Settings { senders, ..settings() }, 1, 0, 2.0);
         harness.submit(1, 0, 2, None);
         harness.run_round();
         harness.advance(2500);
@@ -545,7 +545,7 @@
 /// quiet).
 #[test]
 fn after_the_first_refusal_one_of_many_senders_calls_again_within_seconds() {
-    let mut harness = Harness::new(Settings { senders: 200, rates_listed: false, ..terms() }, 1, 0, 0.0);
+    let mut harness = Harness::new(Settings { senders: 200, rates_listed: false, ..settings() }, 1, 0, 0.0);
     harness.submit(1, 0, 0, None);
     harness.run_round();
     harness.complete_all(Outcome::Full(None));
@@ -558,14 +558,14 @@
 #[test]
 fn refused_packets_are_dispatched_again_within_the_retry_budget() {
     for reporting in [0, 15] {
-        let terms = Settings {
+        let settings = Settings {
             senders: 40,
-            dispatches: 9,
+            max_dispatches: 9,
             rates_listed: reporting > 0,
-            limits_told: true,
-            ..terms()
+            limits_reported: true,
+            ..settings()
         };
-        let mut harness = Harness::new(terms, 60, 0, 40.0);
+        let mut harness = Harness::new(settings, 60, 0, 40.0);
         let mut repeated = [0, 0];
         for round in 0..42 {
             if round < 30 {
@@ -597,7 +597,7 @@
 #[test]
 fn with_sparse_traffic_a_packet_is_dismissed_at_once_if_its_upstream_is_blocked_for_too_long() {
     for (senders, dismissed) in [(40, 1), (3, 0)] {
-        let mut harness = Harness::new(Settings { senders, ..terms() }, 1, 0, 2.0);
+        let mut harness = Harness::new(Settings { senders, ..settings() }, 1, 0, 2.0);
         harness.submit(1, 0, 0, None);
         harness.run_round();
         harness.complete_all(Outcome::Full(Some(ms(30_000))));
@@ -612,7 +612,7 @@
     let mut sent = 0;
     for seed in 0..40 {
         let mut harness =
-            Harness::with_seed(seed, Settings { senders: 40, dispatches: 9, ..terms() }, 1, 0, 4.0);
+            Harness::with_seed(seed, Settings { senders: 40, max_dispatches: 9, ..settings() }, 1, 0, 4.0);
         harness.submit(1, 0, 0, None);
         for _ in 0..400 {
             harness.advance(10);
@@ -633,8 +633,8 @@
 /// `outage_outcome` returns for the remaining time of the outage. Returns the number of calls in each half
 /// second after the outage.
 fn calls_after_outage(senders: usize, outage_outcome: impl Fn(Duration) -> Outcome) -> Vec<usize> {
-    let terms = || Settings { senders, dispatches: 9, limits_told: true, ..terms() };
-    let new = |seed| Harness::with_seed(seed, terms(), 1, 0, 20.0);
+    let settings = || Settings { senders, max_dispatches: 9, limits_reported: true, ..settings() };
+    let new = |seed| Harness::with_seed(seed, settings(), 1, 0, 20.0);
     let mut harnesses: Vec<Harness> = (0..senders as u64).map(new).collect();
     let (outage_end, mut calls) = (ms(20_000), vec![0; 10]);
     for tick in 0..500_u64 {
@@ -688,7 +688,7 @@
 fn senders_that_lost_one_call_each_do_not_call_again_together() {
     let mut times: Vec<u128> = Vec::new();
     for seed in 0..24 {
-        let mut harness = Harness::with_seed(seed, Settings { senders: 250, ..terms() }, 1, 0, 8.0);
+        let mut harness = Harness::with_seed(seed, Settings { senders: 250, ..settings() }, 1, 0, 8.0);
         harness.submit(1, 0, 0, None);
         harness.run_round();
         harness.complete_all(Outcome::Error);
@@ -712,8 +712,8 @@
 /// (quito-delivery, big-2).
 #[test]
 fn many_senders_start_with_their_share_of_the_listed_rate() {
-    let calls_in_first_seconds = |limits_told| {
-        let mut harness = Harness::new(Settings { senders: 200, limits_told, ..terms() }, 1, 0, 4.0);
+    let calls_in_first_seconds = |limits_reported| {
+        let mut harness = Harness::new(Settings { senders: 200, limits_reported, ..settings() }, 1, 0, 4.0);
         harness.submit(8, 0, 0, None);
         let mut sent = 0;
         for _ in 0..150 {
@@ -735,7 +735,7 @@
 /// slot (quito-delivery, big-2).
 #[test]
 fn among_equal_destinations_the_one_that_answers_sooner_gets_the_next_slot() {
-    let mut harness = Harness::new(Settings { senders: 40, slots: 1, ..terms() }, 2, 0, 400.0);
+    let mut harness = Harness::new(Settings { senders: 40, slots: 1, ..settings() }, 2, 0, 400.0);
     for (destination, elapsed) in [(1, 4000), (0, 100)] {
         let id = harness.submit(1, destination, 0, None)[0];
         harness.run_round();
@@ -756,8 +756,8 @@
 fn the_list_is_requested_at_random_times() {
     let mut first_delays = BTreeSet::new();
     for seed in 0..8 {
-        let terms = Settings { list_asked: Some(ms(10_000)), ..terms() };
-        let mut harness = Harness::with_seed(seed, terms, 1, 0, 8.0);
+        let settings = Settings { max_list_staleness: Some(ms(10_000)), ..settings() };
+        let mut harness = Harness::with_seed(seed, settings, 1, 0, 8.0);
         let wait_for_request = |harness: &mut Harness| {
             let (requests, start) = (harness.host.list_requests, harness.now);
             while harness.host.list_requests == requests {
@@ -789,7 +789,7 @@
 /// continues.
 #[test]
 fn restored_packets_keep_their_possible_execution() {
-    let mut harness = Harness::new(terms(), 1, 0, 100.0);
+    let mut harness = Harness::new(settings(), 1, 0, 100.0);
     harness.now = ms(10_000);
     let possibly_executed_at = Some(ms(4000));
     let idempotent = harness.restore(0, 0, None, 1, possibly_executed_at);
@@ -811,7 +811,7 @@
 /// unless its destination is blocked for longer.
 #[test]
 fn packets_accepted_by_the_previous_process_are_tried() {
-    let mut harness = Harness::new(terms(), 1, 0, 0.2);
+    let mut harness = Harness::new(settings(), 1, 0, 0.2);
     harness.now = ms(10_000);
     let restored: Vec<u64> = (0..12).map(|_| harness.restore(0, 0, None, 0, None)).collect();
     let new = harness.submit(12, 0, 0, None);
@@ -834,7 +834,7 @@
 /// were dismissed after a soft limit.
 #[test]
 fn packets_accepted_by_the_previous_process_wait_for_their_destination() {
-    let mut harness = Harness::new(terms(), 1, 0, 100.0);
+    let mut harness = Harness::new(settings(), 1, 0, 100.0);
     harness.now = ms(10_000);
     let (restored, new) = (harness.restore(9, 0, None, 0, None), harness.submit(1, 9, 0, None)[0]);
     harness.advance(10_000);
@@ -848,7 +848,7 @@
 /// to another sender.
 #[test]
 fn load_shedding_dismisses_new_packets_before_restored_ones() {
-    let mut harness = Harness::new(Settings { hold: 16, ..terms() }, 1, 0, 1.0);
+    let mut harness = Harness::new(Settings { max_held: 16, ..settings() }, 1, 0, 1.0);
     harness.now = ms(10_000);
     let restored: Vec<u64> = (0..12).map(|_| harness.restore(0, 0, None, 0, None)).collect();
     let new = harness.submit(12, 0, 0, None);
@@ -865,13 +865,13 @@
 /// first byte must stop the call.
 #[test]
 fn a_call_does_not_start_after_the_deduplication_memory_ends() {
-    let mut harness = Harness::new(terms(), 1, 0, 100.0);
+    let mut harness = Harness::new(settings(), 1, 0, 100.0);
     harness.now = ms(10_000);
     let packet = harness.restore(0, 1, None, 1, Some(ms(9000)));
     harness.run_round();
     assert_eq!(harness.in_flight(), [packet]);
     assert!(harness.sender.may_still_go(harness.now, PacketId(packet)));
-    let memory = terms().categories[1].repeat;
+    let memory = settings().categories[1].repeat;
     let Repeat::Deduplicated { memory } = memory else { panic!("a category with a memory") };
     assert!(!harness.sender.may_still_go(ms(9000) + memory, PacketId(packet)));
 }
@@ -880,7 +880,7 @@
 /// were accepted.
 #[test]
 fn a_key_is_blocked_after_a_restart() {
-    let mut harness = Harness::new(terms(), 1, 0, 100.0);
+    let mut harness = Harness::new(settings(), 1, 0, 100.0);
     harness.now = ms(10_000);
     harness.restore(0, 2, Some(1), 1, Some(ms(9990)));
     let next = harness.restore(0, 2, Some(1), 0, None);
@@ -893,7 +893,7 @@
 /// While a connection is being opened, its endpoint may drain or the destination may request a wait.
 #[test]
 fn a_call_is_checked_again_once_its_connection_is_open() {
-    let mut harness = Harness::new(terms(), 1, 0, 100.0);
+    let mut harness = Harness::new(settings(), 1, 0, 100.0);
     harness.update_list(false, &[list_entry(9, 0, 0, 100.0, true)]);
     let packets = harness.submit(3, 0, 0, None);
     harness.run_round();
@@ -913,7 +913,7 @@
 /// tenth of the calls that they handle (fleet day calm+mass).
 #[test]
 fn a_reached_connection_limit_does_not_reduce_the_rate_and_closes_idle_connections() {
-    let mut harness = Harness::new(Settings { senders: 300, ..terms() }, 3, 0, 30.0);
+    let mut harness = Harness::new(Settings { senders: 300, ..settings() }, 3, 0, 30.0);
     // An idle connection is left at endpoint 1, and none at endpoint 2, which was never called.
     let other = harness.submit(1, 1, 0, None)[0];
     harness.run_round();
@@ -950,7 +950,8 @@
 /// the soft limit of a packet.
 #[test]
 fn the_backoff_after_a_reached_connection_limit_is_at_most_a_soft_limit() {
-    let mut harness = Harness::new(Settings { senders: 300, dispatches: 100, ..terms() }, 1, 0, 3000.0);
+    let mut harness =
+        Harness::new(Settings { senders: 300, max_dispatches: 100, ..settings() }, 1, 0, 3000.0);
     let packet = harness.submit(1, 0, 0, None)[0];
     for call in 0..8 {
         harness.advance(2000);
@@ -964,7 +965,7 @@
 /// (fleet day zone+mass, seed 2002).
 #[test]
 fn held_packets_are_dismissed_when_a_rate_reduction_makes_them_too_late() {
-    let mut harness = Harness::new(Settings { senders: 300, ..terms() }, 12, 0, 30.0);
+    let mut harness = Harness::new(Settings { senders: 300, ..settings() }, 12, 0, 30.0);
     for other in 1..12 {
         let refused = harness.submit(1, other, 0, None)[0];
         harness.run_round();
@@ -987,8 +988,9 @@
 /// per second, and of 11 from the 6th to the 26th second; refused calls count. With `reporting`, answers
 /// report the limit. Returns the number of successful calls in each second.
 fn simulate_lowered_limit(reporting: bool) -> Vec<usize> {
-    let new =
-        |seed| Harness::with_seed(seed, Settings { senders: 100, dispatches: 9, ..terms() }, 1, 0, 22.0);
+    let new = |seed| {
+        Harness::with_seed(seed, Settings { senders: 100, max_dispatches: 9, ..settings() }, 1, 0, 22.0)
+    };
     let mut harnesses: Vec<Harness> = (0..100).map(new).collect();
     let (mut tokens, mut successes) = (22.0_f64, vec![0; 40]);
     for tick in 0..40 * 20 {
@@ -1035,8 +1037,9 @@
 /// A single report may be wrong: an implausible limit is capped, and a refusal still reduces the rate.
 #[test]
 fn no_report_raises_the_rate_above_twice_the_listed_rate() {
-    let terms = Settings { senders: 100, hold: 900, dispatches: 9, limits_told: true, ..terms() };
-    let mut harness = Harness::new(terms, 1, 0, 4.0);
+    let settings =
+        Settings { senders: 100, max_held: 900, max_dispatches: 9, limits_reported: true, ..settings() };
+    let mut harness = Harness::new(settings, 1, 0, 4.0);
     let mut calls = 0;
     for left in (0..60).map(|n| 0.9 + f64::from(n) / 1000.0) {
         harness.submit(3, 0, 0, None);
@@ -1066,7 +1069,7 @@
 #[test]
 fn reports_are_used_only_with_sparse_traffic() {
     let wake_after = |reporting: bool| {
-        let mut harness = Harness::new(Settings { senders: 3, ..terms() }, 1, 0, 8.0);
+        let mut harness = Harness::new(Settings { senders: 3, ..settings() }, 1, 0, 8.0);
         harness.submit(2, 0, 0, None);
         harness.run_round();
         (0..u8::from(reporting)).for_each(|_| harness.report(1, 1.0, 16.0));
@@ -1081,7 +1084,7 @@
 /// ports, does not count as a dispatch and says nothing about its destination.
 #[test]
 fn a_call_that_failed_with_a_local_error_is_not_a_dispatch() {
-    let mut harness = Harness::new(terms(), 2, 0, 100.0);
+    let mut harness = Harness::new(settings(), 2, 0, 100.0);
     let packet = harness.submit(1, 0, 0, None)[0];
     harness.run_round();
     // More often than a packet may be dispatched. The backoff grows with each consecutive error.
