--- a/crates/sailcart-sender/examples/ledger.rs
+++ b/crates/sailcart-sender/examples/ledger.rs
@@ -22,7 +22,7 @@
         mark: Some(format!("{:016x}", number.0).into()),
         about: None,
         destination: DestinationId(7),
-        ends: Moment::by_wall_clock(Duration::from_secs(1_764_000_000)),
+        deadline: Moment::by_wall_clock(Duration::from_secs(1_764_000_000)),
         body: vec![b'x'; 200].into(),
     }
 }
--- a/crates/sailcart-sender/src/exchange/calls.rs
+++ b/crates/sailcart-sender/src/exchange/calls.rs
@@ -83,7 +83,7 @@
             }
             log::debug!("packet {} from {}: {outcome:?} after {elapsed:?}", packet.id, call.address);
             sender.outcome(now, id, elapsed, *outcome, *completed);
-            if *outcome == Outcome::Done && host.clock.is_past(packet.ends) {
+            if *outcome == Outcome::Done && host.clock.is_past(packet.deadline) {
                 // Whether the packet arrived before its deadline is unknown here, so the platform is notified
                 // of its failure. Such a notice is harmless for a packet that the platform knows as
                 // completed.
--- a/crates/sailcart-sender/src/exchange/host_state.rs
+++ b/crates/sailcart-sender/src/exchange/host_state.rs
@@ -57,7 +57,7 @@
 impl HostState {
     pub(super) fn new(settings: &sailcart::Settings, names: Names, ledger: Ledger) -> Self {
         let states = ledger.unended().into_iter().map(|packet| ledger.stand(packet.number));
-        let clock = Clock::new(states.filter_map(|state| state.doubt.or(state.out)));
+        let clock = Clock::new(states.filter_map(|state| state.possibly_executed_at.or(state.out)));
         let unacknowledged = Untold::new(ledger.owed().map(|(id, ..)| id));
         HostState {
             clock,
@@ -84,7 +84,7 @@
     /// one to its submission, otherwise the platform is notified.
     pub(super) fn complete_undelivered(&mut self, id: PacketId, notice: Notice) {
         let (deadline, dispatches) =
-            (self.ledger.packet(id).map(|packet| packet.ends), self.ledger.stand(id).dispatches);
+            (self.ledger.packet(id).map(|packet| packet.deadline), self.ledger.stand(id).dispatches);
         if let Some(left) = deadline.map(|at| self.clock.deadline(at).saturating_sub(self.clock.now())) {
             log::debug!("packet {}: ends {notice:?}, {dispatches} dispatches, {left:?} left", id.0);
         }
--- a/crates/sailcart-sender/src/exchange/packets.rs
+++ b/crates/sailcart-sender/src/exchange/packets.rs
@@ -151,7 +151,7 @@
             mark: put.mark.map(Into::into),
             about: put.about.map(Into::into),
             destination: DestinationId(put.destination),
-            ends: self.clock.to_moment(now.saturating_add(put.patience)),
+            deadline: self.clock.to_moment(now.saturating_add(put.patience)),
             body: put.body.into(),
         }
     }
@@ -171,9 +171,12 @@
             category: CategoryId(*category),
             customer: customer.map(CustomerId),
             key: packet.about.as_deref().map(key_id),
-            deadline: self.clock.deadline(packet.ends),
+            deadline: self.clock.deadline(packet.deadline),
             dispatches: state.dispatches,
-            possibly_executed_at: state.doubt.or(state.out).map(|sent_at| self.clock.dispatch_time(sent_at)),
+            possibly_executed_at: state
+                .possibly_executed_at
+                .or(state.out)
+                .map(|sent_at| self.clock.dispatch_time(sent_at)),
             accepted_by_previous_process: false,
         })
     }
--- a/crates/sailcart-sender/src/inspect.rs
+++ b/crates/sailcart-sender/src/inspect.rs
@@ -79,7 +79,7 @@
     for record in &records {
         match record {
             Record::Packet(packet) => {
-                let (Distance::Sure(span) | Distance::Unsure(span)) = now.distance(packet.ends);
+                let (Distance::Sure(span) | Distance::Unsure(span)) = now.distance(packet.deadline);
                 let seconds_left = match span {
                     Span::Ahead(left) => left.as_secs_f64(),
                     Span::Ago(past) => -past.as_secs_f64(),
@@ -101,7 +101,11 @@
                 if state.out.is_some() {
                     text.push_str(", one is out");
                 }
-                text.push_str(if state.doubt.or(state.out).is_some() { ", may have run\n" } else { "\n" });
+                text.push_str(if state.possibly_executed_at.or(state.out).is_some() {
+                    ", may have run\n"
+                } else {
+                    "\n"
+                });
             }
             Record::PendingNotice(_, id, notice) => {
                 let _ = writeln!(text, "notice owed for {id}: {}", describe(notice));
@@ -174,8 +178,13 @@
             Some(Record::DispatchState(_, state)) => state,
             _ => Stand::default(),
         };
-        let doubt = Some(Moment::by_wall_clock(packet.ends.unix.saturating_sub(BEYOND_KEY_RETENTION)));
-        let value = encode_dispatch_state(&Stand { dispatches: state.dispatches.max(1), doubt, out: None });
+        let possibly_executed_at =
+            Some(Moment::by_wall_clock(packet.deadline.unix.saturating_sub(BEYOND_KEY_RETENTION)));
+        let value = encode_dispatch_state(&Stand {
+            dispatches: state.dispatches.max(1),
+            possibly_executed_at,
+            out: None,
+        });
         store.write(&[Change::Put(&key(RecordKind::DispatchState, packet.number), &value)])?;
     }
     Ok(())
--- a/crates/sailcart-sender/src/memory/ledger.rs
+++ b/crates/sailcart-sender/src/memory/ledger.rs
@@ -29,7 +29,7 @@
     notice: Notice,
     /// After the packet's deadline no process dispatches it again. `None` for a notice of a previous
     /// process, whose record is on disk.
-    ends: Option<Moment>,
+    deadline: Option<Moment>,
 }
 
 /// The most recently completed packets by the id that the client chose.
@@ -138,7 +138,8 @@
                 Record::PendingNotice(number, client_id, notice) => {
                     self.completed_ids.insert(&client_id, None);
                     self.next_number = self.next_number.max(number.0 + 1);
-                    self.pending_notices.insert(number, PendingNotice { id: client_id, notice, ends: None });
+                    self.pending_notices
+                        .insert(number, PendingNotice { id: client_id, notice, deadline: None });
                 }
                 Record::Completed(number, client_id, rejection) => {
                     self.completed_ids.insert(&client_id, rejection);
@@ -192,8 +193,8 @@
     /// Bytes that the further records of a packet may take: its dispatch state, its notice and its
     /// completion.
     fn reservation(packet: &Packet) -> u64 {
-        let (moment, notice) = (packet.ends, Notice::Dismissed(Some(Default::default())));
-        let state = Stand { doubt: Some(moment), out: Some(moment), dispatches: 0 };
+        let (moment, notice) = (packet.deadline, Notice::Dismissed(Some(Default::default())));
+        let state = Stand { possibly_executed_at: Some(moment), out: Some(moment), dispatches: 0 };
         let cost = |kind, value: &[u8]| Store::<Disk>::cost(&key(kind, packet.number), value);
         cost(RecordKind::DispatchState, &records::encode_dispatch_state(&state))
             + cost(RecordKind::PendingNotice, &records::encode_pending_notice(&packet.id, &notice))
@@ -271,8 +272,8 @@
         let old_states: Vec<_> = held.iter().map(|number| (*number, self.stand(*number))).collect();
         let new_states = old_states.iter().map(|(number, old)| {
             // A dispatch that is still in flight was sent by a previous process: its outcome stays unknown.
-            let doubt = old.doubt.or(old.out);
-            (*number, Stand { dispatches: old.dispatches + 1, doubt, out: Some(at) })
+            let possibly_executed_at = old.possibly_executed_at.or(old.out);
+            (*number, Stand { dispatches: old.dispatches + 1, possibly_executed_at, out: Some(at) })
         });
         let new_states: Vec<_> = new_states.collect();
         let records = new_states.iter().map(|(number, state)| {
@@ -295,8 +296,8 @@
     /// Records that a dispatch completed without completing its packet.
     pub fn came_back(&mut self, number: PacketId, may_have_executed: bool) {
         let old = self.stand(number);
-        let doubt = old.doubt.or(old.out.filter(|_| may_have_executed));
-        let state = Stand { dispatches: old.dispatches, doubt, out: None };
+        let possibly_executed_at = old.possibly_executed_at.or(old.out.filter(|_| may_have_executed));
+        let state = Stand { dispatches: old.dispatches, possibly_executed_at, out: None };
         if state != old {
             self.update_dispatch_state(number, state);
         }
@@ -402,7 +403,7 @@
         ));
         self.next_number = self.next_number.max(number.0 + 1);
         self.pending_notices
-            .insert(number, PendingNotice { id: client_id, notice, ends: Some(removed.packet.ends) });
+            .insert(number, PendingNotice { id: client_id, notice, deadline: Some(removed.packet.deadline) });
         self.write_or_defer(ChangeGroup { packet: number, changes });
     }
 
@@ -418,11 +419,11 @@
         has_passed: impl Fn(Moment) -> bool,
     ) -> impl Iterator<Item = (PacketId, &str, Notice)> {
         let all_recorded = self.is_recorded();
-        let may_be_sent = move |number: &PacketId, pending: &PendingNotice| match pending.ends {
+        let may_be_sent = move |number: &PacketId, pending: &PendingNotice| match pending.deadline {
             None => true,
-            Some(ends) => {
+            Some(deadline) => {
                 all_recorded
-                    || has_passed(ends)
+                    || has_passed(deadline)
                     || !(self.store.wants_sync() || self.backlog.contains(*number))
             }
         };
--- a/crates/sailcart-sender/src/memory/mod.rs
+++ b/crates/sailcart-sender/src/memory/mod.rs
@@ -30,8 +30,8 @@
     /// The key whose packets are dispatched in order of acceptance, in categories that ask for it.
     pub about: Option<Box<str>>,
     pub destination: DestinationId,
-    /// The deadline: when the patience that the client asked for is used up.
-    pub ends: Moment,
+    /// When the patience that the client asked for is used up.
+    pub deadline: Moment,
     pub body: Box<[u8]>,
 }
 
@@ -41,7 +41,7 @@
     /// The number of dispatches so far.
     pub dispatches: u32,
     /// When the first dispatch that may have executed was sent.
-    pub doubt: Option<Moment>,
+    pub possibly_executed_at: Option<Moment>,
     /// When the dispatch in flight was sent.
     pub out: Option<Moment>,
 }
--- a/crates/sailcart-sender/src/memory/records.rs
+++ b/crates/sailcart-sender/src/memory/records.rs
@@ -71,7 +71,7 @@
 pub fn encode_packet(packet: &Packet) -> Vec<u8> {
     let mut out = Vec::with_capacity(packet.body.len() + 160);
     out.push(FORMAT);
-    put_moment(&mut out, packet.ends);
+    put_moment(&mut out, packet.deadline);
     put_u64(&mut out, packet.destination.0);
     put_bytes(&mut out, packet.id.as_bytes());
     put_bytes(&mut out, packet.category.as_bytes());
@@ -89,7 +89,7 @@
 pub fn encode_dispatch_state(state: &Stand) -> Vec<u8> {
     let mut out = vec![FORMAT];
     out.extend(state.dispatches.to_be_bytes());
-    for moment in [state.doubt, state.out] {
+    for moment in [state.possibly_executed_at, state.out] {
         out.push(moment.is_some().into());
         if let Some(moment) = moment {
             put_moment(&mut out, moment);
@@ -157,20 +157,21 @@
 /// Parses the value of a packet's record. In the format 1 journal the same bytes follow the packet number.
 pub fn packet(number: PacketId, input: &[u8]) -> IResult<&[u8], Packet> {
     let (rest, encoding) = moment_encoding(input)?;
-    let (rest, ends) = encoding.moment(rest)?;
+    let (rest, deadline) = encoding.moment(rest)?;
     let (rest, (destination, id, category)) = (be_u64.map(DestinationId), string, string).parse(rest)?;
     let (rest, (customer, mark, about)) = (optional_string, optional_string, optional_string).parse(rest)?;
     let (rest, body) = length_data(be_u32).parse(rest)?;
     let body = body.into();
-    Ok((rest, Packet { number, id, category, customer, mark, about, destination, ends, body }))
+    Ok((rest, Packet { number, id, category, customer, mark, about, destination, deadline, body }))
 }
 
 /// Parses the value of a dispatch state's record.
 pub fn dispatch_state(input: &[u8]) -> IResult<&[u8], Stand> {
     let (rest, encoding) = moment_encoding(input)?;
     let optional_moment = |input| optional(input, |rest| encoding.moment(rest));
-    let (rest, (dispatches, doubt, out)) = (be_u32, optional_moment, optional_moment).parse(rest)?;
-    Ok((rest, Stand { dispatches, doubt, out }))
+    let (rest, (dispatches, possibly_executed_at, out)) =
+        (be_u32, optional_moment, optional_moment).parse(rest)?;
+    Ok((rest, Stand { dispatches, possibly_executed_at, out }))
 }
 
 /// How a value encodes its moments.
--- a/crates/sailcart-sender/tests/formats.rs
+++ b/crates/sailcart-sender/tests/formats.rs
@@ -39,15 +39,15 @@
     let names: Vec<&str> = kept.iter().map(|packet| &*packet.id).collect();
     assert_eq!(names, ["untried", "out", "doubt"]);
     assert!(
-        kept.iter().all(|packet| packet.ends == Moment::by_wall_clock(ENDS) && *packet.body == *b"hello")
+        kept.iter().all(|packet| packet.deadline == Moment::by_wall_clock(ENDS) && *packet.body == *b"hello")
     );
     let stands: Vec<Stand> = kept.iter().map(|packet| ledger.stand(packet.number)).collect();
     let first = Some(Moment::by_wall_clock(FIRST_CALL));
     let second = Some(Moment::by_wall_clock(FIRST_CALL + Duration::from_millis(100)));
     let expected = [
         Stand::default(),
-        Stand { dispatches: 1, doubt: None, out: first },
-        Stand { dispatches: 1, doubt: second, out: None },
+        Stand { dispatches: 1, possibly_executed_at: None, out: first },
+        Stand { dispatches: 1, possibly_executed_at: second, out: None },
     ];
     assert_eq!(stands, expected);
     let owed: Vec<_> = ledger.owed().map(|(_, id, notice)| (id.to_owned(), notice)).collect();
@@ -61,7 +61,10 @@
     ledger.sends(&[kept[0].number], now).expect("room");
     drop(ledger);
     let ledger = open(&folder);
-    assert_eq!(ledger.stand(kept[0].number), Stand { dispatches: 1, doubt: None, out: Some(now) });
+    assert_eq!(
+        ledger.stand(kept[0].number),
+        Stand { dispatches: 1, possibly_executed_at: None, out: Some(now) }
+    );
     assert_eq!(ledger.stand(kept[1].number), expected[1]);
 }
 
--- a/crates/sailcart-sender/tests/journal.rs
+++ b/crates/sailcart-sender/tests/journal.rs
@@ -33,7 +33,7 @@
         mark: None,
         about: Some("".into()),
         destination: DestinationId(7),
-        ends: Moment::by_wall_clock(Duration::from_micros(1_764_000_000_123_456)),
+        deadline: Moment::by_wall_clock(Duration::from_micros(1_764_000_000_123_456)),
         body: vec![b'x'; bytes].into(),
     }
 }
@@ -68,9 +68,9 @@
     let mut ledger = open(&folder);
     assert_eq!(ids(&ledger), ["a", "b", "c"]);
     assert_eq!(ledger.packet(a), Some(&before));
-    assert_eq!(ledger.stand(a), Stand { dispatches: 1, doubt: None, out: Some(at(5)) });
-    assert_eq!(ledger.stand(b), Stand { dispatches: 2, doubt: Some(at(5)), out: Some(at(9)) });
-    assert_eq!(ledger.stand(c), Stand { dispatches: 1, doubt: None, out: None });
+    assert_eq!(ledger.stand(a), Stand { dispatches: 1, possibly_executed_at: None, out: Some(at(5)) });
+    assert_eq!(ledger.stand(b), Stand { dispatches: 2, possibly_executed_at: Some(at(5)), out: Some(at(9)) });
+    assert_eq!(ledger.stand(c), Stand { dispatches: 1, possibly_executed_at: None, out: None });
     let owed: Vec<_> = ledger.owed().map(|(id, name, notice)| (id, name.to_owned(), notice)).collect();
     assert_eq!(owed, [(e, "e".to_owned(), Notice::Dismissed(Some(Duration::from_millis(500))))]);
     assert_eq!(ledger.next(), PacketId(e.0 + 1), "no number is used twice");
@@ -92,8 +92,8 @@
     ledger.sends(&[id], Moment::by_wall_clock(Duration::from_secs(9))).expect("room");
     ledger.came_back(id, false);
     drop(ledger);
-    let doubt = Some(Moment::by_wall_clock(Duration::from_secs(5)));
-    assert_eq!(open(&folder).stand(id), Stand { dispatches: 2, doubt, out: None });
+    let possibly_executed_at = Some(Moment::by_wall_clock(Duration::from_secs(5)));
+    assert_eq!(open(&folder).stand(id), Stand { dispatches: 2, possibly_executed_at, out: None });
 }
 
 fn size(folder: &Path) -> u64 {
@@ -176,7 +176,7 @@
         let ledger = open(&folder);
         assert_eq!(ids(&ledger), ["a"], "life {life}");
         let at = Some(Moment::by_wall_clock(Duration::from_millis(5)));
-        assert_eq!(ledger.stand(PacketId(3)), Stand { dispatches: 2, doubt: at, out: None });
+        assert_eq!(ledger.stand(PacketId(3)), Stand { dispatches: 2, possibly_executed_at: at, out: None });
         assert_eq!(&*ledger.packet(PacketId(3)).expect("kept").body, b"body");
         let owed: Vec<_> = ledger.owed().map(|(id, name, notice)| (id, name.to_owned(), notice)).collect();
         assert_eq!(owed, [(PacketId(4), "b".to_owned(), Notice::Scrapped)]);
--- a/crates/sailcart-sender/tests/other_boot.rs
+++ b/crates/sailcart-sender/tests/other_boot.rs
@@ -38,7 +38,7 @@
             mark: Some(id.into()),
             about: None,
             destination: DestinationId(7),
-            ends: other(now.later(Duration::from_secs(20))),
+            deadline: other(now.later(Duration::from_secs(20))),
             body: b"hello".to_vec().into(),
         };
         let number = packet.number;
--- a/crates/sailcart-sender/tests/store.rs
+++ b/crates/sailcart-sender/tests/store.rs
@@ -28,7 +28,7 @@
         mark: None,
         about: None,
         destination: DestinationId(7),
-        ends: Moment::by_wall_clock(now + Duration::from_secs(60)),
+        deadline: Moment::by_wall_clock(now + Duration::from_secs(60)),
         body: vec![b'x'; 300].into(),
     };
     ledger.take(packet).expect("room");
@@ -84,7 +84,7 @@
     let ledger = open(&new);
     let saved = ledger.unended();
     assert_eq!(saved.len(), 19);
-    assert!(saved.iter().all(|packet| ledger.stand(packet.number).doubt.is_some()));
+    assert!(saved.iter().all(|packet| ledger.stand(packet.number).possibly_executed_at.is_some()));
     let (well, said) = say(&["salvage"], &[&old, &new]);
     assert!(!well, "into a folder that is there: {said}");
 }
--- a/crates/sailcart-sender/tests/stories.rs
+++ b/crates/sailcart-sender/tests/stories.rs
@@ -195,7 +195,7 @@
         mark: Some("a1".into()),
         about: None,
         destination: DestinationId(7),
-        ends: Moment::by_wall_clock(ahead + Duration::from_secs(20)),
+        deadline: Moment::by_wall_clock(ahead + Duration::from_secs(20)),
         body: b"hello"[..].into(),
     };
     ledger.take(packet).expect("room");
