--- a/crates/sailcart-drill/src/instance.rs
+++ b/crates/sailcart-drill/src/instance.rs
@@ -98,7 +98,7 @@
     pub fn new(wall_time: Duration, seed: u64, settings_value: &Value) -> Result<Self, Fault> {
         let (settings, names) = sailcart_terms::read(settings_value)?;
         let mut sender = Sender::new(settings, seed);
-        sender.list_failed(Duration::ZERO); // the list is not being watched yet
+        sender.list_request_failed(Duration::ZERO); // the list is not being watched yet
         Ok(Instance { sender, names, ids: IdMap::default(), start: wall_time })
     }
 
@@ -119,13 +119,13 @@
                 rate: entry.rate,
             });
         }
-        self.sender.list(self.now(wall_time), full, &listings);
+        self.sender.update_list(self.now(wall_time), full, &listings);
         Ok(())
     }
 
     /// Handles a failed request for the destination list.
-    pub fn list_failed(&mut self, wall_time: Duration) {
-        self.sender.list_failed(self.now(wall_time));
+    pub fn list_request_failed(&mut self, wall_time: Duration) {
+        self.sender.list_request_failed(self.now(wall_time));
     }
 
     /// Submits a packet (`Demand`).
@@ -151,7 +151,7 @@
             possibly_executed_at: None,
             accepted_by_previous_process: false,
         };
-        self.sender.take(self.now(wall_time), packet);
+        self.sender.accept(self.now(wall_time), packet);
         Ok(())
     }
 
@@ -181,9 +181,9 @@
             let report =
                 self.names.reports.as_ref().and_then(|fields| fields.read(|(index, _)| column(*index)));
             if let Some(report) = report {
-                self.sender.report(id, report);
+                self.sender.record_report(id, report);
             }
-            self.sender.outcome(now, id, elapsed, outcome, settled);
+            self.sender.record_outcome(now, id, elapsed, outcome, settled);
             self.remove_if_completed(id);
         }
         Ok(())
@@ -201,7 +201,7 @@
     }
 
     fn remove_if_completed(&mut self, id: PacketId) {
-        if !self.sender.holds(id) {
+        if !self.sender.is_tracked(id) {
             self.ids.remove_packet(id);
         }
     }
@@ -256,7 +256,7 @@
         self.messages.push(json!(["Release", self.ids.addresses.get(endpoint.0 as usize)]));
     }
 
-    fn ask_list(&mut self) {
+    fn request_list(&mut self) {
         self.messages.push(json!(["Follow", true]));
     }
 
--- a/crates/sailcart-drill/src/main.rs
+++ b/crates/sailcart-drill/src/main.rs
@@ -79,7 +79,7 @@
         match message.name {
             "Update" => match read_text(message.required(0, "form")?, "form")? {
                 "FAILED" => {
-                    instance.list_failed(wall_time);
+                    instance.list_request_failed(wall_time);
                     Ok(())
                 }
                 form @ ("INCREMENTAL" | "FULL" | "SAVED") => {
--- a/crates/sailcart-lab/src/capacity/hollow.rs
+++ b/crates/sailcart-lab/src/capacity/hollow.rs
@@ -49,7 +49,7 @@
 
     fn close_idle(&mut self, _: EndpointId) {}
 
-    fn ask_list(&mut self) {}
+    fn request_list(&mut self) {}
 
     fn wake(&mut self, _: Duration) {}
 }
@@ -126,13 +126,13 @@
             possibly_executed_at: None,
             accepted_by_previous_process: false,
         };
-        self.sender.take(self.now, packet);
+        self.sender.accept(self.now, packet);
     }
 
     /// All calls that are out come back with success.
     fn answer(&mut self) {
         for id in std::mem::take(&mut self.round.dispatched) {
-            self.sender.outcome(self.now, id, ANSWER, Outcome::Done, true);
+            self.sender.record_outcome(self.now, id, ANSWER, Outcome::Done, true);
         }
     }
 
@@ -142,7 +142,7 @@
 
     /// Takes a list that was drawn up before.
     fn list(&mut self, lines: &[ListEntry]) {
-        self.sender.list(self.now, true, lines);
+        self.sender.update_list(self.now, true, lines);
     }
 }
 
@@ -153,7 +153,7 @@
     }
 
     fn change(&mut self, listed: Listed, live: bool) {
-        self.sender.list(self.now, false, &[listing(listed.0, live)]);
+        self.sender.update_list(self.now, false, &[listing(listed.0, live)]);
     }
 
     fn round(&mut self, busy: &[Listed]) {
@@ -167,7 +167,7 @@
 
 impl Counted for Hollow {
     fn visited(&self) -> u64 {
-        self.sender.visited()
+        self.sender.entries_visited()
     }
 }
 
--- a/crates/sailcart-lab/src/policies/baseline.rs
+++ b/crates/sailcart-lab/src/policies/baseline.rs
@@ -218,7 +218,7 @@
 }
 
 impl Policy for Baseline {
-    fn list(&mut self, _: Duration, whole: bool, lines: &[ListEntry]) {
+    fn update_list(&mut self, _: Duration, whole: bool, lines: &[ListEntry]) {
         if whole {
             self.endpoints.values_mut().for_each(|seen| seen.live = false);
         }
@@ -231,7 +231,7 @@
         }
     }
 
-    fn take(&mut self, _: Duration, packet: Packet) {
+    fn accept(&mut self, _: Duration, packet: Packet) {
         let category = self.terms.categories[packet.category.0];
         if let (true, Some(key)) = (category.in_order, packet.key) {
             self.turns.entry(key).or_default().0.push_back(packet.id);
@@ -243,7 +243,14 @@
         self.line.push_back(id);
     }
 
-    fn outcome(&mut self, now: Duration, id: PacketId, elapsed: Duration, outcome: Outcome, over: bool) {
+    fn record_outcome(
+        &mut self,
+        now: Duration,
+        id: PacketId,
+        elapsed: Duration,
+        outcome: Outcome,
+        over: bool,
+    ) {
         let Some(kept) = self.packets.get_mut(&id) else { return };
         let State::Out(endpoint) = kept.state else { return };
         kept.state = State::Held;
@@ -270,7 +277,7 @@
         self.line.push_back(id);
     }
 
-    fn may_still_go(&self, _: Duration, id: PacketId) -> bool {
+    fn may_still_dispatch(&self, _: Duration, id: PacketId) -> bool {
         let Some(State::Out(endpoint)) = self.packets.get(&id).map(|kept| kept.state) else { return false };
         self.endpoints.get(&endpoint).is_some_and(|seen| seen.live)
     }
--- a/crates/sailcart-lab/src/policies/mod.rs
+++ b/crates/sailcart-lab/src/policies/mod.rs
@@ -59,16 +59,23 @@
 
 /// One sender's decisions; the calls of [`Sender`], and what a baseline needs in their place.
 pub trait Policy {
-    /// The list of endpoints, or changes of it, as [`Sender::list`] hears them.
-    fn list(&mut self, now: Duration, whole: bool, lines: &[ListEntry]);
+    /// The list of endpoints, or changes of it, as [`Sender::update_list`] hears them.
+    fn update_list(&mut self, now: Duration, whole: bool, lines: &[ListEntry]);
     /// A packet that a client handed in, or that the journal held at the start.
-    fn take(&mut self, now: Duration, packet: Packet);
+    fn accept(&mut self, now: Duration, packet: Packet);
     /// How a dispatch came back after `elapsed`; `over` if the packet has its end.
-    fn outcome(&mut self, now: Duration, id: PacketId, elapsed: Duration, outcome: Outcome, over: bool);
+    fn record_outcome(
+        &mut self,
+        now: Duration,
+        id: PacketId,
+        elapsed: Duration,
+        outcome: Outcome,
+        over: bool,
+    );
     /// What the answer of a dispatch tells of the limit, before its outcome. No baseline heeds it.
-    fn report(&mut self, _: PacketId, _: LimitReport) {}
+    fn record_report(&mut self, _: PacketId, _: LimitReport) {}
     /// Asked before the first byte of a call that waited for its connection.
-    fn may_still_go(&self, now: Duration, id: PacketId) -> bool;
+    fn may_still_dispatch(&self, now: Duration, id: PacketId) -> bool;
     fn decide(&mut self, now: Duration, view: &dyn OracleView, host: &mut dyn Host);
 }
 
@@ -96,8 +103,8 @@
         self.0.close_idle(endpoint);
     }
 
-    fn ask_list(&mut self) {
-        self.0.ask_list();
+    fn request_list(&mut self) {
+        self.0.request_list();
     }
 
     fn wake(&mut self, after: Duration) {
@@ -106,24 +113,31 @@
 }
 
 impl Policy for Sender {
-    fn list(&mut self, now: Duration, whole: bool, lines: &[ListEntry]) {
-        Sender::list(self, now, whole, lines);
+    fn update_list(&mut self, now: Duration, whole: bool, lines: &[ListEntry]) {
+        Sender::update_list(self, now, whole, lines);
     }
 
-    fn take(&mut self, now: Duration, packet: Packet) {
-        Sender::take(self, now, packet);
+    fn accept(&mut self, now: Duration, packet: Packet) {
+        Sender::accept(self, now, packet);
     }
 
-    fn outcome(&mut self, now: Duration, id: PacketId, elapsed: Duration, outcome: Outcome, over: bool) {
-        Sender::outcome(self, now, id, elapsed, outcome, over);
+    fn record_outcome(
+        &mut self,
+        now: Duration,
+        id: PacketId,
+        elapsed: Duration,
+        outcome: Outcome,
+        over: bool,
+    ) {
+        Sender::record_outcome(self, now, id, elapsed, outcome, over);
     }
 
-    fn report(&mut self, id: PacketId, report: LimitReport) {
-        Sender::report(self, id, report);
+    fn record_report(&mut self, id: PacketId, report: LimitReport) {
+        Sender::record_report(self, id, report);
     }
 
-    fn may_still_go(&self, now: Duration, id: PacketId) -> bool {
-        Sender::may_still_go(self, now, id)
+    fn may_still_dispatch(&self, now: Duration, id: PacketId) -> bool {
+        Sender::may_still_dispatch(self, now, id)
     }
 
     fn decide(&mut self, now: Duration, _: &dyn OracleView, host: &mut dyn Host) {
--- a/crates/sailcart-lab/src/simulated/dispatching.rs
+++ b/crates/sailcart-lab/src/simulated/dispatching.rs
@@ -88,7 +88,7 @@
     pub fn connected(&mut self, id: CallId) {
         let Some(call) = self.calls.get(&id) else { return };
         let Some(policy) = &self.senders[call.sender.0].policy else { return };
-        if !call.packets.iter().all(|packet| policy.may_still_go(self.now, *packet)) {
+        if !call.packets.iter().all(|packet| policy.may_still_dispatch(self.now, *packet)) {
             return self.finish(id, Outcome::NoSlot);
         }
         if self.receivers.cuts_before(self.now, call.endpoint) {
--- a/crates/sailcart-lab/src/simulated/lives.rs
+++ b/crates/sailcart-lab/src/simulated/lives.rs
@@ -19,9 +19,9 @@
         }
         let mut policy = (self.make_policy)(self.sender_seed(sender));
         let lines = self.plan.list_at(self.now);
-        policy.list(self.now, true, &lines);
+        policy.update_list(self.now, true, &lines);
         for packet in &self.senders[sender.0].held {
-            policy.take(self.now, Packet { accepted_by_previous_process: true, ..self.describe(*packet) });
+            policy.accept(self.now, Packet { accepted_by_previous_process: true, ..self.describe(*packet) });
         }
         self.senders[sender.0].begin(policy, self.now);
         self.see_start(sender, &lines);
@@ -51,7 +51,7 @@
         };
         let change = self.plan.changes[change];
         let live = change.standing == Standing::Ready;
-        policy.list(self.now, false, &[self.plan.listing(change.endpoint, live)]);
+        policy.update_list(self.now, false, &[self.plan.listing(change.endpoint, live)]);
         self.see(if live {
             Seen::ToldOn(sender, change.endpoint)
         } else {
--- a/crates/sailcart-lab/src/simulated/outcomes.rs
+++ b/crates/sailcart-lab/src/simulated/outcomes.rs
@@ -105,7 +105,7 @@
         }
         let elapsed = self.now - call.start;
         if let Some(policy) = &mut self.senders[call.sender.0].policy {
-            policy.outcome(self.now, packet, elapsed, outcome, over || done);
+            policy.record_outcome(self.now, packet, elapsed, outcome, over || done);
         }
     }
 
--- a/crates/sailcart-lab/src/simulated/reception.rs
+++ b/crates/sailcart-lab/src/simulated/reception.rs
@@ -85,7 +85,7 @@
         let Stage::Arrived { report: Some(report), .. } = call.stage() else { return };
         let policy = self.senders[call.sender.0].policy.as_mut();
         if let Some((policy, packet)) = policy.zip(call.packets.first()) {
-            policy.report(*packet, *report);
+            policy.record_report(*packet, *report);
         }
     }
 }
--- a/crates/sailcart-lab/src/simulated/rounds.rs
+++ b/crates/sailcart-lab/src/simulated/rounds.rs
@@ -35,7 +35,7 @@
         state.held.insert(packet);
         state.fresh.push(packet);
         if let Some(policy) = &mut state.policy {
-            policy.take(self.now, taken);
+            policy.accept(self.now, taken);
         }
         self.request_round(sender);
     }
--- a/crates/sailcart-lab/src/simulated/sender.rs
+++ b/crates/sailcart-lab/src/simulated/sender.rs
@@ -117,7 +117,7 @@
     }
 
     /// The lab's lists come unasked.
-    fn ask_list(&mut self) {}
+    fn request_list(&mut self) {}
 
     fn wake(&mut self, after: Duration) {
         self.wake = Some(self.wake.map_or(after, |before| before.min(after)));
--- a/crates/sailcart-lab/tests/recorded_days.rs
+++ b/crates/sailcart-lab/tests/recorded_days.rs
@@ -93,9 +93,9 @@
         }
         self.host.close_idle(endpoint);
     }
-    fn ask_list(&mut self) {
+    fn request_list(&mut self) {
         self.note(format_args!("ask"));
-        self.host.ask_list();
+        self.host.request_list();
     }
     fn wake(&mut self, after: Duration) {
         self.note(format_args!("wake {after:?}"));
@@ -104,20 +104,27 @@
 }
 
 impl Policy for Recorded {
-    fn list(&mut self, now: Duration, whole: bool, lines: &[ListEntry]) {
-        self.inner.list(now, whole, lines);
-    }
-    fn take(&mut self, now: Duration, packet: Packet) {
-        self.inner.take(now, packet);
-    }
-    fn outcome(&mut self, now: Duration, id: PacketId, elapsed: Duration, outcome: Outcome, over: bool) {
-        self.inner.outcome(now, id, elapsed, outcome, over);
-    }
-    fn report(&mut self, id: PacketId, report: LimitReport) {
-        self.inner.report(id, report);
-    }
-    fn may_still_go(&self, now: Duration, id: PacketId) -> bool {
-        self.inner.may_still_go(now, id)
+    fn update_list(&mut self, now: Duration, whole: bool, lines: &[ListEntry]) {
+        self.inner.update_list(now, whole, lines);
+    }
+    fn accept(&mut self, now: Duration, packet: Packet) {
+        self.inner.accept(now, packet);
+    }
+    fn record_outcome(
+        &mut self,
+        now: Duration,
+        id: PacketId,
+        elapsed: Duration,
+        outcome: Outcome,
+        over: bool,
+    ) {
+        self.inner.record_outcome(now, id, elapsed, outcome, over);
+    }
+    fn record_report(&mut self, id: PacketId, report: LimitReport) {
+        self.inner.record_report(id, report);
+    }
+    fn may_still_dispatch(&self, now: Duration, id: PacketId) -> bool {
+        self.inner.may_still_dispatch(now, id)
     }
     fn decide(&mut self, now: Duration, _: &dyn OracleView, host: &mut dyn Host) {
         let Recorded { inner, seed, calls, dispatched_to } = self;
--- a/crates/sailcart-lab/tests/wrong_senders.rs
+++ b/crates/sailcart-lab/tests/wrong_senders.rs
@@ -62,8 +62,8 @@
     fn close_idle(&mut self, endpoint: EndpointId) {
         self.host.close_idle(endpoint);
     }
-    fn ask_list(&mut self) {
-        self.host.ask_list();
+    fn request_list(&mut self) {
+        self.host.request_list();
     }
 
     fn wake(&mut self, after: Duration) {
@@ -72,21 +72,28 @@
 }
 
 impl Policy for Wrong {
-    fn list(&mut self, now: Duration, whole: bool, lines: &[ListEntry]) {
+    fn update_list(&mut self, now: Duration, whole: bool, lines: &[ListEntry]) {
         let heard = |line: &&ListEntry| line.live || !self.drains_unheard;
         let lines: Vec<ListEntry> = lines.iter().filter(heard).cloned().collect();
-        Sender::list(&mut self.inner, now, whole, &lines);
+        Sender::update_list(&mut self.inner, now, whole, &lines);
     }
-    fn take(&mut self, now: Duration, packet: Packet) {
+    fn accept(&mut self, now: Duration, packet: Packet) {
         if !(self.deaf_to)(&packet) {
-            Sender::take(&mut self.inner, now, packet);
+            Sender::accept(&mut self.inner, now, packet);
         }
     }
-    fn outcome(&mut self, now: Duration, id: PacketId, elapsed: Duration, outcome: Outcome, over: bool) {
-        Sender::outcome(&mut self.inner, now, id, elapsed, outcome, over);
+    fn record_outcome(
+        &mut self,
+        now: Duration,
+        id: PacketId,
+        elapsed: Duration,
+        outcome: Outcome,
+        over: bool,
+    ) {
+        Sender::record_outcome(&mut self.inner, now, id, elapsed, outcome, over);
     }
-    fn may_still_go(&self, now: Duration, id: PacketId) -> bool {
-        Sender::may_still_go(&self.inner, now, id) || self.after_end
+    fn may_still_dispatch(&self, now: Duration, id: PacketId) -> bool {
+        Sender::may_still_dispatch(&self.inner, now, id) || self.after_end
     }
     fn decide(&mut self, now: Duration, _: &dyn OracleView, host: &mut dyn Host) {
         if let Some(endpoint) = self.last.filter(|_| self.after_end) {
--- a/crates/sailcart-sender/src/exchange/calls.rs
+++ b/crates/sailcart-sender/src/exchange/calls.rs
@@ -46,7 +46,8 @@
         if let Some(completed) = completed {
             host.violations.count(Invariant::CallAfterCompletion, &completed.0);
         }
-        let allowed = ids.iter().all(|id| sender.may_still_go(now, *id)) && !host.waits_for_notice(call);
+        let allowed =
+            ids.iter().all(|id| sender.may_still_dispatch(now, *id)) && !host.waits_for_notice(call);
         let preconditions = SendPreconditions { all_tracked: completed.is_none(), allowed };
         // One record for the whole call: if separate records failed half-way, packets that were never sent
         // would count as possibly executed.
@@ -74,7 +75,7 @@
         let report =
             host.names.reports.as_ref().zip(head).and_then(|(reports, head)| call::report(head, reports));
         if let Some((report, first)) = report.zip(call.packets.first()) {
-            sender.report(first.number, report);
+            sender.record_report(first.number, report);
         }
         for (packet, (outcome, completed)) in call.packets.iter().zip(endings) {
             let id = packet.number;
@@ -82,7 +83,7 @@
                 host.violations.count(Invariant::OutcomeWithoutCall, &id.0);
             }
             log::debug!("packet {} from {}: {outcome:?} after {elapsed:?}", packet.id, call.address);
-            sender.outcome(now, id, elapsed, *outcome, *completed);
+            sender.record_outcome(now, id, elapsed, *outcome, *completed);
             if *outcome == Outcome::Done && host.clock.is_past(packet.deadline) {
                 // Whether the packet arrived before its deadline is unknown here, so the platform is notified
                 // of its failure. Such a notice is harmless for a packet that the platform knows as
--- a/crates/sailcart-sender/src/exchange/host.rs
+++ b/crates/sailcart-sender/src/exchange/host.rs
@@ -35,7 +35,7 @@
     }
 
     /// Does nothing: the `platform` module watches the list without being asked.
-    fn ask_list(&mut self) {}
+    fn request_list(&mut self) {}
 
     fn wake(&mut self, after: Duration) {
         if let Some(at) = Instant::now().checked_add(after) {
--- a/crates/sailcart-sender/src/exchange/lists.rs
+++ b/crates/sailcart-sender/src/exchange/lists.rs
@@ -107,7 +107,7 @@
         };
         let removed = listings.iter().filter(|listing| !listing.live);
         host.endpoints_to_close.extend(removed.map(|listing| (listing.endpoint, "unlisted")));
-        sender.list(host.clock.now(), false, &listings);
+        sender.update_list(host.clock.now(), false, &listings);
         self.round_requested.notify_one();
         last
     }
--- a/crates/sailcart-sender/src/exchange/packets.rs
+++ b/crates/sailcart-sender/src/exchange/packets.rs
@@ -65,7 +65,7 @@
                 // The previous process may have had a wrong clock: the time left is never longer than the
                 // category's patience.
                 let max = now.saturating_add(host.patience_by_category[restored.category.0]);
-                sender.take(
+                sender.accept(
                     now,
                     sailcart::Packet {
                         deadline: restored.deadline.min(max),
@@ -135,7 +135,7 @@
             put.about,
             put.patience
         );
-        sender.take(now, accepted);
+        sender.accept(now, accepted);
         Ok(number)
     }
 }
--- a/crates/sailcart-terms/src/lib.rs
+++ b/crates/sailcart-terms/src/lib.rs
@@ -1,7 +1,7 @@
 //! Reads the settings of a deployment, which the platform provides as JSON.
 //!
-//! [`read`] returns the [`Settings`] that decisions depend on, and the [`Names`] that translate between the wire
-//! and the positions used in `Settings`. [`read_host_settings`] returns what only the host needs.
+//! [`read`] returns the [`Settings`] that decisions depend on, and the [`Names`] that translate between the
+//! wire and the positions used in `Settings`. [`read_host_settings`] returns what only the host needs.
 
 mod value;
 
--- a/src/control.rs
+++ b/src/control.rs
@@ -1,8 +1,8 @@
 //! The decision module: decides which packet of a sender is dispatched where and when.
 //!
-//! [`Sender::list`], [`Sender::take`], [`Sender::report`], [`Sender::outcome`] and [`Sender::withdraw`] only
-//! record what happened. Once per round the host calls [`Sender::decide`], which acts through the [`Host`]
-//! trait. The types of the interface are in `host.rs`.
+//! [`Sender::update_list`], [`Sender::accept`], [`Sender::record_report`], [`Sender::record_outcome`] and
+//! [`Sender::withdraw`] only record what happened. Once per round the host calls [`Sender::decide`], which
+//! acts through the [`Host`] trait. The types of the interface are in `host.rs`.
 //!
 //! An *upstream* is the unit of rate limiting and health: a destination or, where each route has limits of
 //! its own, one route. *Sparse traffic* means that there are so many senders that an upstream receives a call
@@ -33,8 +33,9 @@
 //! - **Retry budget**: with sparse traffic, refused packets are dispatched again only for a part of the
 //!   answers (`Sender::retry_budget`).
 //! - **Backoff with jitter**: after losses, refusals, reached connection limits and failed requests for the
-//!   destination list (`Upstream::back_off`, `Upstream::record_connection_limit`, [`Sender::list_failed`]);
-//!   after local errors the backoff is exponential without jitter (`Upstream::record_local_error`).
+//!   destination list (`Upstream::back_off`, `Upstream::record_connection_limit`,
+//!   [`Sender::list_request_failed`]); after local errors the backoff is exponential without jitter
+//!   (`Upstream::record_local_error`).
 //! - **Idle connection closing**: where calls to a kind of destination are lost and senders are many, no idle
 //!   connection is left behind (`Sender::close_idle`).
 
@@ -543,7 +544,7 @@
     /// subscription broke, which may happen to all senders at once. Backoff with jitter: the delay is random
     /// within a quarter of the permitted staleness, and the range doubles with each consecutive failure, up
     /// to all of it.
-    pub fn list_failed(&mut self, now: Duration) {
+    pub fn list_request_failed(&mut self, now: Duration) {
         let Some((staleness, rng)) = self.parameters.settings.max_list_staleness.zip(self.rng.as_mut())
         else {
             return;
@@ -560,20 +561,20 @@
 
     /// Number of table entries accessed so far. It shows whether work is proportional to what changed or to
     /// the whole destination list.
-    pub fn visited(&self) -> u64 {
+    pub fn entries_visited(&self) -> u64 {
         let tables = [self.destinations.visited(), self.upstreams.visited(), self.endpoints.visited()];
         self.destination_list.visited() + tables.iter().sum::<u64>()
     }
 
     /// Whether a packet is tracked: from its acceptance to its completion or, if it is withdrawn while in
     /// flight, to the completion of its call.
-    pub fn holds(&self, id: PacketId) -> bool {
+    pub fn is_tracked(&self, id: PacketId) -> bool {
         self.packets.contains_key(&id)
     }
 
     /// Updates the destination list; with `full` the entries are a snapshot that replaces it. An entry takes
     /// effect at once for a destination that had traffic, and with the first packet for any other.
-    pub fn list(&mut self, now: Duration, full: bool, entries: &[ListEntry]) {
+    pub fn update_list(&mut self, now: Duration, full: bool, entries: &[ListEntry]) {
         self.now = now.max(self.now);
         self.list_request_failures =
             if self.list_request_at.is_none() { 0 } else { self.list_request_failures };
@@ -703,7 +704,7 @@
     /// of its dispatches and the time since which it may have been executed; while a call of the previous
     /// process may still execute, its key is blocked. The packet's times count from its first submission to
     /// any sender.
-    pub fn take(&mut self, now: Duration, packet: Packet) {
+    pub fn accept(&mut self, now: Duration, packet: Packet) {
         self.now = now.max(self.now);
         let category = self.parameters.settings.categories[packet.category.0];
         let answer_due =
@@ -741,7 +742,7 @@
     /// Whether a dispatch may still be sent. The host asks before the first byte of a call that may have
     /// waited for its connection: since the decision its endpoint may have left the list, a Retry-After wait
     /// may have been requested, or the time for the dispatch may have passed.
-    pub fn may_still_go(&self, now: Duration, id: PacketId) -> bool {
+    pub fn may_still_dispatch(&self, now: Duration, id: PacketId) -> bool {
         let Some(tracked) = self.packets.get(&id) else { return false };
         let PacketState::InFlight(call, _) = tracked.state else { return false };
         let call = &self.calls[&call];
@@ -764,7 +765,7 @@
     /// Records what the answer to a dispatch in flight reports about the rate limit, before its outcome.
     /// Reports are used only with sparse traffic; otherwise a sender's own answers are more informative. A
     /// reported limit is capped at twice the listed rate.
-    pub fn report(&mut self, id: PacketId, report: LimitReport) {
+    pub fn record_report(&mut self, id: PacketId, report: LimitReport) {
         let Some(PacketState::InFlight(call, _)) = self.packets.get(&id).map(|tracked| tracked.state) else {
             return;
         };
@@ -778,7 +779,7 @@
 
     /// Records the outcome of a dispatch, `elapsed` after it was sent. `completed` is set if the packet is
     /// completed with it, so that it is not dispatched again.
-    pub fn outcome(
+    pub fn record_outcome(
         &mut self,
         now: Duration,
         id: PacketId,
@@ -1047,7 +1048,7 @@
     pub fn decide(&mut self, now: Duration, host: &mut impl Host) {
         self.now = now.max(self.now);
         if self.list_request_at.take_if(|at| *at <= self.now).is_some() {
-            host.ask_list();
+            host.request_list();
         }
         self.fail_due_packets(host);
         self.close_idle(host);
--- a/src/host.rs
+++ b/src/host.rs
@@ -218,8 +218,9 @@
     /// Closes this sender's idle connections to an endpoint.
     fn close_idle(&mut self, endpoint: EndpointId);
     /// Requests the destination list and its updates from now on. The response is an update of the list or
-    /// [`Sender::list_failed`](crate::Sender::list_failed). Called only where [`Settings::max_list_staleness`] is set.
-    fn ask_list(&mut self);
+    /// [`Sender::list_request_failed`](crate::Sender::list_request_failed). Called only where
+    /// [`Settings::max_list_staleness`] is set.
+    fn request_list(&mut self);
     /// Requests a round no later than after this span.
     fn wake(&mut self, after: Duration);
 }
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -91,7 +91,7 @@
     fn close_idle(&mut self, endpoint: EndpointId) {
         self.idle_closed.push(endpoint);
     }
-    fn ask_list(&mut self) {
+    fn request_list(&mut self) {
         self.list_requests += 1;
     }
     fn wake(&mut self, after: Duration) {
@@ -117,7 +117,7 @@
     pub fn with_seed(seed: u64, settings: Settings, destinations: u32, kind: usize, rate: f64) -> Self {
         let mut sender = Sender::new(settings, seed);
         let entries: Vec<_> = (0..destinations).map(|n| list_entry(n, n, kind, rate, true)).collect();
-        sender.list(Duration::ZERO, true, &entries);
+        sender.update_list(Duration::ZERO, true, &entries);
         Harness { sender, now: Duration::ZERO, host: FakeHost::default(), last_packet: 0 }
     }
 
@@ -160,7 +160,7 @@
 
     fn accept(&mut self, packet: Packet) -> u64 {
         self.last_packet += 1;
-        self.sender.take(self.now, packet);
+        self.sender.accept(self.now, packet);
         self.last_packet
     }
 
@@ -177,12 +177,12 @@
     /// Completes a dispatch in flight with an outcome.
     pub fn complete(&mut self, packet: u64, outcome: Outcome) {
         assert!(self.host.in_flight.remove(&packet).is_some(), "packet {packet} is not in flight");
-        self.sender.outcome(self.now, PacketId(packet), ms(100), outcome, outcome == Outcome::Done);
+        self.sender.record_outcome(self.now, PacketId(packet), ms(100), outcome, outcome == Outcome::Done);
     }
 
     /// Reports the rate limit with the answer to a dispatch in flight.
     pub fn report(&mut self, packet: u64, unused_share: f64, limit: f64) {
-        self.sender.report(PacketId(packet), LimitReport { unused_share, limit });
+        self.sender.record_report(PacketId(packet), LimitReport { unused_share, limit });
     }
 
     /// Completes all dispatches in flight with the same outcome.
@@ -198,7 +198,7 @@
     }
 
     pub fn update_list(&mut self, full: bool, entries: &[ListEntry]) {
-        self.sender.list(self.now, full, entries);
+        self.sender.update_list(self.now, full, entries);
     }
 }
 
--- a/tests/scalability.rs
+++ b/tests/scalability.rs
@@ -19,9 +19,9 @@
 
 /// Number of table entries that `work` accesses.
 fn entries_visited(harness: &mut Harness, work: impl FnOnce(&mut Harness)) -> u64 {
-    let before = harness.sender.visited();
+    let before = harness.sender.entries_visited();
     work(harness);
-    harness.sender.visited() - before
+    harness.sender.entries_visited() - before
 }
 
 /// Asserts that the numbers of entries visited at all sizes are within a factor of two of each other.
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -279,7 +279,7 @@
     assert_eq!(harness.host.failures.len(), 0);
     harness.advance(1);
     assert_eq!(harness.host.failures, [(1, Failure::Dismissed(Some(ms(250))))]);
-    assert!(!harness.sender.holds(PacketId(1)));
+    assert!(!harness.sender.is_tracked(PacketId(1)));
     harness.advance(20_000);
     assert_eq!((harness.in_flight().len(), harness.host.failures.len()), (0, 1));
 }
@@ -317,7 +317,7 @@
     harness.run_round();
     harness.now = ms(4000);
     harness.complete(1, Outcome::Reset);
-    harness.sender.list(
+    harness.sender.update_list(
         harness.now,
         false,
         &[list_entry(0, 0, 0, 100.0, false), list_entry(1, 0, 0, 100.0, true)],
@@ -740,7 +740,7 @@
         let id = harness.submit(1, destination, 0, None)[0];
         harness.run_round();
         harness.host.in_flight.remove(&id);
-        harness.sender.outcome(harness.now, PacketId(id), ms(elapsed), Outcome::Done, true);
+        harness.sender.record_outcome(harness.now, PacketId(id), ms(elapsed), Outcome::Done, true);
         harness.advance(20_000);
     }
     let slow = harness.submit(1, 1, 0, None);
@@ -766,13 +766,13 @@
             }
             harness.now - start
         };
-        harness.sender.list_failed(harness.now);
+        harness.sender.list_request_failed(harness.now);
         let first_delay = wait_for_request(&mut harness);
         assert!(first_delay <= ms(2600), "{first_delay:?}");
         first_delays.insert(first_delay);
         let delays: Vec<_> = (0..4)
             .map(|_| {
-                harness.sender.list_failed(harness.now);
+                harness.sender.list_request_failed(harness.now);
                 wait_for_request(&mut harness)
             })
             .collect();
@@ -839,7 +839,7 @@
     let (restored, new) = (harness.restore(9, 0, None, 0, None), harness.submit(1, 9, 0, None)[0]);
     harness.advance(10_000);
     assert_eq!(harness.host.failures.iter().map(|(id, _)| *id).collect::<Vec<_>>(), [new]);
-    harness.sender.list(harness.now, true, &[list_entry(9, 9, 0, 100.0, true)]);
+    harness.sender.update_list(harness.now, true, &[list_entry(9, 9, 0, 100.0, true)]);
     harness.run_round();
     assert_eq!(harness.in_flight(), [restored]);
 }
@@ -870,10 +870,10 @@
     let packet = harness.restore(0, 1, None, 1, Some(ms(9000)));
     harness.run_round();
     assert_eq!(harness.in_flight(), [packet]);
-    assert!(harness.sender.may_still_go(harness.now, PacketId(packet)));
+    assert!(harness.sender.may_still_dispatch(harness.now, PacketId(packet)));
     let memory = settings().categories[1].repeat;
     let Repeat::Deduplicated { memory } = memory else { panic!("a category with a memory") };
-    assert!(!harness.sender.may_still_go(ms(9000) + memory, PacketId(packet)));
+    assert!(!harness.sender.may_still_dispatch(ms(9000) + memory, PacketId(packet)));
 }
 
 /// A call of the previous process may still execute: the packets of its key wait, in the order in which they
@@ -897,7 +897,7 @@
     harness.update_list(false, &[list_entry(9, 0, 0, 100.0, true)]);
     let packets = harness.submit(3, 0, 0, None);
     harness.run_round();
-    let may_go = |harness: &Harness, packet| harness.sender.may_still_go(harness.now, PacketId(packet));
+    let may_go = |harness: &Harness, packet| harness.sender.may_still_dispatch(harness.now, PacketId(packet));
     assert!(packets.iter().all(|packet| may_go(&harness, *packet)));
     harness.complete(packets[0], Outcome::Full(Some(ms(500))));
     assert!(!may_go(&harness, packets[0]), "it is not in flight");
