--- a/crates/sailcart-drill/src/instance.rs
+++ b/crates/sailcart-drill/src/instance.rs
@@ -7,7 +7,7 @@
     CategoryId, CustomerId, DestinationId, EndpointId, Host, KeyId, KindId, ListEntry, Outcome, Packet,
     PacketId, Sender,
 };
-use sailcart_terms::{Fault, Names, read_milliseconds, read_number, read_text};
+use sailcart_terms::{Names, ValueError, read_milliseconds, read_number, read_text};
 use serde_json::{Value, json};
 
 use crate::message::Message;
@@ -23,7 +23,7 @@
 }
 
 impl Entry {
-    pub fn read(entry: &Value) -> Result<Self, Fault> {
+    pub fn read(entry: &Value) -> Result<Self, ValueError> {
         let message = Message::unnamed(entry, "rows_in")?;
         message.text(1, "rack_zone")?;
         let live = match message.text(4, "state")? {
@@ -95,7 +95,7 @@
 }
 
 impl Instance {
-    pub fn new(wall_time: Duration, seed: u64, settings_value: &Value) -> Result<Self, Fault> {
+    pub fn new(wall_time: Duration, seed: u64, settings_value: &Value) -> Result<Self, ValueError> {
         let (settings, names) = sailcart_terms::read(settings_value)?;
         let mut sender = Sender::new(settings, seed);
         sender.list_request_failed(Duration::ZERO); // the list is not being watched yet
@@ -108,7 +108,12 @@
     }
 
     /// Applies a destination list, full or incremental.
-    pub fn update_list(&mut self, wall_time: Duration, full: bool, entries: &[Entry]) -> Result<(), Fault> {
+    pub fn update_list(
+        &mut self,
+        wall_time: Duration,
+        full: bool,
+        entries: &[Entry],
+    ) -> Result<(), ValueError> {
         let mut listings = Vec::with_capacity(entries.len());
         for entry in entries {
             listings.push(ListEntry {
@@ -129,7 +134,7 @@
     }
 
     /// Submits a packet (`Demand`).
-    pub fn submit(&mut self, wall_time: Duration, message: &Message) -> Result<(), Fault> {
+    pub fn submit(&mut self, wall_time: Duration, message: &Message) -> Result<(), ValueError> {
         let handle = message.text(0, "handle")?;
         let key = message.optional(1).map(|key| read_text(key, "path_key")).transpose()?;
         let deadline = read_milliseconds(message.required(3, "deadline_ms")?, "deadline_ms")?;
@@ -156,7 +161,7 @@
     }
 
     /// Handles the outcome of a dispatch (`Verdict`).
-    pub fn complete_dispatch(&mut self, wall_time: Duration, message: &Message) -> Result<(), Fault> {
+    pub fn complete_dispatch(&mut self, wall_time: Duration, message: &Message) -> Result<(), ValueError> {
         let handle = message.text(0, "handle")?;
         message.unsigned(1, "send_no")?;
         let elapsed = read_milliseconds(message.required(2, "elapsed_ms")?, "elapsed_ms")?;
@@ -179,7 +184,7 @@
         if let Some(id) = self.ids.packets.get(handle).copied() {
             let column = |index: usize| message.optional(7)?.as_array()?.get(index)?.as_f64();
             let report =
-                self.names.reports.as_ref().and_then(|fields| fields.read(|(index, _)| column(*index)));
+                self.names.report_fields.as_ref().and_then(|fields| fields.read(|(index, _)| column(*index)));
             if let Some(report) = report {
                 self.sender.record_report(id, report);
             }
@@ -190,7 +195,7 @@
     }
 
     /// Withdraws a packet that its client has given up (`Dropped`).
-    pub fn withdraw(&mut self, wall_time: Duration, message: &Message) -> Result<(), Fault> {
+    pub fn withdraw(&mut self, wall_time: Duration, message: &Message) -> Result<(), ValueError> {
         let handle = message.text(0, "handle")?;
         let now = self.now(wall_time);
         if let Some(id) = self.ids.packets.get(handle).copied() {
@@ -216,7 +221,7 @@
 }
 
 /// The position of a name in the settings.
-fn position(names: &HashMap<String, usize>, name: &str, what: &str) -> Result<usize, Fault> {
+fn position(names: &HashMap<String, usize>, name: &str, what: &str) -> Result<usize, ValueError> {
     let position = names.get(name).copied();
     position.ok_or_else(|| format!("expected a name from the settings in {what}, not {name}").into())
 }
--- a/crates/sailcart-drill/src/main.rs
+++ b/crates/sailcart-drill/src/main.rs
@@ -13,7 +13,7 @@
 
 use instance::Instance;
 use message::Message;
-use sailcart_terms::{Fault, member, read_text};
+use sailcart_terms::{ValueError, member, read_text};
 use serde_json::{Value, json};
 
 /// The state of this process.
@@ -26,7 +26,7 @@
 
 impl Adapter {
     /// Handles one line of input and returns the line to output.
-    fn handle_batch(&mut self, line: &str) -> Result<Value, Fault> {
+    fn handle_batch(&mut self, line: &str) -> Result<Value, ValueError> {
         let batch: Value = serde_json::from_str(line).map_err(|error| format!("expected JSON: {error}"))?;
         let wall_time = sailcart_terms::read_milliseconds(member(&batch, "wall_ms")?, "wall_ms")?;
         let groups = member(&batch, "groups")?.as_array().ok_or("expected an array in groups")?;
@@ -52,7 +52,7 @@
         id: i64,
         wall_time: std::time::Duration,
         message: &Message,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), ValueError> {
         match message.name {
             "Init" => {
                 let seed = message.unsigned(0, "prng")?;
--- a/crates/sailcart-drill/src/message.rs
+++ b/crates/sailcart-drill/src/message.rs
@@ -1,7 +1,7 @@
 //! Typed access to the simulator's messages, which are JSON arrays. Errors name the value that is missing or
 //! malformed.
 
-use sailcart_terms::{Fault, read_text};
+use sailcart_terms::{ValueError, read_text};
 use serde_json::Value;
 
 /// A message: its name and the values that follow it.
@@ -12,14 +12,14 @@
 
 impl<'a> Message<'a> {
     /// Reads an event: an array that starts with the event's name.
-    pub fn new(event: &'a Value) -> Result<Self, Fault> {
+    pub fn new(event: &'a Value) -> Result<Self, ValueError> {
         let items = event.as_array().ok_or("expected an array for an event")?;
         let (name, values) = items.split_first().ok_or("expected the name of an event")?;
         Ok(Message { name: read_text(name, "the event's name")?, values })
     }
 
     /// Reads an array without a name of its own. `name` is used in errors.
-    pub fn unnamed(entry: &'a Value, name: &'a str) -> Result<Self, Fault> {
+    pub fn unnamed(entry: &'a Value, name: &'a str) -> Result<Self, ValueError> {
         let values = entry.as_array().ok_or_else(|| format!("expected an array for {name}"))?;
         Ok(Message { name, values })
     }
@@ -30,21 +30,21 @@
     }
 
     /// The value at a position, called `what` in errors.
-    pub fn required(&self, index: usize, what: &str) -> Result<&'a Value, Fault> {
+    pub fn required(&self, index: usize, what: &str) -> Result<&'a Value, ValueError> {
         self.optional(index).ok_or_else(|| format!("expected {what} in {}", self.name).into())
     }
 
-    pub fn text(&self, index: usize, what: &str) -> Result<&'a str, Fault> {
+    pub fn text(&self, index: usize, what: &str) -> Result<&'a str, ValueError> {
         read_text(self.required(index, what)?, what)
     }
 
-    pub fn unsigned(&self, index: usize, what: &str) -> Result<u64, Fault> {
+    pub fn unsigned(&self, index: usize, what: &str) -> Result<u64, ValueError> {
         self.required(index, what)?
             .as_u64()
             .ok_or_else(|| format!("expected a whole number in {what}").into())
     }
 
-    pub fn list(&self, index: usize, what: &str) -> Result<&'a [Value], Fault> {
+    pub fn list(&self, index: usize, what: &str) -> Result<&'a [Value], ValueError> {
         let list = self.required(index, what)?.as_array();
         list.map(Vec::as_slice).ok_or_else(|| format!("expected an array in {what}").into())
     }
--- a/crates/sailcart-sender/src/config/known.rs
+++ b/crates/sailcart-sender/src/config/known.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 use std::ops::Range;
 
-use sailcart_terms::Fault;
+use sailcart_terms::ValueError;
 use serde::de::{Deserializer, MapAccess, Visitor};
 use serde_json::value::RawValue;
 use serde_json::{Map, Value};
@@ -30,7 +30,7 @@
 
 impl KnownList {
     /// Validates the list in this range of `text`.
-    fn new(text: String, range: Option<Range<usize>>) -> Result<Self, Fault> {
+    fn new(text: String, range: Option<Range<usize>>) -> Result<Self, ValueError> {
         let mut reader = ListReader::default();
         let empty = Summary { version: 0, whole: true, read: 0, passed_over: 0 };
         let mut list = KnownList { text, range, summary: empty };
@@ -63,7 +63,7 @@
 }
 
 /// Parses a configuration in JSON. Returns it without its list, and the list.
-pub fn split(text: String) -> Result<(Value, KnownList), Fault> {
+pub fn split(text: String) -> Result<(Value, KnownList), ValueError> {
     let mut deserializer = serde_json::Deserializer::from_str(&text);
     let result =
         deserializer.deserialize_map(Members).and_then(|members| deserializer.end().map(|()| members));
@@ -76,7 +76,7 @@
 }
 
 /// Takes the list out of a configuration that is a JSON value already.
-pub fn split_value(mut file: Value) -> Result<(Value, KnownList), Fault> {
+pub fn split_value(mut file: Value) -> Result<(Value, KnownList), ValueError> {
     let known = file.as_object_mut().and_then(|file| file.remove(KNOWN)).map(|known| known.to_string());
     let range = known.as_ref().map(|known| 0..known.len());
     let list = KnownList::new(known.unwrap_or_default(), range);
--- a/crates/sailcart-sender/src/config/mod.rs
+++ b/crates/sailcart-sender/src/config/mod.rs
@@ -14,7 +14,7 @@
 
 use sailcart::Settings;
 use sailcart_store::Sync;
-use sailcart_terms::{Fault, HostSettings, Names, member, read_number, read_text};
+use sailcart_terms::{HostSettings, Names, ValueError, member, read_number, read_text};
 use serde_json::Value;
 
 use crate::config::known::KnownList;
@@ -84,7 +84,7 @@
 
 /// Reads the configuration from `file`, or else from the file named by `ROUTER_CONFIG`. Environment variables
 /// override its values.
-pub fn read(file: Option<PathBuf>, environment: Environment) -> Result<Mandate, Fault> {
+pub fn read(file: Option<PathBuf>, environment: Environment) -> Result<Mandate, ValueError> {
     let path = file.or_else(|| environment("ROUTER_CONFIG").map(PathBuf::from));
     let path = path.ok_or("ROUTER_CONFIG: expected the path of a configuration file")?;
     let text =
@@ -99,15 +99,15 @@
 }
 
 /// Reads a `sailcart.toml`. The error contains all errors of the file, one per line.
-fn read_document(path: &Path, text: &str) -> Result<document::Document, Fault> {
+fn read_document(path: &Path, text: &str) -> Result<document::Document, ValueError> {
     validation::read(text).map_err(|errors| {
         let lines: Vec<String> = errors.iter().map(|error| format!("{}: {error}", path.display())).collect();
-        Fault(lines.join("\n"))
+        ValueError(lines.join("\n"))
     })
 }
 
 /// The effective configuration as text, with the origin of each value. For the platform's JSON, a summary.
-pub fn show_effective(file: Option<PathBuf>, environment: Environment) -> Result<String, Fault> {
+pub fn show_effective(file: Option<PathBuf>, environment: Environment) -> Result<String, ValueError> {
     let config = read(file.clone(), environment)?;
     let path = file.or_else(|| environment("ROUTER_CONFIG").map(PathBuf::from)).unwrap_or_default();
     if path.extension().is_none_or(|extension| extension != "toml") {
@@ -118,8 +118,8 @@
 }
 
 /// Checks a configuration in the structure of the platform's JSON and adds the defaults.
-fn build_config(file: Value, known: KnownList, environment: Environment) -> Result<Mandate, Fault> {
-    let value_of = |variable: &str, key: &str| -> Result<String, Fault> {
+fn build_config(file: Value, known: KnownList, environment: Environment) -> Result<Mandate, ValueError> {
+    let value_of = |variable: &str, key: &str| -> Result<String, ValueError> {
         match environment(variable) {
             Some(text) => Ok(text),
             None => read_text(member(&file, key)?, key).map(str::to_owned),
@@ -153,7 +153,7 @@
 /// The part of a newer configuration that a running sender applies: the source of the destination list. A
 /// changed address of discovery in the file overrides the environment variable, which is as old as the
 /// process. Other changes are logged and take effect at the next start.
-pub fn moved(old: &Value, new: &Mandate) -> Result<Source, Fault> {
+pub fn moved(old: &Value, new: &Mandate) -> Result<Source, ValueError> {
     let file = &new.file;
     let needs_restart = |key: &&String| !["discovery", "seed"].contains(&key.as_str());
     for key in file.as_object().into_iter().flat_map(|file| file.keys()).filter(needs_restart) {
@@ -170,16 +170,16 @@
 }
 
 /// Prefixes the error with the part of the configuration that it is about.
-fn with_context(part: &str, error: Fault) -> Fault {
+fn with_context(part: &str, error: ValueError) -> ValueError {
     format!("{part}: {}", error.0).into()
 }
 
-fn parse_address(key: &str, text: &str) -> Result<SocketAddr, Fault> {
+fn parse_address(key: &str, text: &str) -> Result<SocketAddr, ValueError> {
     text.parse().map_err(|_| format!("{key}: expected ADDRESS:PORT, not {text}").into())
 }
 
 /// Fails if the folder doesn't exist.
-fn existing_folder(text: &str) -> Result<PathBuf, Fault> {
+fn existing_folder(text: &str) -> Result<PathBuf, ValueError> {
     let folder = Path::new(text);
     folder
         .is_dir()
@@ -188,7 +188,7 @@
 }
 
 /// Reads up to 16 hex digits. Without a value, the seed is the current time.
-fn read_seed(value: Option<&Value>) -> Result<u64, Fault> {
+fn read_seed(value: Option<&Value>) -> Result<u64, ValueError> {
     let Some(value) = value else {
         let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         return Ok(now.unwrap_or(Duration::ZERO).as_nanos() as u64);
@@ -198,8 +198,8 @@
         .map_err(|_| format!("seed: expected up to 16 hex digits, not {text}").into())
 }
 
-fn read_bounds(limits: Option<&Value>, slots: usize) -> Result<Bounds, Fault> {
-    let limit = |key: &str, default: f64| -> Result<f64, Fault> {
+fn read_bounds(limits: Option<&Value>, slots: usize) -> Result<Bounds, ValueError> {
+    let limit = |key: &str, default: f64| -> Result<f64, ValueError> {
         let value = limits.and_then(|limits| limits.get(key));
         let value = value.map_or(Ok(default), |value| read_number(value, key))?;
         if value > 0.0 { Ok(value) } else { Err(format!("expected more than 0 in {key}").into()) }
@@ -225,7 +225,7 @@
 
 /// Reads when to sync: after `each` record, or once per `round`. The default is `none`, as the platform's
 /// folder needs no sync.
-fn read_sync(value: Option<&Value>) -> Result<Sync, Fault> {
+fn read_sync(value: Option<&Value>) -> Result<Sync, ValueError> {
     match value.map(|value| read_text(value, "sync")).transpose()? {
         None | Some("none") => Ok(Sync::None),
         Some("each") => Ok(Sync::Each),
--- a/crates/sailcart-sender/src/exchange/calls.rs
+++ b/crates/sailcart-sender/src/exchange/calls.rs
@@ -72,8 +72,12 @@
     fn call_completed(&self, call: &Call, endings: &[Ending], head: Option<&Head>) {
         let Inner { sender, host, .. } = &mut *self.inner.borrow_mut();
         let (now, elapsed) = (host.clock.now(), call.sent_at.get().unwrap_or(call.started_at).elapsed());
-        let report =
-            host.names.reports.as_ref().zip(head).and_then(|(reports, head)| call::report(head, reports));
+        let report = host
+            .names
+            .report_fields
+            .as_ref()
+            .zip(head)
+            .and_then(|(report_fields, head)| call::report(head, report_fields));
         if let Some((report, first)) = report.zip(call.packets.first()) {
             sender.record_report(first.number, report);
         }
--- a/crates/sailcart-sender/src/life/reload.rs
+++ b/crates/sailcart-sender/src/life/reload.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use sailcart_terms::Fault;
+use sailcart_terms::ValueError;
 use serde_json::Value;
 use tokio::signal::unix::Signal;
 use tokio::sync::watch;
@@ -16,7 +16,7 @@
 use crate::exchange::Exchange;
 
 /// Reads the configuration from the file and environment that were used at the start.
-pub type ReadConfig = Arc<dyn Fn() -> Result<Mandate, Fault> + Send + Sync>;
+pub type ReadConfig = Arc<dyn Fn() -> Result<Mandate, ValueError> + Send + Sync>;
 
 /// The part of a new configuration that takes effect without a restart.
 pub enum ReloadTarget {
@@ -33,8 +33,8 @@
         let (read, initial_config) = (read.clone(), initial_config.clone());
         let wants_list = matches!(target, ReloadTarget::EndpointList(_));
         let reloaded = spawn_blocking(move || read_new_config(&*read, &initial_config, wants_list)).await;
-        let reloaded =
-            reloaded.unwrap_or_else(|error| Err(Fault(format!("reading the configuration failed: {error}"))));
+        let reloaded = reloaded
+            .unwrap_or_else(|error| Err(ValueError(format!("reading the configuration failed: {error}"))));
         match (reloaded, &target) {
             (Ok((Source::Platform(discovery), _)), ReloadTarget::DiscoveryAddress(address_sender)) => {
                 let moved = address_sender
@@ -60,10 +60,10 @@
 /// Reads the new configuration. Returns the source of lists and, if wanted, the list in the file; the rest
 /// of the configuration is dropped here, on the thread that read it.
 fn read_new_config(
-    read: &dyn Fn() -> Result<Mandate, Fault>,
+    read: &dyn Fn() -> Result<Mandate, ValueError>,
     initial_config: &Value,
     wants_list: bool,
-) -> Result<(Source, Option<KnownList>), Fault> {
+) -> Result<(Source, Option<KnownList>), ValueError> {
     let new = read()?;
     let source = config::moved(initial_config, &new)?;
     Ok((source, wants_list.then_some(new.known)))
--- a/crates/sailcart-sender/src/platform/follower.rs
+++ b/crates/sailcart-sender/src/platform/follower.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use sailcart_terms::Fault;
+use sailcart_terms::ValueError;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
@@ -65,8 +65,8 @@
     }
 }
 
-impl From<Fault> for ListError {
-    fn from(error: Fault) -> Self {
+impl From<ValueError> for ListError {
+    fn from(error: ValueError) -> Self {
         ListError::Malformed(error.0)
     }
 }
--- a/crates/sailcart-sender/src/wire/call.rs
+++ b/crates/sailcart-sender/src/wire/call.rs
@@ -6,7 +6,7 @@
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use sailcart::{LimitReport, Outcome};
-use sailcart_terms::Reports;
+use sailcart_terms::ReportFields;
 use serde_json::{Value, json};
 
 use super::http::{self, Extent, Head};
@@ -69,9 +69,9 @@
 
 /// The endpoint's limit as reported in an answer's `X-Load-Report` header, such as `x0=0.4,x1=25`. The
 /// settings name the fields.
-pub fn report(head: &Head, reports: &Reports) -> Option<LimitReport> {
+pub fn report(head: &Head, report_fields: &ReportFields) -> Option<LimitReport> {
     let fields = || head.report.as_deref().unwrap_or_default().split(',').filter_map(|f| f.split_once('='));
-    reports.read(|(_, name)| fields().find(|(key, _)| key.trim() == name)?.1.trim().parse().ok())
+    report_fields.read(|(_, name)| fields().find(|(key, _)| key.trim() == name)?.1.trim().parse().ok())
 }
 
 /// The outcome that status and headers give to each packet of a call.
--- a/crates/sailcart-sender/src/wire/discovery.rs
+++ b/crates/sailcart-sender/src/wire/discovery.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use sailcart_terms::{Fault, member, read_number, read_text};
+use sailcart_terms::{ValueError, member, read_number, read_text};
 use serde_json::Value;
 
 use super::list_reader::{ListReader, Summary};
@@ -43,7 +43,7 @@
 pub const WHOLE: &str = "/v1/servers";
 
 /// Reads a list that is completely in memory. Malformed entries are skipped.
-pub fn read(body: &[u8]) -> Result<List, Fault> {
+pub fn read(body: &[u8]) -> Result<List, ValueError> {
     let mut reader = ListReader::default();
     let entries = reader.push(body)?;
     let Summary { version, whole, .. } = reader.finish()?;
@@ -51,7 +51,7 @@
 }
 
 /// Reads one entry of a list. The error says which member is missing or malformed.
-pub fn entry(value: &Value) -> Result<Entry, Fault> {
+pub fn entry(value: &Value) -> Result<Entry, ValueError> {
     let address = read_text(member(value, "hostPort")?, "hostPort")?;
     Ok(Entry {
         name: read_text(member(value, "instanceId")?, "instanceId")?.to_owned(),
@@ -69,6 +69,6 @@
     lifecycle == "Ready"
 }
 
-fn unsigned_member(value: &Value, key: &str) -> Result<u64, Fault> {
+fn unsigned_member(value: &Value, key: &str) -> Result<u64, ValueError> {
     member(value, key)?.as_u64().ok_or_else(|| format!("expected a whole number in {key}").into())
 }
--- a/crates/sailcart-sender/src/wire/list_reader.rs
+++ b/crates/sailcart-sender/src/wire/list_reader.rs
@@ -3,7 +3,7 @@
 
 use std::borrow::Cow;
 
-use sailcart_terms::Fault;
+use sailcart_terms::ValueError;
 use serde::Deserialize;
 use serde_json::Value;
 
@@ -97,7 +97,7 @@
 
     /// Reads the next bytes and returns the entries that are complete with them. Fails if the list is
     /// malformed; malformed entries are skipped.
-    pub fn push(&mut self, mut piece: &[u8]) -> Result<Vec<Entry>, Fault> {
+    pub fn push(&mut self, mut piece: &[u8]) -> Result<Vec<Entry>, ValueError> {
         self.utf8.check(piece)?;
         let mut entries = Vec::new();
         while !piece.is_empty() {
@@ -117,7 +117,7 @@
     }
 
     /// Ends the list and returns its properties. Fails if the document is incomplete or lacks a member.
-    pub fn finish(self) -> Result<Summary, Fault> {
+    pub fn finish(self) -> Result<Summary, ValueError> {
         if !self.scanner.is_complete() {
             return Err("expected JSON: it ends too early".into());
         }
@@ -135,7 +135,7 @@
         })
     }
 
-    fn handle_event(&mut self, event: Event) -> Result<(), Fault> {
+    fn handle_event(&mut self, event: Event) -> Result<(), ValueError> {
         match (event, self.member) {
             (Event::ValueBegins { depth: 0, first }, _) if first != b'{' => {
                 return Err("expected an object".into());
@@ -182,7 +182,7 @@
         (!self.too_large).then_some(&self.captured)
     }
 
-    fn end_name(&mut self) -> Result<(), Fault> {
+    fn end_name(&mut self) -> Result<(), ValueError> {
         let name = self.end_capture().and_then(|name| serde_json::from_slice::<Cow<str>>(name).ok());
         let (member, seen_before) = match name.as_deref() {
             Some("generation") => (Member::Generation, self.version.is_some()),
@@ -196,7 +196,7 @@
         if seen_before { Err("expected generation, reset and instances once each".into()) } else { Ok(()) }
     }
 
-    fn end_scalar(&mut self) -> Result<(), Fault> {
+    fn end_scalar(&mut self) -> Result<(), ValueError> {
         let member = self.member;
         let value = self
             .end_capture()
@@ -263,7 +263,7 @@
     }
     // Some escapes and numbers satisfy the grammar of JSON, but serde_json cannot represent them.
     let value = serde_json::from_slice(bytes).unwrap_or(Value::Null);
-    let warn = |error: &Fault| log::warn!("discovery: code=entry {}: {value}", error.0);
+    let warn = |error: &ValueError| log::warn!("discovery: code=entry {}: {value}", error.0);
     discovery::entry(&value)
         .inspect_err(|error| {
             if log_errors {
@@ -284,7 +284,7 @@
     })
 }
 
-impl From<JsonError> for Fault {
+impl From<JsonError> for ValueError {
     fn from(error: JsonError) -> Self {
         format!("expected JSON: {}", error.0).into()
     }
--- a/crates/sailcart-sender/tests/list_reader.rs
+++ b/crates/sailcart-sender/tests/list_reader.rs
@@ -4,7 +4,7 @@
 use proptest::test_runner::RngSeed;
 use sailcart_sender::wire::discovery::{self, Entry};
 use sailcart_sender::wire::list_reader::{ListReader, MOST_ENTRY, Summary};
-use sailcart_terms::{Fault, member};
+use sailcart_terms::{ValueError, member};
 use serde_json::Value;
 
 /// A list with all that is allowed: unknown members of any kind and place, indentation, escapes, entries that cannot be read.
@@ -23,7 +23,7 @@
 "#;
 
 /// What a reader makes of a document that comes in these pieces.
-fn read<'a>(pieces: impl IntoIterator<Item = &'a [u8]>) -> Result<(Summary, Vec<Entry>), Fault> {
+fn read<'a>(pieces: impl IntoIterator<Item = &'a [u8]>) -> Result<(Summary, Vec<Entry>), ValueError> {
     let mut reader = ListReader::default();
     let mut entries = Vec::new();
     for piece in pieces {
@@ -32,7 +32,7 @@
     Ok((reader.finish()?, entries))
 }
 
-fn read_whole(text: &str) -> Result<(Summary, Vec<Entry>), Fault> {
+fn read_whole(text: &str) -> Result<(Summary, Vec<Entry>), ValueError> {
     read([text.as_bytes()])
 }
 
@@ -57,7 +57,7 @@
 }
 
 /// As a list was read before it came as a stream: the whole document at once, as one value.
-fn of_value(value: &Value) -> Result<discovery::List, Fault> {
+fn of_value(value: &Value) -> Result<discovery::List, ValueError> {
     let entries = member(value, "instances")?.as_array().ok_or("expected an array in instances")?;
     let version = member(value, "generation")?.as_u64().ok_or("expected a whole number in generation")?;
     let whole = member(value, "reset")?.as_bool().ok_or("expected true or false in reset")?;
--- a/crates/sailcart-sender/tests/wire.rs
+++ b/crates/sailcart-sender/tests/wire.rs
@@ -6,7 +6,7 @@
 use sailcart_sender::wire::call::{self, Parcel};
 use sailcart_sender::wire::resp::{self, Command};
 use sailcart_sender::wire::{chunked, discovery, http, notice};
-use sailcart_terms::Reports;
+use sailcart_terms::ReportFields;
 
 const PUT: &[u8] = b"*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$2\r\nab\r\n$30\r\nc=n,t=a,d=8000,k=5c,dest=7,r=1\r\n\
     $6\r\nb\r\n*1\r\r\n";
@@ -92,11 +92,11 @@
 /// What an answer tells of the limit, late and by other people's programs: one that cannot be meant so is none.
 #[test]
 fn a_report_that_is_cut_negative_or_absurd_is_none() {
-    let reports = Reports { left: (0, "x0".to_owned()), limit: (1, "x1".to_owned()) };
+    let report_fields = ReportFields { unused_share: (0, "x0".to_owned()), limit: (1, "x1".to_owned()) };
     let told = |value: &str| {
         let answer = format!("HTTP/1.1 200 OK\r\nx-load-report: {value}\r\n\r\n");
         let (head, _) = http::head(answer.as_bytes()).expect("a good head").expect("a whole head");
-        call::report(&head, &reports).map(|report| (report.unused_share, report.limit))
+        call::report(&head, &report_fields).map(|report| (report.unused_share, report.limit))
     };
     assert_eq!(told("x0=0.4,x1=25"), Some((0.4, 25.0)));
     assert_eq!(told("other=3, x1 = 25.5 , x0=0"), Some((0.0, 25.5)));
--- a/crates/sailcart-terms/src/lib.rs
+++ b/crates/sailcart-terms/src/lib.rs
@@ -11,7 +11,7 @@
 use sailcart::{Category, CreditDecay, Customer, Kind, LimitReport, RecoveryProfile, Repeat, Settings};
 use serde_json::Value;
 
-pub use value::{Fault, member, read_milliseconds, read_number, read_text};
+pub use value::{ValueError, member, read_milliseconds, read_number, read_text};
 
 /// Maps the names used on the wire to positions in [`Settings`].
 pub struct Names {
@@ -19,22 +19,22 @@
     pub customers: HashMap<String, usize>,
     pub kinds: HashMap<String, usize>,
     /// The fields of load reports that contain an upstream's limit; `None` if answers report no limits.
-    pub reports: Option<Reports>,
+    pub report_fields: Option<ReportFields>,
 }
 
 /// The position and name of the fields of a load report that contain an upstream's limit.
-pub struct Reports {
-    /// The share of the limit that is left.
-    pub left: (usize, String),
+pub struct ReportFields {
+    /// The share of the limit that is unused.
+    pub unused_share: (usize, String),
     /// The limit in calls per second.
     pub limit: (usize, String),
 }
 
-impl Reports {
+impl ReportFields {
     /// Builds a report from its fields, which `value` looks up by position and name. Returns `None` if a
     /// field is missing, the share is outside of 0 to 1, or the limit is not a positive finite number.
     pub fn read(&self, value: impl Fn(&(usize, String)) -> Option<f64>) -> Option<LimitReport> {
-        let report = LimitReport { unused_share: value(&self.left)?, limit: value(&self.limit)? };
+        let report = LimitReport { unused_share: value(&self.unused_share)?, limit: value(&self.limit)? };
         let valid =
             (0.0..=1.0).contains(&report.unused_share) && report.limit.is_finite() && report.limit > 0.0;
         valid.then_some(report)
@@ -50,7 +50,7 @@
 }
 
 /// Reads the settings of the host. A simulator is its own host and doesn't need them.
-pub fn read_host_settings(value: &Value) -> Result<HostSettings, Fault> {
+pub fn read_host_settings(value: &Value) -> Result<HostSettings, ValueError> {
     Ok(HostSettings {
         round: milliseconds_in(value, "period_ms")?,
         idle_close: milliseconds_in(member(value, "bounds")?, "idle_close_ms")?,
@@ -59,7 +59,7 @@
 
 /// Reads the settings that decisions depend on. Unknown keys are ignored. The error names the key that is
 /// missing or malformed.
-pub fn read(value: &Value) -> Result<(Settings, Names), Fault> {
+pub fn read(value: &Value) -> Result<(Settings, Names), ValueError> {
     let bounds = member(value, "bounds")?;
     let domain = member(value, "domain")?;
     let rules = member(value, "rules")?;
@@ -73,7 +73,7 @@
         categories: index_by_name(entry_names(categories)?),
         customers: index_by_name(entry_names(customers)?),
         kinds: index_by_name(kinds.clone()),
-        reports: report_fields(value)?,
+        report_fields: report_fields(value)?,
     };
     let max_retry_after = match bool_in(bounds, "retry_after")? {
         true => Some(milliseconds_in(bounds, "max_retry_after_ms")?),
@@ -95,13 +95,13 @@
         customers: customers
             .iter()
             .map(|customer| Ok(Customer { packets_per_second: number_in(customer, "quota_per_s")? }))
-            .collect::<Result<_, Fault>>()?,
+            .collect::<Result<_, ValueError>>()?,
         over_quota_credit_share: match value.get("over_share_worth") {
             None | Some(Value::Null) => 1.0,
             Some(_) => number_in(value, "over_share_worth")?,
         },
         kinds: (0..kinds.len()).map(|index| read_kind(domain, index)).collect::<Result<_, _>>()?,
-        limits_reported: names.reports.is_some(),
+        limits_reported: names.report_fields.is_some(),
         max_list_staleness: match value.get("registry_mode").and_then(Value::as_str) {
             Some("subscribe") => Some(milliseconds_in(rules, "ask_within_ms")?),
             _ => None,
@@ -122,17 +122,17 @@
 }
 
 /// Of the columns of the answers' load reports, those that contain an upstream's limit.
-fn report_fields(value: &Value) -> Result<Option<Reports>, Fault> {
+fn report_fields(value: &Value) -> Result<Option<ReportFields>, ValueError> {
     let Some(report) = value.get("report").filter(|report| !report.is_null()) else { return Ok(None) };
     if text_in(report, "how")? != "answers" {
         return Ok(None);
     }
     let columns = read_texts(list_in(report, "columns")?, "columns")?;
     let column = |name: &str| columns.iter().position(|c| *c == name).map(|index| (index, name.to_owned()));
-    Ok(column("x0").zip(column("x1")).map(|(left, limit)| Reports { left, limit }))
+    Ok(column("x0").zip(column("x1")).map(|(unused_share, limit)| ReportFields { unused_share, limit }))
 }
 
-fn read_category(category: &Value) -> Result<Category, Fault> {
+fn read_category(category: &Value) -> Result<Category, ValueError> {
     let repeat = match text_in(category, "repeat")? {
         "retryable" => Repeat::Idempotent,
         "dedup" if text_in(category, "group")? == "all" => {
@@ -155,7 +155,7 @@
 }
 
 /// Reads the kind at this position. The last element of each array applies to all later positions too.
-fn read_kind(domain: &Value, index: usize) -> Result<Kind, Fault> {
+fn read_kind(domain: &Value, index: usize) -> Result<Kind, ValueError> {
     let own_limits = list_in(domain, "own_limits")?;
     let batches = list_in(domain, "kind_batch")?;
     let has_own_limits = own_limits
@@ -172,41 +172,41 @@
     names.into_iter().enumerate().map(|(index, name)| (name.to_owned(), index)).collect()
 }
 
-fn entry_names(list: &[Value]) -> Result<Vec<&str>, Fault> {
+fn entry_names(list: &[Value]) -> Result<Vec<&str>, ValueError> {
     list.iter().map(|entry| text_in(entry, "name")).collect()
 }
 
-fn read_texts<'a>(list: &'a [Value], what: &str) -> Result<Vec<&'a str>, Fault> {
+fn read_texts<'a>(list: &'a [Value], what: &str) -> Result<Vec<&'a str>, ValueError> {
     list.iter().map(|entry| read_text(entry, what)).collect()
 }
 
-fn list_in<'a>(value: &'a Value, key: &str) -> Result<&'a [Value], Fault> {
+fn list_in<'a>(value: &'a Value, key: &str) -> Result<&'a [Value], ValueError> {
     let list = member(value, key)?.as_array();
     list.map(Vec::as_slice).ok_or_else(|| format!("expected an array in {key}").into())
 }
 
-fn text_in<'a>(value: &'a Value, key: &str) -> Result<&'a str, Fault> {
+fn text_in<'a>(value: &'a Value, key: &str) -> Result<&'a str, ValueError> {
     read_text(member(value, key)?, key)
 }
 
-fn number_in(value: &Value, key: &str) -> Result<f64, Fault> {
+fn number_in(value: &Value, key: &str) -> Result<f64, ValueError> {
     read_number(member(value, key)?, key)
 }
 
-fn milliseconds_in(value: &Value, key: &str) -> Result<Duration, Fault> {
+fn milliseconds_in(value: &Value, key: &str) -> Result<Duration, ValueError> {
     read_milliseconds(member(value, key)?, key)
 }
 
-fn count_in(value: &Value, key: &str) -> Result<usize, Fault> {
+fn count_in(value: &Value, key: &str) -> Result<usize, ValueError> {
     let count = member(value, key)?.as_u64().and_then(|n| usize::try_from(n).ok());
     count.ok_or_else(|| format!("expected a whole number in {key}").into())
 }
 
 /// Fails if the amount is zero.
-fn positive<T: Default + PartialOrd>(amount: T, key: &str) -> Result<T, Fault> {
+fn positive<T: Default + PartialOrd>(amount: T, key: &str) -> Result<T, ValueError> {
     if amount > T::default() { Ok(amount) } else { Err(format!("expected more than 0 in {key}").into()) }
 }
 
-fn bool_in(value: &Value, key: &str) -> Result<bool, Fault> {
+fn bool_in(value: &Value, key: &str) -> Result<bool, ValueError> {
     member(value, key)?.as_bool().ok_or_else(|| format!("expected true or false in {key}").into())
 }
