--- a/crates/sailcart-sender/examples/ledger.rs
+++ b/crates/sailcart-sender/examples/ledger.rs
@@ -29,7 +29,7 @@
 
 fn main() {
     let folder = tempfile::tempdir().expect("a temporary folder");
-    let mut ledger = Ledger::open(folder.path(), CAPACITY_BYTES, 1000, sailcart_store::Sync::None)
+    let mut ledger = Ledger::open(folder.path(), CAPACITY_BYTES, 1000, sailcart_store::SyncPolicy::None)
         .expect("the ledger opens");
     for _ in 0..HELD_PACKETS {
         let packet = packet(&ledger);
--- a/crates/sailcart-sender/src/config/mod.rs
+++ b/crates/sailcart-sender/src/config/mod.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use sailcart::Settings;
-use sailcart_store::Sync;
+use sailcart_store::SyncPolicy;
 use sailcart_terms::{HostSettings, Names, ValueError, member, read_number, read_text};
 use serde_json::Value;
 
@@ -62,7 +62,7 @@
     /// Maximum number of endpoints in a list from discovery. A list with more is rejected.
     pub listed: usize,
     /// When the journal is synced to disk, so that it survives a power loss.
-    pub sync: Sync,
+    pub sync: SyncPolicy,
 }
 
 /// File descriptors for everything except clients and endpoints: the standard streams, the poll, signals, the
@@ -225,11 +225,11 @@
 
 /// Reads when to sync: after `each` record, or once per `round`. The default is `none`, as the platform's
 /// folder needs no sync.
-fn read_sync(value: Option<&Value>) -> Result<Sync, ValueError> {
+fn read_sync(value: Option<&Value>) -> Result<SyncPolicy, ValueError> {
     match value.map(|value| read_text(value, "sync")).transpose()? {
-        None | Some("none") => Ok(Sync::None),
-        Some("each") => Ok(Sync::Each),
-        Some("round") => Ok(Sync::Every(Duration::ZERO)),
+        None | Some("none") => Ok(SyncPolicy::None),
+        Some("each") => Ok(SyncPolicy::EachWrite),
+        Some("round") => Ok(SyncPolicy::Interval(Duration::ZERO)),
         Some(other) => Err(format!("expected none, each or round in sync, not {other}").into()),
     }
 }
--- a/crates/sailcart-sender/src/inspect.rs
+++ b/crates/sailcart-sender/src/inspect.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use sailcart_store::{Change, Disk, Fault, Room, Standing, Store, Sync};
+use sailcart_store::{Change, Disk, RecoverySummary, Store, StoreError, StoreOptions, SyncPolicy};
 
 use crate::memory::moment::{Distance, Moment, Span, boot_id};
 use crate::memory::records::{Record, RecordKind, decode, encode_dispatch_state, key};
@@ -16,7 +16,7 @@
 const MAX_READ_ATTEMPTS: usize = 5;
 
 /// Reads all records. Returns the store's summary, the decoded records, and the number of unknown ones.
-fn read_records(folder: &Path) -> Result<(Standing, Vec<Record>, usize), String> {
+fn read_records(folder: &Path) -> Result<(RecoverySummary, Vec<Record>, usize), String> {
     let mut attempts = 0;
     loop {
         let (mut records, mut unknown) = (Vec::new(), 0);
@@ -27,7 +27,7 @@
         });
         match checked {
             Ok(summary) => return Ok((summary, records, unknown)),
-            Err(Fault::Missing { .. } | Fault::Io { .. } | Fault::Damaged { .. })
+            Err(StoreError::MissingFile { .. } | StoreError::Io { .. } | StoreError::Damaged { .. })
                 if attempts < MAX_READ_ATTEMPTS => {}
             Err(error) => return Err(format!("{}: code={} {error}", folder.display(), error.code())),
         }
@@ -137,8 +137,11 @@
         entries.flatten().filter_map(|entry| entry.metadata().ok()).map(|data| data.len()).sum()
     };
     // Enough for all records, however many of them are still valid.
-    let room = Room { bytes: bytes.saturating_mul(4).max(1 << 20), sync: Sync::Every(Duration::ZERO) };
-    let with_code = |error: Fault| format!("code={} {error}", error.code());
+    let room = StoreOptions {
+        bytes: bytes.saturating_mul(4).max(1 << 20),
+        sync: SyncPolicy::Interval(Duration::ZERO),
+    };
+    let with_code = |error: StoreError| format!("code={} {error}", error.code());
     let (mut store, _) = Store::open(Disk::new(new), room).map_err(with_code)?;
     let salvaged = sailcart_store::salvage(Disk::new(folder), &mut store).map_err(with_code)?;
     if !salvaged.given_up.is_empty() {
@@ -167,7 +170,7 @@
 
 /// Marks each packet as possibly executed. Prevents a second execution where the record of the first
 /// dispatch is among what was given up.
-fn mark_all_possibly_executed(store: &mut Store<Disk>) -> Result<(), Fault> {
+fn mark_all_possibly_executed(store: &mut Store<Disk>) -> Result<(), StoreError> {
     let keys: Vec<Vec<u8>> = store.keys(&[], None).map(<[u8]>::to_vec).collect();
     for packet_key in keys {
         let Some(value) = store.get(&packet_key)? else { continue };
--- a/crates/sailcart-sender/src/memory/backlog.rs
+++ b/crates/sailcart-sender/src/memory/backlog.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum OwnedChange {
     Put(Key, Vec<u8>),
-    End(Key),
+    Delete(Key),
 }
 
 impl OwnedChange {
@@ -23,7 +23,7 @@
     pub fn as_change(&self) -> Change<'_> {
         match self {
             OwnedChange::Put(key, value) => Change::Put(key, value),
-            OwnedChange::End(key) => Change::End(key),
+            OwnedChange::Delete(key) => Change::Delete(key),
         }
     }
 }
--- a/crates/sailcart-sender/src/memory/ledger.rs
+++ b/crates/sailcart-sender/src/memory/ledger.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 
 use sailcart::PacketId;
-use sailcart_store::{Change, Disk, Fault, Room, Store, Sync};
+use sailcart_store::{Change, Disk, Store, StoreError, StoreOptions, SyncPolicy};
 
 use super::backlog::{Backlog, ChangeGroup, OwnedChange};
 use super::format1;
@@ -87,10 +87,15 @@
     /// # Errors
     /// The errors of [`Store::open`]; a record of an unknown kind; a journal file in the folder that is not
     /// of format 1.
-    pub fn open(folder: &Path, capacity_bytes: u64, max_completed: usize, sync: Sync) -> io::Result<Self> {
-        let opened = Store::open(Disk::new(folder), Room { bytes: capacity_bytes, sync });
+    pub fn open(
+        folder: &Path,
+        capacity_bytes: u64,
+        max_completed: usize,
+        sync: SyncPolicy,
+    ) -> io::Result<Self> {
+        let opened = Store::open(Disk::new(folder), StoreOptions { bytes: capacity_bytes, sync });
         let (store, recovered) = opened.map_err(|error| match error {
-            Fault::InUse => {
+            StoreError::InUse => {
                 let message = format!("{} is in use by another sender", folder.display());
                 io::Error::new(io::ErrorKind::WouldBlock, message)
             }
@@ -251,7 +256,7 @@
         match self.write_after_backlog(&[Change::Put(&key, &value)]) {
             // After a failed sync the record may be on disk, so the packet is accepted. Its client is
             // informed with the commit that makes the record durable.
-            Ok(()) | Err(Fault::Unsure { .. }) => {}
+            Ok(()) | Err(StoreError::SyncFailed { .. }) => {}
             Err(error) => return Err(error.into()),
         }
         if std::mem::take(&mut self.no_space_logged) {
@@ -282,7 +287,7 @@
         let records: Vec<_> = records.collect();
         let changes: Vec<_> = records.iter().map(|(key, value)| Change::Put(key, value)).collect();
         let written = self.write_after_backlog(&changes);
-        let may_be_stored = matches!(written, Ok(()) | Err(Fault::Unsure { .. }));
+        let may_be_stored = matches!(written, Ok(()) | Err(StoreError::SyncFailed { .. }));
         let synced = written.and_then(|()| self.sync());
         if synced.is_ok() {
             new_states.into_iter().for_each(|(number, state)| self.set_dispatch_state(number, state));
@@ -345,7 +350,7 @@
         let written =
             self.write_after_backlog(&changes.iter().map(OwnedChange::as_change).collect::<Vec<_>>());
         // After a failed sync the record may be on disk; the client is informed once it is known to be.
-        let may_be_stored = matches!(written, Ok(()) | Err(Fault::Unsure { .. }));
+        let may_be_stored = matches!(written, Ok(()) | Err(StoreError::SyncFailed { .. }));
         if may_be_stored {
             self.remove(number, Some(rejection));
             self.push_stored_completed(number);
@@ -362,13 +367,13 @@
         rejection: Option<Notice>,
     ) -> Vec<OwnedChange> {
         let removals = [RecordKind::Packet, RecordKind::DispatchState, RecordKind::PendingNotice]
-            .map(|kind| OwnedChange::End(key(kind, number)));
+            .map(|kind| OwnedChange::Delete(key(kind, number)));
         let mut changes = Vec::from(removals);
         if self.stored_completed.len() >= self.max_stored_completed {
             changes.extend(
                 self.stored_completed
                     .front()
-                    .map(|first| OwnedChange::End(key(RecordKind::Completed, *first))),
+                    .map(|first| OwnedChange::Delete(key(RecordKind::Completed, *first))),
             );
         }
         if self.max_stored_completed > 0 {
@@ -394,8 +399,8 @@
     pub fn owe(&mut self, number: PacketId, notice: Notice) {
         let Some(removed) = self.remove(number, None) else { return };
         let client_id = removed.packet.id.clone();
-        let removals =
-            [RecordKind::Packet, RecordKind::DispatchState].map(|kind| OwnedChange::End(key(kind, number)));
+        let removals = [RecordKind::Packet, RecordKind::DispatchState]
+            .map(|kind| OwnedChange::Delete(key(kind, number)));
         let mut changes = Vec::from(removals);
         changes.push(OwnedChange::Put(
             key(RecordKind::PendingNotice, number),
@@ -463,7 +468,7 @@
         Ok(self.sync()?)
     }
 
-    fn sync(&mut self) -> Result<(), Fault> {
+    fn sync(&mut self) -> Result<(), StoreError> {
         let synced = if self.store.wants_sync() { self.store.sync() } else { return Ok(()) };
         self.log_write_health(&synced);
         synced
@@ -471,7 +476,7 @@
 
     /// Writes changes that must be on disk before the action they describe. The backlog goes first, to keep
     /// the order.
-    fn write_after_backlog(&mut self, changes: &[Change]) -> Result<(), Fault> {
+    fn write_after_backlog(&mut self, changes: &[Change]) -> Result<(), StoreError> {
         self.write_backlog()?;
         self.write(changes)
     }
@@ -485,7 +490,7 @@
         }
     }
 
-    fn write_backlog(&mut self) -> Result<(), Fault> {
+    fn write_backlog(&mut self) -> Result<(), StoreError> {
         while let Some(group) = self.backlog.first() {
             let written = self.store.write(&group.as_changes());
             self.log_write_health(&written);
@@ -495,14 +500,14 @@
         Ok(())
     }
 
-    fn write(&mut self, changes: &[Change]) -> Result<(), Fault> {
+    fn write(&mut self, changes: &[Change]) -> Result<(), StoreError> {
         let written = self.store.write(changes);
         self.log_write_health(&written);
         written
     }
 
     /// Logs one line when writes begin to fail, and one when they succeed again.
-    fn log_write_health(&mut self, written: &Result<(), Fault>) {
+    fn log_write_health(&mut self, written: &Result<(), StoreError>) {
         match written {
             Err(error) if !std::mem::replace(&mut self.write_failure_logged, true) => {
                 log::error!(
--- a/crates/sailcart-sender/tests/directory.rs
+++ b/crates/sailcart-sender/tests/directory.rs
@@ -538,7 +538,7 @@
     let state = folder.to_str().expect("a plain path");
     let environment = |name: &str| (name == "ROUTER_STATE").then(|| state.to_owned());
     let mandate = config::read(Some(file.into()), &environment).unwrap_or_else(|fault| panic!("{}", fault.0));
-    let ledger = Ledger::open(folder, 1_000_000, 100, sailcart_store::Sync::None).expect("a ledger");
+    let ledger = Ledger::open(folder, 1_000_000, 100, sailcart_store::SyncPolicy::None).expect("a ledger");
     Exchange::new(mandate.settings, 1, mandate.names, ledger)
 }
 
--- a/crates/sailcart-sender/tests/formats.rs
+++ b/crates/sailcart-sender/tests/formats.rs
@@ -8,7 +8,7 @@
 use sailcart_sender::memory::ledger::Ledger;
 use sailcart_sender::memory::moment::{BootId, Distance, Moment, Span, Uptime};
 use sailcart_sender::memory::{Notice, Stand};
-use sailcart_store::Sync;
+use sailcart_store::SyncPolicy;
 
 /// A folder that the release before this format wrote: six packets, of which one is untried, one out, one in doubt, one ended with a
 /// notice owed, one delivered and one refused at once.
@@ -28,7 +28,7 @@
 }
 
 fn open(folder: &Path) -> Ledger {
-    Ledger::open(folder, 64 * 1024, 16, Sync::None).expect("a journal")
+    Ledger::open(folder, 64 * 1024, 16, SyncPolicy::None).expect("a journal")
 }
 
 #[test]
--- a/crates/sailcart-sender/tests/journal.rs
+++ b/crates/sailcart-sender/tests/journal.rs
@@ -8,7 +8,7 @@
 use sailcart_sender::memory::ledger::Ledger;
 use sailcart_sender::memory::moment::Moment;
 use sailcart_sender::memory::{Notice, Packet, Stand};
-use sailcart_store::Sync;
+use sailcart_store::SyncPolicy;
 
 const ROOM: u64 = 64 * 1024;
 
@@ -21,7 +21,7 @@
 }
 
 fn open(folder: &Path) -> Ledger {
-    Ledger::open(folder, ROOM, 4, Sync::None).expect("a journal")
+    Ledger::open(folder, ROOM, 4, SyncPolicy::None).expect("a journal")
 }
 
 fn packet(ledger: &Ledger, id: &str, bytes: usize) -> Packet {
@@ -121,7 +121,7 @@
     let mut bad = fs::read(&segment).expect("a segment");
     bad[60] ^= 1;
     fs::write(&segment, &bad).expect("a bad segment");
-    let fault = Ledger::open(&folder, ROOM, 4, Sync::None).map(|_| ()).expect_err("damage");
+    let fault = Ledger::open(&folder, ROOM, 4, SyncPolicy::None).map(|_| ()).expect_err("damage");
     assert!(fault.to_string().contains("segment-0000000000000001 at byte"), "{fault}");
 }
 
@@ -184,7 +184,7 @@
         assert!(!folder.join("journal").exists());
     }
     fs::write(folder.join("journal"), b"sailcart journal 9\n").expect("a journal");
-    assert!(Ledger::open(&folder, ROOM, 4, Sync::None).is_err(), "a newer one is refused");
+    assert!(Ledger::open(&folder, ROOM, 4, SyncPolicy::None).is_err(), "a newer one is refused");
 }
 
 #[test]
--- a/crates/sailcart-sender/tests/other_boot.rs
+++ b/crates/sailcart-sender/tests/other_boot.rs
@@ -6,7 +6,7 @@
 use sailcart_sender::memory::Packet;
 use sailcart_sender::memory::ledger::Ledger;
 use sailcart_sender::memory::moment::{BootId, Moment, Uptime, boot_id};
-use sailcart_store::Sync;
+use sailcart_store::SyncPolicy;
 
 #[allow(dead_code)] // other tests use the rest of it
 mod peer;
@@ -20,7 +20,7 @@
 fn a_machine_that_was_started_anew_repeats_nothing_and_tries_what_is_untried() {
     let mut world = World::new("other-boot", |_, _| answer("200 OK", "", ""));
     world.kill();
-    let mut ledger = Ledger::open(&world.folder, 1_000_000, 16, Sync::None).expect("a journal");
+    let mut ledger = Ledger::open(&world.folder, 1_000_000, 16, SyncPolicy::None).expect("a journal");
     let other = |moment: Moment| Moment {
         uptime: Some(Uptime {
             boot: BootId(!boot_id().map_or(0, |boot| boot.0)),
--- a/crates/sailcart-sender/tests/store.rs
+++ b/crates/sailcart-sender/tests/store.rs
@@ -9,12 +9,12 @@
 use sailcart_sender::memory::ledger::Ledger;
 use sailcart_sender::memory::moment::Moment;
 use sailcart_sender::memory::{Notice, Packet};
-use sailcart_store::Sync;
+use sailcart_store::SyncPolicy;
 
 const ROOM: u64 = 256 * 1024;
 
 fn open(folder: &Path) -> Ledger {
-    Ledger::open(folder, ROOM, 100, Sync::None).expect("a journal")
+    Ledger::open(folder, ROOM, 100, SyncPolicy::None).expect("a journal")
 }
 
 fn take(ledger: &mut Ledger, id: &str) -> PacketId {
--- a/crates/sailcart-sender/tests/stories.rs
+++ b/crates/sailcart-sender/tests/stories.rs
@@ -185,7 +185,7 @@
     world.kill();
     let ahead = SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock") + Duration::from_secs(3600);
     let mut ledger =
-        Ledger::open(&world.folder, 3_000_000, 100, sailcart_store::Sync::None).expect("a journal");
+        Ledger::open(&world.folder, 3_000_000, 100, sailcart_store::SyncPolicy::None).expect("a journal");
     let number = ledger.next();
     let packet = Packet {
         number,
--- a/crates/sailcart-store/benches/append.rs
+++ b/crates/sailcart-store/benches/append.rs
@@ -2,7 +2,7 @@
 //! `cargo bench -p sailcart-store`.
 
 use divan::{Bencher, black_box};
-use sailcart_store::{Change, Disk, Room, Store, Sync};
+use sailcart_store::{Change, Disk, Store, StoreOptions, SyncPolicy};
 
 fn main() {
     divan::main();
@@ -13,7 +13,7 @@
 #[divan::bench(args = [0, 1_000, 5_000])]
 fn packet(bencher: Bencher, held: u64) {
     let folder = tempfile::tempdir().expect("a temporary folder");
-    let options = Room { bytes: 3_000_000, sync: Sync::None };
+    let options = StoreOptions { bytes: 3_000_000, sync: SyncPolicy::None };
     let (mut store, _) = Store::open(Disk::new(folder.path()), options).expect("the store opens");
     for key in 0..held {
         store.write(&[Change::Put(&key.to_be_bytes(), &[7; 250])]).expect("the write succeeds");
@@ -23,7 +23,7 @@
         let key = next_key.to_be_bytes();
         store.write(&[Change::Put(&key, &[7; 250])]).expect("the write succeeds");
         store.write(&[Change::Put(black_box(&key), &[8; 30])]).expect("the write succeeds");
-        store.write(&[Change::End(&key)]).expect("the write succeeds");
+        store.write(&[Change::Delete(&key)]).expect("the write succeeds");
         next_key += 1;
     });
 }
--- a/crates/sailcart-store/examples/measure.rs
+++ b/crates/sailcart-store/examples/measure.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
-use sailcart_store::{Change, Disk, Room, Store, Sync};
+use sailcart_store::{Change, Disk, Store, StoreOptions, SyncPolicy};
 
 /// Stored size of a packet.
 const PACKET_VALUE: [u8; 250] = [7; 250];
@@ -58,7 +58,7 @@
         self.0.write(&[Change::Put(key, value)]).expect("room");
     }
     fn delete(&mut self, key: &[u8]) {
-        self.0.write(&[Change::End(key)]).expect("room");
+        self.0.write(&[Change::Delete(key)]).expect("room");
     }
     fn written_bytes(&self) -> Option<(u64, u64)> {
         let stats = self.0.stats();
@@ -103,8 +103,8 @@
     }
 }
 
-fn open_own(folder: &Path, bytes: u64, sync: Sync) -> OwnStore {
-    OwnStore(Store::open(Disk::new(folder), Room { bytes, sync }).expect("a store").0)
+fn open_own(folder: &Path, bytes: u64, sync: SyncPolicy) -> OwnStore {
+    OwnStore(Store::open(Disk::new(folder), StoreOptions { bytes, sync }).expect("a store").0)
 }
 
 /// Total size in bytes of the files in a folder and its subfolders.
@@ -185,26 +185,27 @@
     match arguments.get(1).map(String::as_str) {
         Some("own") => append(
             "own, none",
-            &mut open_own(measured_folder, 3_000_000, Sync::None),
+            &mut open_own(measured_folder, 3_000_000, SyncPolicy::None),
             measured_folder,
             held,
             duration,
         ),
         Some("own-each") => append(
             "own, each",
-            &mut open_own(measured_folder, 3_000_000, Sync::Each),
+            &mut open_own(measured_folder, 3_000_000, SyncPolicy::EachWrite),
             measured_folder,
             held,
             duration,
         ),
         Some("own-every") => {
-            let mut own = open_own(measured_folder, 3_000_000, Sync::Every(Duration::from_millis(5)));
+            let mut own =
+                open_own(measured_folder, 3_000_000, SyncPolicy::Interval(Duration::from_millis(5)));
             // Group commit: one sync for each hundred changes.
             append("own, every 100 changes", &mut GroupCommit(&mut own, 0), measured_folder, held, duration);
         }
         Some("own-large") => append(
             "own, none, 1 GB",
-            &mut open_own(measured_folder, 1_000_000_000, Sync::None),
+            &mut open_own(measured_folder, 1_000_000_000, SyncPolicy::None),
             measured_folder,
             300_000,
             duration * 3,
@@ -224,7 +225,7 @@
         Some("fill") => {
             let bytes = arguments[2].parse::<u64>().expect("bytes");
             let folder = Path::new(&arguments[3]);
-            let mut store = open_own(folder, bytes * 2, Sync::None);
+            let mut store = open_own(folder, bytes * 2, SyncPolicy::None);
             let mut key = 0u64;
             while store.0.used_bytes() < bytes {
                 store.put(&key.to_be_bytes(), &[9; 1000]);
@@ -235,7 +236,8 @@
             let (bytes, folder) = (arguments[2].parse::<u64>().expect("bytes"), Path::new(&arguments[3]));
             let start = Instant::now();
             let (store, summary) =
-                Store::open(Disk::new(folder), Room { bytes: bytes * 2, sync: Sync::None }).expect("a store");
+                Store::open(Disk::new(folder), StoreOptions { bytes: bytes * 2, sync: SyncPolicy::None })
+                    .expect("a store");
             let seconds = start.elapsed().as_secs_f64();
             let mb = summary.bytes as f64 / 1e6;
             println!(
--- a/crates/sailcart-store/src/compaction.rs
+++ b/crates/sailcart-store/src/compaction.rs
@@ -3,7 +3,7 @@
 //! old file is removed. As no older segment exists, a tombstone in the oldest one hides nothing and is
 //! dropped with it.
 
-use crate::error::Fault;
+use crate::error::StoreError;
 use crate::files::Files;
 use crate::frame::{self, Change};
 use crate::index::Location;
@@ -38,7 +38,7 @@
         &mut self,
         log: &mut SegmentedLog<F>,
         write_size: u64,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), StoreError> {
         let used_bytes = log.used_bytes();
         if !is_worthwhile(log, used_bytes) {
             return Ok(());
@@ -56,7 +56,7 @@
         &mut self,
         log: &mut SegmentedLog<F>,
         write_size: u64,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), StoreError> {
         // Compaction itself may need a new segment for the live data of the oldest one, and a manifest.
         let overhead = log.options.segment_bytes() + BLOCK_BYTES * 4;
         if log.used_bytes() + write_size + overhead > log.options.bytes {
@@ -69,7 +69,7 @@
             lowest_used_bytes = lowest_used_bytes.min(log.used_bytes());
             if idle_steps > MAX_IDLE_PASSES * SEGMENTS_PER_STORE {
                 let available = log.options.bytes.saturating_sub(log.used_bytes() + overhead);
-                return Err(Fault::Full { needed: write_size, available });
+                return Err(StoreError::Full { needed: write_size, available });
             }
         }
         Ok(())
@@ -77,7 +77,7 @@
 
     /// After a failed sync, writes the live data of the unsynced segments again, from the oldest segment on,
     /// and retires those segments. Nothing is confirmed as durable before this has succeeded.
-    pub fn rewrite_unsynced<F: Files>(&mut self, log: &mut SegmentedLog<F>) -> Result<(), Fault> {
+    pub fn rewrite_unsynced<F: Files>(&mut self, log: &mut SegmentedLog<F>) -> Result<(), StoreError> {
         let Some(last_unsynced) = log.last_unsynced_segment() else { return Ok(()) };
         log.leave_unsynced_segment()?;
         while log.oldest_segment().is_some_and(|oldest| oldest.number <= last_unsynced) {
@@ -89,7 +89,11 @@
     }
 
     /// Runs one step, which reads about `max_read_bytes`. Returns whether a segment was retired.
-    pub fn step<F: Files>(&mut self, log: &mut SegmentedLog<F>, max_read_bytes: u64) -> Result<bool, Fault> {
+    pub fn step<F: Files>(
+        &mut self,
+        log: &mut SegmentedLog<F>,
+        max_read_bytes: u64,
+    ) -> Result<bool, StoreError> {
         let Some(oldest) = log.oldest_segment() else { return Ok(false) };
         if log.segments.len() == 1 {
             if oldest.length == SEGMENT_HEADER_BYTES as u64 {
@@ -105,7 +109,8 @@
         while reader.offset < step_end {
             let Some(segment) = log.segments.get(&oldest.number) else { break };
             let name = segment::file_name(oldest.number);
-            let next = reader.next(&mut log.files, &segment.file).map_err(Fault::io("reading", &name))?;
+            let next =
+                reader.next(&mut log.files, &segment.file).map_err(StoreError::io("reading", &name))?;
             match next {
                 NextFrame::Frame(frame_offset) => {
                     if let Err(error) = self.copy_live_values(log, oldest.number, frame_offset, &reader) {
@@ -117,7 +122,7 @@
                 NextFrame::End => return self.retire(log, oldest.number).map(|()| true),
                 NextFrame::Unreadable(_) => {
                     let expected = "the frame that was read at the start";
-                    return Err(Fault::Damaged { file: name, offset: reader.offset, expected });
+                    return Err(StoreError::Damaged { file: name, offset: reader.offset, expected });
                 }
             }
         }
@@ -132,7 +137,7 @@
         number: u64,
         frame_offset: u64,
         reader: &FrameReader,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), StoreError> {
         for (change_index, change) in frame::decode_changes(reader.body(frame_offset)).flatten().enumerate() {
             let Change::Put(key, _) = change else { continue };
             let is_here = |location: &Location| {
@@ -151,7 +156,7 @@
     }
 
     /// Takes the oldest segment, which holds no live data any more, out of the manifest and removes its file.
-    fn retire<F: Files>(&mut self, log: &mut SegmentedLog<F>, oldest: u64) -> Result<(), Fault> {
+    fn retire<F: Files>(&mut self, log: &mut SegmentedLog<F>, oldest: u64) -> Result<(), StoreError> {
         let durable = log.options.is_durable();
         if durable {
             log.sync()?;
--- a/crates/sailcart-store/src/error.rs
+++ b/crates/sailcart-store/src/error.rs
@@ -4,7 +4,7 @@
 
 /// Why an operation of the store failed. Names the file concerned, if there is one.
 #[derive(Debug, thiserror::Error)]
-pub enum Fault {
+pub enum StoreError {
     /// File contents that no crash can explain. Nothing was changed.
     #[error(
         "{file} at byte {offset}: expected {expected}; the file is damaged, see `sailcart store salvage`"
@@ -12,7 +12,7 @@
     Damaged { file: String, offset: u64, expected: &'static str },
     /// A file of the folder is missing.
     #[error("{file}: missing from the store folder; see `sailcart store salvage`")]
-    Missing { file: String },
+    MissingFile { file: String },
     /// The file has a later format version than this code supports.
     #[error("{file}: written by a newer version (format {found}); this one reads formats up to {supported}")]
     NewerVersion { file: String, found: u32, supported: u32 },
@@ -30,32 +30,32 @@
     #[error(
         "syncing {file}: {source}; data written since the last successful sync will be rewritten to new files"
     )]
-    Unsure { file: String, source: io::Error },
+    SyncFailed { file: String, source: io::Error },
     /// A file operation failed; `operation` names it.
     #[error("{operation} {file}: {source}")]
     Io { operation: &'static str, file: String, source: io::Error },
 }
 
-impl Fault {
-    pub(crate) fn io(operation: &'static str, file: &str) -> impl FnOnce(io::Error) -> Fault {
+impl StoreError {
+    pub(crate) fn io(operation: &'static str, file: &str) -> impl FnOnce(io::Error) -> StoreError {
         let file = file.to_owned();
-        move |source| Fault::Io { operation, file, source }
+        move |source| StoreError::Io { operation, file, source }
     }
 
     /// Whether space ran out, either by the store's own capacity or on the disk.
     pub fn is_full(&self) -> bool {
         match self {
-            Fault::Full { .. } => true,
-            Fault::Io { source, .. } => source.kind() == io::ErrorKind::StorageFull,
+            StoreError::Full { .. } => true,
+            StoreError::Io { source, .. } => source.kind() == io::ErrorKind::StorageFull,
             _ => false,
         }
     }
 
     /// Turns a failed sync of earlier writes into an I/O error, because nothing of the current write was
     /// written.
-    pub(crate) fn into_not_written(self) -> Fault {
+    pub(crate) fn into_not_written(self) -> StoreError {
         match self {
-            Fault::Unsure { file, source } => Fault::Io { operation: "syncing", file, source },
+            StoreError::SyncFailed { file, source } => StoreError::Io { operation: "syncing", file, source },
             other => other,
         }
     }
@@ -63,27 +63,27 @@
     /// A short, stable code for log lines.
     pub fn code(&self) -> &'static str {
         match self {
-            Fault::Damaged { .. } => "damaged",
-            Fault::Missing { .. } => "file_missing",
-            Fault::NewerVersion { .. } => "newer_version",
-            Fault::InUse => "in_use",
-            Fault::TooLarge { .. } => "too_large",
-            Fault::Unsure { .. } => "not_synced",
+            StoreError::Damaged { .. } => "damaged",
+            StoreError::MissingFile { .. } => "file_missing",
+            StoreError::NewerVersion { .. } => "newer_version",
+            StoreError::InUse => "in_use",
+            StoreError::TooLarge { .. } => "too_large",
+            StoreError::SyncFailed { .. } => "not_synced",
             _ if self.is_full() => "disk_full",
             _ => "disk_fault",
         }
     }
 }
 
-impl From<Fault> for io::Error {
-    fn from(error: Fault) -> io::Error {
+impl From<StoreError> for io::Error {
+    fn from(error: StoreError) -> io::Error {
         let kind = match &error {
             _ if error.is_full() => io::ErrorKind::StorageFull,
-            Fault::InUse => io::ErrorKind::WouldBlock,
-            Fault::Damaged { .. } | Fault::Missing { .. } | Fault::NewerVersion { .. } => {
+            StoreError::InUse => io::ErrorKind::WouldBlock,
+            StoreError::Damaged { .. } | StoreError::MissingFile { .. } | StoreError::NewerVersion { .. } => {
                 io::ErrorKind::InvalidData
             }
-            Fault::Io { source, .. } | Fault::Unsure { source, .. } => source.kind(),
+            StoreError::Io { source, .. } | StoreError::SyncFailed { source, .. } => source.kind(),
             _ => io::ErrorKind::Other,
         };
         io::Error::new(kind, error)
--- a/crates/sailcart-store/src/frame.rs
+++ b/crates/sailcart-store/src/frame.rs
@@ -26,14 +26,14 @@
     /// Sets the value of a key: (key, value).
     Put(&'a [u8], &'a [u8]),
     /// Deletes a key; the stored change is its tombstone.
-    End(&'a [u8]),
+    Delete(&'a [u8]),
 }
 
 impl<'a> Change<'a> {
     /// The key that is changed.
     pub fn key(&self) -> &'a [u8] {
         match self {
-            Change::Put(key, _) | Change::End(key) => key,
+            Change::Put(key, _) | Change::Delete(key) => key,
         }
     }
 
@@ -41,7 +41,7 @@
         let prefixed_size = |bytes: &[u8]| bytes.len().required_space() + bytes.len();
         match self {
             Change::Put(key, value) => 1 + prefixed_size(key) + prefixed_size(value),
-            Change::End(key) => 1 + prefixed_size(key),
+            Change::Delete(key) => 1 + prefixed_size(key),
         }
     }
 }
@@ -62,7 +62,7 @@
                 push_prefixed(buffer, key);
                 push_prefixed(buffer, value);
             }
-            Change::End(key) => {
+            Change::Delete(key) => {
                 buffer.push(KIND_DELETE);
                 push_prefixed(buffer, key);
             }
@@ -157,7 +157,7 @@
             let (value, rest) = split_prefixed(rest)?;
             Some((Change::Put(key, value), rest))
         }
-        KIND_DELETE => Some((Change::End(key), rest)),
+        KIND_DELETE => Some((Change::Delete(key), rest)),
         _ => None,
     }
 }
--- a/crates/sailcart-store/src/lib.rs
+++ b/crates/sailcart-store/src/lib.rs
@@ -22,10 +22,10 @@
 mod store;
 
 pub use disk::Disk;
-pub use error::Fault;
+pub use error::StoreError;
 pub use files::Files;
 pub use frame::{Change, MAX_KEY_BYTES};
-pub use options::{Room, Sync};
-pub use recovery::{Standing, check};
-pub use salvage::{Salvaged, salvage};
+pub use options::{StoreOptions, SyncPolicy};
+pub use recovery::{RecoverySummary, check};
+pub use salvage::{SalvageReport, salvage};
 pub use store::{Store, StoreStats};
--- a/crates/sailcart-store/src/options.rs
+++ b/crates/sailcart-store/src/options.rs
@@ -19,28 +19,28 @@
 /// When written data must be durable, that is, survive a power loss. A killed process (SIGKILL) loses nothing
 /// under any policy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Sync {
+pub enum SyncPolicy {
     /// Never synced. For a folder that is lost together with its machine, or a machine that does not lose
     /// power.
     #[default]
     None,
     /// Synced before [`Store::write`](crate::Store::write) returns.
-    Each,
+    EachWrite,
     /// Synced by [`Store::sync`](crate::Store::sync), which the caller commits to calling at this interval.
     /// One sync covers all writes since the previous one (group commit).
-    Every(Duration),
+    Interval(Duration),
 }
 
 /// Capacity and durability of a store.
 #[derive(Clone, Copy, Debug)]
-pub struct Room {
+pub struct StoreOptions {
     /// Maximum total size of all files in bytes, each file rounded up to blocks of 512 bytes.
     pub bytes: u64,
     /// When written data must be durable.
-    pub sync: Sync,
+    pub sync: SyncPolicy,
 }
 
-impl Room {
+impl StoreOptions {
     /// Segment size in bytes: a write that would exceed it starts a new segment.
     pub(crate) fn segment_bytes(&self) -> u64 {
         (self.bytes / SEGMENTS_PER_STORE).clamp(*SEGMENT_BYTES.start(), *SEGMENT_BYTES.end())
@@ -48,7 +48,7 @@
 
     /// Whether files are synced at all, that is, whether the store must survive a power loss.
     pub(crate) fn is_durable(&self) -> bool {
-        self.sync != Sync::None
+        self.sync != SyncPolicy::None
     }
 
     /// Maximum size of the live data in bytes, including the tombstones that will delete it.
--- a/crates/sailcart-store/src/recovery.rs
+++ b/crates/sailcart-store/src/recovery.rs
@@ -2,18 +2,18 @@
 //! a crash can cause is repaired: a torn write at the end of the last segment, a segment or a manifest whose
 //! creation was interrupted, and files that the manifest no longer names.
 
-use crate::error::Fault;
+use crate::error::StoreError;
 use crate::files::{Files, read_available};
 use crate::frame::{self, FrameCheck};
 use crate::index::Location;
 use crate::manifest;
-use crate::options::{Room, Sync, round_up_to_blocks};
+use crate::options::{StoreOptions, SyncPolicy, round_up_to_blocks};
 use crate::segment::{self, FrameReader, NextFrame, SEGMENT_HEADER_BYTES, SegmentFile};
 use crate::segmented_log::{Segment, SegmentedLog};
 
 /// What recovery found in a folder.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Standing {
+pub struct RecoverySummary {
     /// Number of keys that have a value.
     pub keys: usize,
     /// Number of segments.
@@ -29,18 +29,18 @@
 /// A log read from its folder, and a summary of it.
 pub(crate) struct Recovered<F: Files> {
     pub log: SegmentedLog<F>,
-    pub summary: Standing,
+    pub summary: RecoverySummary,
 }
 
 /// Locks a folder, reads its log and repairs what a crash can cause. If nothing can be written at the moment,
 /// the log is read all the same, and the first write that succeeds repairs it.
-pub(crate) fn open<F: Files>(files: F, options: Room) -> Result<Recovered<F>, Fault> {
+pub(crate) fn open<F: Files>(files: F, options: StoreOptions) -> Result<Recovered<F>, StoreError> {
     let mut recovery = Recovery::new(files, options, true);
     let locked = recovery.log.lock();
-    let listing = recovery.log.files.list().map_err(Fault::io("listing", "the folder"))?;
+    let listing = recovery.log.files.list().map_err(StoreError::io("listing", "the folder"))?;
     match locked {
         // Only a folder that no process has written to yet has no lock file.
-        Err(error @ Fault::Io { .. }) if segment::segment_files(&listing).is_empty() => {
+        Err(error @ StoreError::Io { .. }) if segment::segment_files(&listing).is_empty() => {
             log_deferred_repair(&error)
         }
         other => other?,
@@ -52,7 +52,7 @@
     Ok(recovered)
 }
 
-fn log_deferred_repair(error: &Fault) {
+fn log_deferred_repair(error: &StoreError) {
     log::warn!(
         "store: code=mended_later {error}; the folder cannot be written yet; the first write that succeeds repairs it"
     );
@@ -61,9 +61,9 @@
 /// Reads a folder without changing it and calls `visit` with each key and its value.
 ///
 /// # Errors
-/// As for [`Store::open`](crate::Store::open), except that a folder without a store is [`Fault::Missing`].
-pub fn check<F: Files>(files: F, visit: &mut dyn FnMut(&[u8], &[u8])) -> Result<Standing, Fault> {
-    let options = Room { bytes: u64::MAX / 2, sync: Sync::None };
+/// As for [`Store::open`](crate::Store::open), except that a folder without a store is [`StoreError::MissingFile`].
+pub fn check<F: Files>(files: F, visit: &mut dyn FnMut(&[u8], &[u8])) -> Result<RecoverySummary, StoreError> {
+    let options = StoreOptions { bytes: u64::MAX / 2, sync: SyncPolicy::None };
     let Recovered { mut log, summary } = Recovery::new(files, options, false).read()?;
     let keys: Vec<Vec<u8>> = log.index.range(&[], None).map(<[u8]>::to_vec).collect();
     for key in keys {
@@ -77,7 +77,7 @@
 /// A log that is being read.
 struct Recovery<F: Files> {
     log: SegmentedLog<F>,
-    summary: Standing,
+    summary: RecoverySummary,
     /// Whether to repair what a crash can cause; otherwise the folder is not changed.
     repair: bool,
 }
@@ -91,12 +91,12 @@
 }
 
 impl<F: Files> Recovery<F> {
-    fn new(files: F, options: Room, repair: bool) -> Self {
-        Recovery { log: SegmentedLog::new(files, options), summary: Standing::default(), repair }
+    fn new(files: F, options: StoreOptions, repair: bool) -> Self {
+        Recovery { log: SegmentedLog::new(files, options), summary: RecoverySummary::default(), repair }
     }
 
-    fn read(mut self) -> Result<Recovered<F>, Fault> {
-        let listing = self.log.files.list().map_err(Fault::io("listing", "the folder"))?;
+    fn read(mut self) -> Result<Recovered<F>, StoreError> {
+        let listing = self.log.files.list().map_err(StoreError::io("listing", "the folder"))?;
         let segment_files = segment::segment_files(&listing);
         match manifest::read(&mut self.log.files, &listing)? {
             None => self.prepare_new_log(&segment_files)?,
@@ -111,18 +111,18 @@
 
     /// A folder without a manifest is new, or its first start was interrupted. In either case it holds no
     /// frames.
-    fn prepare_new_log(&mut self, segment_files: &[SegmentFile]) -> Result<(), Fault> {
+    fn prepare_new_log(&mut self, segment_files: &[SegmentFile]) -> Result<(), StoreError> {
         let is_new =
             segment_files.iter().all(|file| file.number == 1 && file.length <= SEGMENT_HEADER_BYTES as u64);
         if !is_new || !self.repair {
-            return Err(Fault::Missing { file: manifest::FILE_NAME.to_owned() });
+            return Err(StoreError::MissingFile { file: manifest::FILE_NAME.to_owned() });
         }
         self.log.orphaned_segment = segment_files.first().map(|file| file.number);
         Ok(())
     }
 
     /// Reads all segments from the first one in use. Earlier ones are obsolete and are removed.
-    fn read_segments(&mut self, first_segment: u64, segment_files: &[SegmentFile]) -> Result<(), Fault> {
+    fn read_segments(&mut self, first_segment: u64, segment_files: &[SegmentFile]) -> Result<(), StoreError> {
         let (obsolete, current): (Vec<SegmentFile>, Vec<SegmentFile>) =
             segment_files.iter().partition(|file| file.number < first_segment);
         if self.repair {
@@ -143,13 +143,13 @@
         &mut self,
         segment_file: SegmentFile,
         context: SegmentContext,
-    ) -> Result<Option<u64>, Fault> {
+    ) -> Result<Option<u64>, StoreError> {
         let number = segment_file.number;
         let name = segment::file_name(number);
-        let file = self.log.files.open(&name).map_err(Fault::io("opening", &name))?;
+        let file = self.log.files.open(&name).map_err(StoreError::io("opening", &name))?;
         let mut header = [0u8; SEGMENT_HEADER_BYTES];
         let read = read_available(&mut self.log.files, &file, 0, &mut header);
-        let header = &header[..read.map_err(Fault::io("reading", &name))?];
+        let header = &header[..read.map_err(StoreError::io("reading", &name))?];
         if self.is_torn_header(header, number, context) {
             // The file holds no frames yet. It is removed before the preceding segment is written to.
             self.summary.cut += segment_file.length;
@@ -160,7 +160,7 @@
         if context.previous_length.is_some_and(|previous_length| previous_length != recorded_length) {
             let file = segment::file_name(number - 1);
             let expected = "the length recorded in the next segment";
-            return Err(Fault::Damaged { file, offset: context.previous_length.unwrap_or(0), expected });
+            return Err(StoreError::Damaged { file, offset: context.previous_length.unwrap_or(0), expected });
         }
         self.read_frames(file, segment_file, context).map(Some)
     }
@@ -179,11 +179,11 @@
         file: F::File,
         segment_file: SegmentFile,
         context: SegmentContext,
-    ) -> Result<u64, Fault> {
+    ) -> Result<u64, StoreError> {
         let name = segment::file_name(segment_file.number);
         let mut reader = FrameReader::new(SEGMENT_HEADER_BYTES as u64, segment_file.length);
         loop {
-            match reader.next(&mut self.log.files, &file).map_err(Fault::io("reading", &name))? {
+            match reader.next(&mut self.log.files, &file).map_err(StoreError::io("reading", &name))? {
                 NextFrame::Frame(frame_offset) => self.apply(&reader, segment_file.number, frame_offset),
                 NextFrame::End => break,
                 NextFrame::Unreadable(failure) => {
@@ -218,13 +218,13 @@
         frame_offset: u64,
         failure: &FrameCheck,
         is_last: bool,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), StoreError> {
         let name = segment::file_name(segment_file.number);
         let expected = match failure {
             FrameCheck::Damaged(expected) => expected,
             _ => "a complete frame",
         };
-        let damaged = Fault::Damaged { file: name.clone(), offset: frame_offset, expected };
+        let damaged = StoreError::Damaged { file: name.clone(), offset: frame_offset, expected };
         // Writes are in order, so a killed process leaves a short frame, never a changed one. A power loss
         // may leave a changed one.
         if !is_last || (!self.log.options.is_durable() && *failure != FrameCheck::Incomplete) {
@@ -232,7 +232,7 @@
         }
         let next_frame =
             segment::find_next_frame(&mut self.log.files, file, frame_offset + 1, segment_file.length);
-        match next_frame.map_err(Fault::io("reading", &name))? {
+        match next_frame.map_err(StoreError::io("reading", &name))? {
             // A complete frame follows, so this was not the end of the log.
             Some(_) => Err(damaged),
             None => Ok(()),
@@ -242,14 +242,14 @@
 
 /// Checks that the segments are numbered without a gap from the first one in use, and that there is at least
 /// one.
-fn check_complete(first_segment: u64, segment_files: &[SegmentFile]) -> Result<(), Fault> {
+fn check_complete(first_segment: u64, segment_files: &[SegmentFile]) -> Result<(), StoreError> {
     for (expected, file) in (first_segment..).zip(segment_files) {
         if file.number != expected {
-            return Err(Fault::Missing { file: segment::file_name(expected) });
+            return Err(StoreError::MissingFile { file: segment::file_name(expected) });
         }
     }
     if segment_files.is_empty() {
-        return Err(Fault::Missing { file: segment::file_name(first_segment) });
+        return Err(StoreError::MissingFile { file: segment::file_name(first_segment) });
     }
     Ok(())
 }
--- a/crates/sailcart-store/src/segment.rs
+++ b/crates/sailcart-store/src/segment.rs
@@ -1,7 +1,7 @@
 //! Segments, the files of the log: a header, then frames. The header records the final length of the
 //! preceding segment, so that a truncation at a frame boundary is detected too.
 
-use crate::error::Fault;
+use crate::error::StoreError;
 use crate::files::{Files, read_available};
 use crate::frame::{self, FrameCheck};
 
@@ -53,8 +53,8 @@
 }
 
 /// Decodes a segment's header and returns the final length of the preceding segment.
-pub(crate) fn decode_header(bytes: &[u8], number: u64) -> Result<u64, Fault> {
-    let damaged = |offset, expected| Fault::Damaged { file: file_name(number), offset, expected };
+pub(crate) fn decode_header(bytes: &[u8], number: u64) -> Result<u64, StoreError> {
+    let damaged = |offset, expected| StoreError::Damaged { file: file_name(number), offset, expected };
     let bytes =
         bytes.get(..SEGMENT_HEADER_BYTES).ok_or_else(|| damaged(bytes.len() as u64, "a complete header"))?;
     let u32_at = |at: usize| u32::from_be_bytes([bytes[at], bytes[at + 1], bytes[at + 2], bytes[at + 3]]);
@@ -62,7 +62,7 @@
         return Err(damaged(0, "a segment header"));
     }
     if u32_at(4) > FORMAT_VERSION {
-        return Err(Fault::NewerVersion {
+        return Err(StoreError::NewerVersion {
             file: file_name(number),
             found: u32_at(4),
             supported: FORMAT_VERSION,
--- a/crates/sailcart-store/src/segmented_log.rs
+++ b/crates/sailcart-store/src/segmented_log.rs
@@ -4,12 +4,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::ErrorKind;
 
-use crate::error::Fault;
+use crate::error::StoreError;
 use crate::files::{Files, append_all, read_available};
 use crate::frame::{self, Change, FrameCheck};
 use crate::index::{Index, Location};
 use crate::manifest;
-use crate::options::{BLOCK_BYTES, Room, round_up_to_blocks};
+use crate::options::{BLOCK_BYTES, StoreOptions, round_up_to_blocks};
 use crate::segment::{self, SEGMENT_HEADER_BYTES};
 
 /// Number of the first segment in a new folder.
@@ -31,7 +31,7 @@
 /// All segments of a folder. Only the last one is appended to.
 pub(crate) struct SegmentedLog<F: Files> {
     pub files: F,
-    pub options: Room,
+    pub options: StoreOptions,
     /// Segments by number.
     pub segments: BTreeMap<u64, Segment<F::File>>,
     pub index: Index,
@@ -53,7 +53,7 @@
 
 impl<F: Files> SegmentedLog<F> {
     /// A log without segments, for recovery to fill.
-    pub fn new(files: F, options: Room) -> Self {
+    pub fn new(files: F, options: StoreOptions) -> Self {
         SegmentedLog {
             files,
             options,
@@ -84,28 +84,28 @@
     /// locks it instead.
     ///
     /// # Errors
-    /// [`Fault::InUse`] if another process holds the lock.
-    pub fn lock(&mut self) -> Result<(), Fault> {
+    /// [`StoreError::InUse`] if another process holds the lock.
+    pub fn lock(&mut self) -> Result<(), StoreError> {
         match self.files.lock() {
             Ok(()) => {
                 self.is_locked = true;
                 Ok(())
             }
-            Err(error) if error.kind() == ErrorKind::WouldBlock => Err(Fault::InUse),
-            Err(error) => Err(Fault::io("locking", "lock")(error)),
+            Err(error) if error.kind() == ErrorKind::WouldBlock => Err(StoreError::InUse),
+            Err(error) => Err(StoreError::io("locking", "lock")(error)),
         }
     }
 
     /// In a new folder, creates the first segment and the manifest that names it.
-    pub fn create_if_new(&mut self) -> Result<(), Fault> {
+    pub fn create_if_new(&mut self) -> Result<(), StoreError> {
         if !self.segments.is_empty() {
             return Ok(());
         }
         if !self.is_locked {
             self.lock()?;
-            let listing = self.files.list().map_err(Fault::io("listing", "the folder"))?;
+            let listing = self.files.list().map_err(StoreError::io("listing", "the folder"))?;
             if listing.iter().any(|(name, _)| name == manifest::FILE_NAME) {
-                return Err(Fault::InUse); // another process used the folder before it was locked
+                return Err(StoreError::InUse); // another process used the folder before it was locked
             }
         }
         let segment = self.create_segment(FIRST_SEGMENT, 0)?;
@@ -118,7 +118,7 @@
     /// Creates the log in a new folder and removes what an earlier failure left behind: bytes after the
     /// recorded length of the last segment, and an orphaned file under the number of the next one. Without
     /// this, a segment that is no longer the last could end in a partial frame.
-    pub fn prepare_write(&mut self) -> Result<(), Fault> {
+    pub fn prepare_write(&mut self) -> Result<(), StoreError> {
         self.create_if_new()?;
         self.remove_orphaned_segment()?;
         if self.has_torn_tail {
@@ -127,26 +127,26 @@
         Ok(())
     }
 
-    fn remove_orphaned_segment(&mut self) -> Result<(), Fault> {
+    fn remove_orphaned_segment(&mut self) -> Result<(), StoreError> {
         let Some(number) = self.orphaned_segment else { return Ok(()) };
         let name = segment::file_name(number);
         match self.files.remove(&name) {
             Err(error) if error.kind() != ErrorKind::NotFound => {
-                return Err(Fault::io("removing", &name)(error));
+                return Err(StoreError::io("removing", &name)(error));
             }
             _ => {}
         }
         if self.options.is_durable() {
-            self.files.sync_folder().map_err(Fault::io("syncing", "the folder"))?;
+            self.files.sync_folder().map_err(StoreError::io("syncing", "the folder"))?;
         }
         self.orphaned_segment = None;
         Ok(())
     }
 
-    fn truncate_torn_tail(&mut self) -> Result<(), Fault> {
+    fn truncate_torn_tail(&mut self) -> Result<(), StoreError> {
         if let Some((number, segment)) = self.segments.iter_mut().next_back() {
             let truncated = self.files.truncate(&mut segment.file, segment.length);
-            truncated.map_err(Fault::io("cutting", &segment::file_name(*number)))?;
+            truncated.map_err(StoreError::io("cutting", &segment::file_name(*number)))?;
         }
         self.has_torn_tail = false;
         Ok(())
@@ -170,19 +170,19 @@
     /// Applies the changes of the frame at this location to the index.
     pub fn apply<'c>(&mut self, changes: impl IntoIterator<Item = Change<'c>>, frame_location: Location) {
         for (change_index, change) in changes.into_iter().enumerate() {
-            let tombstone_size = frame::frame_size(&[Change::End(change.key())]) as u64;
+            let tombstone_size = frame::frame_size(&[Change::Delete(change.key())]) as u64;
             match change {
                 Change::Put(key, _) => {
                     let location = Location { change_index: change_index as u32, ..frame_location };
                     self.index.put(key, location, frame::frame_size(&[change]) as u64, tombstone_size);
                 }
-                Change::End(key) => self.index.remove(key, tombstone_size),
+                Change::Delete(key) => self.index.remove(key, tombstone_size),
             }
         }
     }
 
     /// Appends one frame to the last segment, or to a new segment if it would not fit.
-    pub fn append(&mut self, changes: &[Change]) -> Result<Location, Fault> {
+    pub fn append(&mut self, changes: &[Change]) -> Result<Location, StoreError> {
         self.prepare_write()?;
         let size = frame::frame_size(changes) as u64;
         let mut last = self.last_segment();
@@ -199,23 +199,23 @@
         Ok(Location { segment: last.number, offset: last.length, length: size as u32, change_index: 0 })
     }
 
-    fn append_bytes(&mut self, number: u64, bytes: &[u8]) -> Result<(), Fault> {
+    fn append_bytes(&mut self, number: u64, bytes: &[u8]) -> Result<(), StoreError> {
         let name = segment::file_name(number);
         let Some(segment) = self.segments.get_mut(&number) else {
-            return Err(Fault::Missing { file: name });
+            return Err(StoreError::MissingFile { file: name });
         };
         if let Err(error) = append_all(&mut self.files, &mut segment.file, bytes) {
             // A partial frame would hide all frames after it. It is truncated now or, if that fails, before
             // the next write.
             self.has_torn_tail = self.files.truncate(&mut segment.file, segment.length).is_err();
-            return Err(Fault::io("writing", &name)(error));
+            return Err(StoreError::io("writing", &name)(error));
         }
         segment.length += bytes.len() as u64;
         Ok(())
     }
 
     /// Starts a new segment. The previous one is complete and, in a durable store, synced first.
-    pub fn roll(&mut self) -> Result<(), Fault> {
+    pub fn roll(&mut self) -> Result<(), StoreError> {
         self.prepare_write()?;
         if self.options.is_durable() {
             self.sync_last_segment()?;
@@ -223,12 +223,12 @@
         self.roll_without_sync()
     }
 
-    fn roll_without_sync(&mut self) -> Result<(), Fault> {
+    fn roll_without_sync(&mut self) -> Result<(), StoreError> {
         let previous = self.last_segment();
         let number = previous.number + 1;
         let segment = self.create_segment(number, previous.length)?;
         if self.options.is_durable() {
-            self.files.sync_folder().map_err(Fault::io("syncing", "the folder"))?;
+            self.files.sync_folder().map_err(StoreError::io("syncing", "the folder"))?;
         }
         self.orphaned_segment = None;
         self.segments.insert(number, segment);
@@ -237,49 +237,49 @@
 
     /// Creates a segment file with its header. The file counts as orphaned until the caller adds it to the
     /// segments.
-    fn create_segment(&mut self, number: u64, previous_length: u64) -> Result<Segment<F::File>, Fault> {
+    fn create_segment(&mut self, number: u64, previous_length: u64) -> Result<Segment<F::File>, StoreError> {
         self.remove_orphaned_segment()?;
         let name = segment::file_name(number);
         self.orphaned_segment = Some(number);
         let mut file = self.create_file(&name)?;
         let header = segment::encode_header(number, previous_length);
-        append_all(&mut self.files, &mut file, &header).map_err(Fault::io("writing", &name))?;
+        append_all(&mut self.files, &mut file, &header).map_err(StoreError::io("writing", &name))?;
         if self.options.is_durable() {
-            self.files.sync(&file).map_err(Fault::io("syncing", &name))?;
+            self.files.sync(&file).map_err(StoreError::io("syncing", &name))?;
         }
         Ok(Segment { file, length: SEGMENT_HEADER_BYTES as u64 })
     }
 
     /// Creates a file, replacing one that an earlier failed attempt left behind.
-    fn create_file(&mut self, name: &str) -> Result<F::File, Fault> {
+    fn create_file(&mut self, name: &str) -> Result<F::File, StoreError> {
         let file = match self.files.create(name) {
             Err(error) if error.kind() == ErrorKind::AlreadyExists => {
-                self.files.remove(name).map_err(Fault::io("removing", name))?;
+                self.files.remove(name).map_err(StoreError::io("removing", name))?;
                 self.files.create(name)
             }
             other => other,
         };
-        file.map_err(Fault::io("creating", name))
+        file.map_err(StoreError::io("creating", name))
     }
 
     /// Makes everything written so far durable.
     ///
     /// # Errors
-    /// [`Fault::Unsure`] if a sync fails. The kernel may then consider the bytes written, so that a later
+    /// [`StoreError::SyncFailed`] if a sync fails. The kernel may then consider the bytes written, so that a later
     /// sync of the same file succeeds without them: they must be rewritten first, see
     /// [`last_unsynced_segment`](Self::last_unsynced_segment).
-    pub fn sync(&mut self) -> Result<(), Fault> {
+    pub fn sync(&mut self) -> Result<(), StoreError> {
         self.sync_last_segment()?;
         self.needs_sync = false;
         Ok(())
     }
 
-    fn sync_last_segment(&mut self) -> Result<(), Fault> {
+    fn sync_last_segment(&mut self) -> Result<(), StoreError> {
         let Some((number, segment)) = self.segments.last_key_value() else { return Ok(()) };
         if let Err(source) = self.files.sync(&segment.file) {
             self.last_unsynced_segment = Some(*number);
             self.needs_sync = true;
-            return Err(Fault::Unsure { file: segment::file_name(*number), source });
+            return Err(StoreError::SyncFailed { file: segment::file_name(*number), source });
         }
         Ok(())
     }
@@ -291,7 +291,7 @@
 
     /// Starts a new segment if the last one is unsynced, so that later writes go to a file whose syncs have
     /// succeeded.
-    pub fn leave_unsynced_segment(&mut self) -> Result<(), Fault> {
+    pub fn leave_unsynced_segment(&mut self) -> Result<(), StoreError> {
         self.prepare_write()?;
         if self.last_unsynced_segment.is_some_and(|unsynced| self.last_segment().number <= unsynced) {
             self.roll_without_sync()?;
@@ -322,17 +322,17 @@
     }
 
     /// Reads the value of a key from the log and verifies it; `None` for an unknown key.
-    pub fn get(&mut self, key: &[u8]) -> Result<Option<Vec<u8>>, Fault> {
+    pub fn get(&mut self, key: &[u8]) -> Result<Option<Vec<u8>>, StoreError> {
         let Some(location) = self.index.get(key) else { return Ok(None) };
         let name = segment::file_name(location.segment);
         let Some(segment) = self.segments.get(&location.segment) else {
-            return Err(Fault::Missing { file: name });
+            return Err(StoreError::MissingFile { file: name });
         };
         let mut bytes = vec![0; location.length as usize];
         let read = read_available(&mut self.files, &segment.file, location.offset, &mut bytes);
-        let read = read.map_err(Fault::io("reading", &name))?;
+        let read = read.map_err(StoreError::io("reading", &name))?;
         let expected = "the frame that was read at the start";
-        let damaged = || Fault::Damaged { file: name.clone(), offset: location.offset, expected };
+        let damaged = || StoreError::Damaged { file: name.clone(), offset: location.offset, expected };
         if read < bytes.len() || frame::check(&bytes) != FrameCheck::Complete(bytes.len()) {
             return Err(damaged());
         }
--- a/crates/sailcart-store/src/store.rs
+++ b/crates/sailcart-store/src/store.rs
@@ -2,11 +2,11 @@
 //! implemented in the neighbouring modules.
 
 use crate::compaction::Compaction;
-use crate::error::Fault;
+use crate::error::StoreError;
 use crate::files::Files;
 use crate::frame::{self, Change, MAX_KEY_BYTES};
-use crate::options::{Room, Sync};
-use crate::recovery::{self, Standing};
+use crate::options::{StoreOptions, SyncPolicy};
+use crate::recovery::{self, RecoverySummary};
 use crate::segmented_log::SegmentedLog;
 
 /// Counters since the store was opened.
@@ -34,10 +34,10 @@
     /// Opens a folder, which may be empty, and recovers its contents.
     ///
     /// # Errors
-    /// [`Fault::InUse`] if another process has the folder open. [`Fault::Damaged`], [`Fault::Missing`] and
-    /// [`Fault::NewerVersion`] if the contents cannot be recovered; the folder is then unchanged.
-    /// [`Fault::Io`] if a file operation fails.
-    pub fn open(files: F, options: Room) -> Result<(Self, Standing), Fault> {
+    /// [`StoreError::InUse`] if another process has the folder open. [`StoreError::Damaged`], [`StoreError::MissingFile`] and
+    /// [`StoreError::NewerVersion`] if the contents cannot be recovered; the folder is then unchanged.
+    /// [`StoreError::Io`] if a file operation fails.
+    pub fn open(files: F, options: StoreOptions) -> Result<(Self, RecoverySummary), StoreError> {
         let recovered = recovery::open(files, options)?;
         let store = Store { log: recovered.log, compaction: Compaction::default(), written_bytes: 0 };
         Ok((store, recovered.summary))
@@ -53,13 +53,13 @@
         self.log.live_bytes()
     }
 
-    /// Bytes of [`Room::budget`] that a value takes, with the tombstone that will delete it.
+    /// Bytes of [`StoreOptions::budget`] that a value takes, with the tombstone that will delete it.
     pub fn cost(key: &[u8], value: &[u8]) -> u64 {
-        (frame::frame_size(&[Change::Put(key, value)]) + frame::frame_size(&[Change::End(key)])) as u64
+        (frame::frame_size(&[Change::Put(key, value)]) + frame::frame_size(&[Change::Delete(key)])) as u64
     }
 
     /// The options that the store was opened with.
-    pub fn room(&self) -> Room {
+    pub fn room(&self) -> StoreOptions {
         self.log.options
     }
 
@@ -86,24 +86,24 @@
     /// Writes changes atomically. Deletions always fit, because space for the tombstones is reserved.
     ///
     /// # Errors
-    /// [`Fault::Full`] and [`Fault::TooLarge`] with nothing changed. [`Fault::Io`] if the disk fails: none of
-    /// these changes takes effect, and the next write may succeed. [`Fault::Unsure`] if a sync fails: these
+    /// [`StoreError::Full`] and [`StoreError::TooLarge`] with nothing changed. [`StoreError::Io`] if the disk fails: none of
+    /// these changes takes effect, and the next write may succeed. [`StoreError::SyncFailed`] if a sync fails: these
     /// changes may or may not have taken effect; if they have, the next successful write or sync makes them
     /// durable.
-    pub fn write(&mut self, changes: &[Change]) -> Result<(), Fault> {
+    pub fn write(&mut self, changes: &[Change]) -> Result<(), StoreError> {
         self.check_sizes(changes)?;
         self.check_budget(changes)?;
         self.log.prepare_write()?;
-        self.compaction.rewrite_unsynced(&mut self.log).map_err(Fault::into_not_written)?;
+        self.compaction.rewrite_unsynced(&mut self.log).map_err(StoreError::into_not_written)?;
         let write_size = frame::frame_size(changes) as u64;
         self.compaction.ensure_free_space(&mut self.log, write_size)?;
         let location = self.log.append(changes)?;
         self.written_bytes += write_size;
         self.log.apply(changes.iter().copied(), location);
         match self.log.options.sync {
-            Sync::Each => self.log.sync()?,
-            Sync::Every(_) => self.log.needs_sync = true,
-            Sync::None => {}
+            SyncPolicy::EachWrite => self.log.sync()?,
+            SyncPolicy::Interval(_) => self.log.needs_sync = true,
+            SyncPolicy::None => {}
         }
         // The write has taken effect even if its compaction step fails. A lasting failure is reported by the
         // first write that finds no free space.
@@ -114,24 +114,24 @@
     }
 
     /// Checks the keys and the whole write against their maximum sizes.
-    fn check_sizes(&self, changes: &[Change]) -> Result<(), Fault> {
+    fn check_sizes(&self, changes: &[Change]) -> Result<(), StoreError> {
         if changes.iter().any(|change| change.key().len() > MAX_KEY_BYTES) {
-            return Err(Fault::TooLarge { size: MAX_KEY_BYTES as u64 + 1, max: MAX_KEY_BYTES as u64 });
+            return Err(StoreError::TooLarge { size: MAX_KEY_BYTES as u64 + 1, max: MAX_KEY_BYTES as u64 });
         }
         let write_size = frame::frame_size(changes) as u64;
         let max = self.log.options.max_write_bytes();
         if write_size > max {
-            return Err(Fault::TooLarge { size: write_size, max });
+            return Err(StoreError::TooLarge { size: write_size, max });
         }
         Ok(())
     }
 
     /// Checks that the live data after the changes, with its tombstones, fits the budget.
-    fn check_budget(&self, changes: &[Change]) -> Result<(), Fault> {
+    fn check_budget(&self, changes: &[Change]) -> Result<(), StoreError> {
         let growth: i64 = changes.iter().map(|change| self.live_growth(change)).sum();
         let (live, budget) = (self.live(), self.log.options.budget());
         if growth > 0 && live + growth as u64 > budget {
-            return Err(Fault::Full { needed: growth as u64, available: budget.saturating_sub(live) });
+            return Err(StoreError::Full { needed: growth as u64, available: budget.saturating_sub(live) });
         }
         Ok(())
     }
@@ -139,21 +139,21 @@
     /// Bytes that a change adds to the live data, with its tombstone; negative if it frees some.
     fn live_growth(&self, change: &Change) -> i64 {
         let old_size = self.log.index.value_size(change.key()) as i64;
-        let tombstone_size = frame::frame_size(&[Change::End(change.key())]) as i64;
+        let tombstone_size = frame::frame_size(&[Change::Delete(change.key())]) as i64;
         match change {
             Change::Put(..) if old_size > 0 => frame::frame_size(&[*change]) as i64 - old_size,
             Change::Put(..) => frame::frame_size(&[*change]) as i64 + tombstone_size,
-            Change::End(_) if old_size > 0 => -old_size - tombstone_size,
-            Change::End(_) => 0,
+            Change::Delete(_) if old_size > 0 => -old_size - tombstone_size,
+            Change::Delete(_) => 0,
         }
     }
 
     /// Makes everything written so far durable.
     ///
     /// # Errors
-    /// [`Fault::Unsure`] if a sync fails: the next call that writes or syncs first rewrites, to new files,
+    /// [`StoreError::SyncFailed`] if a sync fails: the next call that writes or syncs first rewrites, to new files,
     /// what was written since the last successful sync.
-    pub fn sync(&mut self) -> Result<(), Fault> {
+    pub fn sync(&mut self) -> Result<(), StoreError> {
         self.compaction.rewrite_unsynced(&mut self.log)?;
         self.log.sync()
     }
@@ -166,8 +166,8 @@
     /// Reads the value of a key from the log and verifies it; `None` for an unknown key.
     ///
     /// # Errors
-    /// [`Fault::Damaged`] if the log has changed since it was read at the start.
-    pub fn get(&mut self, key: &[u8]) -> Result<Option<Vec<u8>>, Fault> {
+    /// [`StoreError::Damaged`] if the log has changed since it was read at the start.
+    pub fn get(&mut self, key: &[u8]) -> Result<Option<Vec<u8>>, StoreError> {
         self.log.get(key)
     }
 
@@ -185,7 +185,7 @@
     ///
     /// # Errors
     /// As for [`Store::write`]. Live data is in the log at every moment, at times in two copies.
-    pub fn compact(&mut self, max_read_bytes: u64) -> Result<bool, Fault> {
+    pub fn compact(&mut self, max_read_bytes: u64) -> Result<bool, StoreError> {
         self.compaction.step(&mut self.log, max_read_bytes)
     }
 }
--- a/crates/sailcart-store/tests/common/mod.rs
+++ b/crates/sailcart-store/tests/common/mod.rs
@@ -9,7 +9,7 @@
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use sailcart_store::{Change, Files, Room, Store, Sync};
+use sailcart_store::{Change, Files, Store, StoreOptions, SyncPolicy};
 
 #[derive(Clone, Default)]
 struct Inode {
@@ -357,12 +357,12 @@
             .collect()
     }
 
-    pub fn write(&self, store: &mut Store<MemoryFiles>) -> Result<(), sailcart_store::Fault> {
+    pub fn write(&self, store: &mut Store<MemoryFiles>) -> Result<(), sailcart_store::StoreError> {
         match self {
             Operation::Put(key, value) => store.write(&[Change::Put(&[*key], value)]),
-            Operation::Delete(key) => store.write(&[Change::End(&[*key])]),
+            Operation::Delete(key) => store.write(&[Change::Delete(&[*key])]),
             Operation::Replace(deleted, key, value) => {
-                store.write(&[Change::End(&[*deleted]), Change::Put(&[*key, 0], value)])
+                store.write(&[Change::Delete(&[*deleted]), Change::Put(&[*key, 0], value)])
             }
         }
     }
@@ -379,11 +379,11 @@
     }
 }
 
-pub fn options(sync: Sync) -> Room {
-    Room { bytes: 64 * 1024, sync }
+pub fn options(sync: SyncPolicy) -> StoreOptions {
+    StoreOptions { bytes: 64 * 1024, sync }
 }
 
-pub fn open(files: &MemoryFiles, sync: Sync) -> Store<MemoryFiles> {
+pub fn open(files: &MemoryFiles, sync: SyncPolicy) -> Store<MemoryFiles> {
     files.restart();
     Store::open(files.clone(), options(sync)).expect("the store opens").0
 }
--- a/crates/sailcart-store/tests/damage.rs
+++ b/crates/sailcart-store/tests/damage.rs
@@ -4,12 +4,12 @@
 mod common;
 
 use common::{MemoryFiles, Model, Operation, contents, open, options, write_until_crash};
-use sailcart_store::{Change, Fault, Salvaged, Store, Sync, salvage};
+use sailcart_store::{Change, SalvageReport, Store, StoreError, SyncPolicy, salvage};
 
 /// A folder with several segments, and its contents after each operation.
 fn sample_folder() -> (MemoryFiles, Vec<Model>) {
     let files = MemoryFiles::default();
-    let mut store = open(&files, Sync::None);
+    let mut store = open(&files, SyncPolicy::None);
     let (mut model, mut states) = (Model::new(), vec![Model::new()]);
     for operation in Operation::random(3, 60, 700) {
         operation.write(&mut store).expect("the write succeeds");
@@ -21,9 +21,9 @@
     (files, states)
 }
 
-fn try_open(files: &MemoryFiles) -> Result<Model, Fault> {
+fn try_open(files: &MemoryFiles) -> Result<Model, StoreError> {
     files.restart();
-    Store::open(files.clone(), options(Sync::None)).map(|(mut store, _)| contents(&mut store))
+    Store::open(files.clone(), options(SyncPolicy::None)).map(|(mut store, _)| contents(&mut store))
 }
 
 #[test]
@@ -41,7 +41,9 @@
                     assert!(is_last, "{name} truncated to {length} bytes: only the last segment may be torn");
                     assert!(states.contains(&found), "{name} truncated to {length} bytes");
                 }
-                Err(Fault::Damaged { file, .. }) => assert_eq!(file, name, "truncated to {length} bytes"),
+                Err(StoreError::Damaged { file, .. }) => {
+                    assert_eq!(file, name, "truncated to {length} bytes")
+                }
                 Err(error) => panic!("{name} truncated to {length} bytes: {error}"),
             }
         }
@@ -59,12 +61,12 @@
             changed[at] ^= 1 << (at % 8);
             files.write_file(&name, &changed);
             match try_open(&files) {
-                Err(Fault::Damaged { file, offset, .. }) => {
+                Err(StoreError::Damaged { file, offset, .. }) => {
                     assert_eq!(file, name);
                     // A manifest has a single checksum, at its end, and is reported there.
                     assert!(name == "manifest" || offset <= at as u64, "byte {at}, reported offset {offset}");
                 }
-                Err(Fault::NewerVersion { file, .. }) => assert_eq!(file, name),
+                Err(StoreError::NewerVersion { file, .. }) => assert_eq!(file, name),
                 other => panic!("{name}, byte {at}: {other:?}"),
             }
             assert_eq!(files.read_file(&name), changed, "the file is not repaired");
@@ -81,7 +83,7 @@
         let is_last =
             intact.file_names().iter().filter(|other| other.starts_with("segment")).max() == Some(&name);
         match try_open(&files) {
-            Err(Fault::Missing { file }) => assert_eq!(file, name),
+            Err(StoreError::MissingFile { file }) => assert_eq!(file, name),
             // No later segment shows that the last one is missing: the store opens with an earlier state.
             Ok(_) => assert!(is_last, "{name}"),
             other => panic!("{name}: {other:?}"),
@@ -99,7 +101,7 @@
     bytes[27..].copy_from_slice(&sum);
     files.write_file("manifest", &bytes);
     let newer = try_open(&files);
-    assert!(matches!(newer, Err(Fault::NewerVersion { found: 9, supported: 3, .. })), "{newer:?}");
+    assert!(matches!(newer, Err(StoreError::NewerVersion { found: 9, supported: 3, .. })), "{newer:?}");
     // A file named "index" that another program left in the folder.
     let files = intact.copy();
     files.write_file("index", b"whatever");
@@ -112,7 +114,7 @@
 #[test]
 fn a_log_changed_under_a_running_store_is_reported_as_damaged() {
     let files = MemoryFiles::default();
-    let mut store = open(&files, Sync::None);
+    let mut store = open(&files, SyncPolicy::None);
     store.write(&[Change::Put(b"a", b"first")]).expect("the write succeeds");
     let name =
         files.file_names().into_iter().find(|name| name.starts_with("segment")).expect("a segment exists");
@@ -123,7 +125,7 @@
     let mut handle = sailcart_store::Files::open(&mut files.clone(), &name).expect("the file exists");
     sailcart_store::Files::truncate(&mut files.clone(), &mut handle, 0).expect("the file is truncated");
     sailcart_store::Files::append(&mut files.clone(), &mut handle, &bytes).expect("the bytes are written");
-    assert!(matches!(store.get(b"a"), Err(Fault::Damaged { .. })));
+    assert!(matches!(store.get(b"a"), Err(StoreError::Damaged { .. })));
 }
 
 #[test]
@@ -139,8 +141,8 @@
     files.write_file(&name, &bytes);
     assert!(try_open(&files).is_err());
     let new_folder = MemoryFiles::default();
-    let mut store = open(&new_folder, Sync::None);
-    let Salvaged { keys, given_up } = salvage(files, &mut store).expect("the folder is readable");
+    let mut store = open(&new_folder, SyncPolicy::None);
+    let SalvageReport { keys, given_up } = salvage(files, &mut store).expect("the folder is readable");
     assert_eq!(given_up.len(), 1);
     let (file, start, length) = &given_up[0];
     assert!(*file == name && *start <= at as u64 && at as u64 <= start + length, "{given_up:?}");
@@ -154,20 +156,20 @@
 #[test]
 fn two_processes_do_not_share_a_folder() {
     let files = MemoryFiles::default();
-    let _first = open(&files, Sync::None);
-    assert!(matches!(Store::open(files.clone(), options(Sync::None)), Err(Fault::InUse)));
+    let _first = open(&files, SyncPolicy::None);
+    assert!(matches!(Store::open(files.clone(), options(SyncPolicy::None)), Err(StoreError::InUse)));
     let folder = tempfile::tempdir().expect("a temporary folder");
     let disk = || sailcart_store::Disk::new(folder.path());
-    let _first = Store::open(disk(), options(Sync::None)).expect("the store opens");
-    assert!(matches!(Store::open(disk(), options(Sync::None)), Err(Fault::InUse)));
+    let _first = Store::open(disk(), options(SyncPolicy::None)).expect("the store opens");
+    assert!(matches!(Store::open(disk(), options(SyncPolicy::None)), Err(StoreError::InUse)));
 }
 
 #[test]
 fn the_capacity_is_never_exceeded_and_deletions_always_fit() {
     let files = MemoryFiles::default();
-    let mut store = open(&files, Sync::None);
-    let too_large = vec![0; options(Sync::None).max_write_bytes() as usize];
-    assert!(matches!(store.write(&[Change::Put(b"k", &too_large)]), Err(Fault::TooLarge { .. })));
+    let mut store = open(&files, SyncPolicy::None);
+    let too_large = vec![0; options(SyncPolicy::None).max_write_bytes() as usize];
+    assert!(matches!(store.write(&[Change::Put(b"k", &too_large)]), Err(StoreError::TooLarge { .. })));
     let mut count = 0u32;
     while store.write(&[Change::Put(&count.to_be_bytes(), &[7; 900])]).is_ok() {
         count += 1;
@@ -175,7 +177,7 @@
     }
     assert!(count > 30, "only {count} values in 64 KiB");
     for key in 0..count {
-        store.write(&[Change::End(&key.to_be_bytes())]).expect("space for tombstones is reserved");
+        store.write(&[Change::Delete(&key.to_be_bytes())]).expect("space for tombstones is reserved");
         assert!(files.used_bytes() <= 64 * 1024, "{} bytes", files.used_bytes());
     }
     assert!(store.is_empty());
@@ -185,18 +187,18 @@
 #[test]
 fn deletions_and_writes_during_compaction_are_kept() {
     let files = MemoryFiles::default();
-    let mut store = open(&files, Sync::None);
+    let mut store = open(&files, SyncPolicy::None);
     for key in 0..20u8 {
         store.write(&[Change::Put(&[key], &[key; 700])]).expect("the write succeeds");
     }
     let mut model = contents(&mut store);
     for key in 0..20u8 {
         store.compact(300).expect("the step succeeds");
-        store.write(&[Change::End(&[key])]).expect("the write succeeds");
+        store.write(&[Change::Delete(&[key])]).expect("the write succeeds");
         model.remove(&vec![key]);
         store.write(&[Change::Put(&[key, 1], &[key; 300])]).expect("the write succeeds");
         model.insert(vec![key, 1], vec![key; 300]);
-        assert_eq!(contents(&mut open(&files.copy(), Sync::None)), model, "reopened after key {key}");
+        assert_eq!(contents(&mut open(&files.copy(), SyncPolicy::None)), model, "reopened after key {key}");
     }
     write_until_crash(&mut store, &[], &mut model);
     assert!(store.stats().segments_retired > 0);
--- a/crates/sailcart-store/tests/faults.rs
+++ b/crates/sailcart-store/tests/faults.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{MemoryFiles, Model, Operation, contents, matches_model, open, options, write_until_crash};
-use sailcart_store::{Change, Store, Sync};
+use sailcart_store::{Change, Store, SyncPolicy};
 
 /// Operations that fill the folder more than once, so that segments are started and compacted throughout.
 fn operations_that_compact() -> Vec<Operation> {
@@ -12,7 +12,7 @@
 }
 
 /// Number of file calls that the operations take without errors.
-fn count_calls(operations: &[Operation], sync: Sync) -> u64 {
+fn count_calls(operations: &[Operation], sync: SyncPolicy) -> u64 {
     let files = MemoryFiles::default();
     let mut store = open(&files, sync);
     write_until_crash(&mut store, operations, &mut Model::new());
@@ -26,7 +26,7 @@
     let files = MemoryFiles::default();
     files.fail_calls(failing_calls.iter().copied(), append_share);
     let mut model = Model::new();
-    let opened = Store::open(files.clone(), options(Sync::None));
+    let opened = Store::open(files.clone(), options(SyncPolicy::None));
     let (mut store, _) = opened.unwrap_or_else(|error| panic!("{case}: the first open failed: {error}"));
     for operation in operations {
         if operation.write(&mut store).is_ok() {
@@ -36,7 +36,7 @@
     assert_eq!(contents(&mut store), model, "before the restart, {case}");
     drop(store);
     files.restart();
-    let opened = Store::open(files.clone(), options(Sync::None));
+    let opened = Store::open(files.clone(), options(SyncPolicy::None));
     let (mut store, _) = opened.unwrap_or_else(|error| panic!("{case}: reopening failed: {error}"));
     assert_eq!(contents(&mut store), model, "after the restart, {case}");
 }
@@ -46,7 +46,7 @@
 #[test]
 fn two_device_errors_at_any_calls_leave_a_folder_that_opens() {
     let operations = operations_that_compact();
-    let total_calls = count_calls(&operations, Sync::None);
+    let total_calls = count_calls(&operations, SyncPolicy::None);
     assert!(total_calls > 200, "{total_calls} calls");
     for first in 1..=total_calls {
         for gap in 1..=6 {
@@ -65,7 +65,7 @@
 #[test]
 fn consecutive_device_errors_from_any_call_on_leave_a_folder_that_opens() {
     let operations = operations_that_compact();
-    let total_calls = count_calls(&operations, Sync::None);
+    let total_calls = count_calls(&operations, SyncPolicy::None);
     for first in 1..=total_calls {
         for length in [3, 7, 20] {
             let failing_calls: Vec<u64> = (first..first + length).collect();
@@ -83,7 +83,7 @@
 #[test]
 fn a_crash_after_device_errors_keeps_confirmed_writes() {
     let operations = operations_that_compact();
-    let total_calls = count_calls(&operations, Sync::None);
+    let total_calls = count_calls(&operations, SyncPolicy::None);
     for first in (1..=total_calls).step_by(2) {
         for gap in 1..=8 {
             let files = MemoryFiles::default();
@@ -91,7 +91,7 @@
             files.crash_at(first + 1 + gap, 0.5);
             let mut model = Model::new();
             let mut interrupted = None;
-            if let Ok((mut store, _)) = Store::open(files.clone(), options(Sync::None)) {
+            if let Ok((mut store, _)) = Store::open(files.clone(), options(SyncPolicy::None)) {
                 for operation in &operations {
                     match operation.write(&mut store) {
                         Ok(()) => operation.apply(&mut model),
@@ -104,7 +104,7 @@
                     }
                 }
             }
-            let found = contents(&mut open(&files, Sync::None));
+            let found = contents(&mut open(&files, SyncPolicy::None));
             assert!(
                 matches_model(&found, &model, interrupted.as_ref()),
                 "errors from call {first}, crash {gap} calls later"
@@ -118,17 +118,17 @@
 #[test]
 fn a_start_on_a_failing_folder_reads_its_contents_and_writes_later() {
     let operations = operations_that_compact();
-    let total_calls = count_calls(&operations, Sync::None);
+    let total_calls = count_calls(&operations, SyncPolicy::None);
     for call in (1..=total_calls).step_by(5) {
         let files = MemoryFiles::default();
         let mut model = Model::new();
-        let mut store = open(&files, Sync::None);
+        let mut store = open(&files, SyncPolicy::None);
         files.crash_at(call, 0.5);
         let interrupted = write_until_crash(&mut store, &operations, &mut model);
         drop(store);
         files.restart();
         files.fail_calls(1..400, 0.3);
-        let opened = Store::open(files.clone(), options(Sync::None));
+        let opened = Store::open(files.clone(), options(SyncPolicy::None));
         let (mut store, _) = opened.unwrap_or_else(|error| panic!("call {call}: open failed: {error}"));
         let found = contents(&mut store);
         assert!(matches_model(&found, &model, interrupted.as_ref()), "call {call}");
@@ -136,7 +136,7 @@
         files.clear_failures();
         store.write(&[Change::Put(b"new", b"1")]).expect("the folder works again");
         drop(store);
-        let mut later = contents(&mut open(&files, Sync::None));
+        let mut later = contents(&mut open(&files, SyncPolicy::None));
         assert_eq!(later.remove(b"new".as_slice()), Some(b"1".to_vec()));
         assert_eq!(later, found, "call {call}");
     }
@@ -149,19 +149,19 @@
     let operations = Operation::random(23, 90, 3000);
     let total_calls = {
         let files = MemoryFiles::default();
-        write_until_crash(&mut open(&files, Sync::Each), &operations, &mut Model::new());
+        write_until_crash(&mut open(&files, SyncPolicy::EachWrite), &operations, &mut Model::new());
         files.call_count()
     };
     for call in 3..=total_calls {
         for length in [1, 2, 5] {
             let files = MemoryFiles::default();
-            let mut store = open(&files, Sync::Each);
+            let mut store = open(&files, SyncPolicy::EachWrite);
             files.fail_calls(call..call + length, 0.5);
             let mut model = Model::new();
             for operation in &operations {
                 match operation.write(&mut store) {
                     Ok(()) => operation.apply(&mut model),
-                    Err(sailcart_store::Fault::Unsure { .. }) => model = contents(&mut store),
+                    Err(sailcart_store::StoreError::SyncFailed { .. }) => model = contents(&mut store),
                     Err(_) => {}
                 }
                 assert_eq!(contents(&mut store), model, "{length} errors from call {call}");
@@ -169,7 +169,7 @@
             files.clear_failures();
             store.sync().expect("the device works again");
             files.lose_power(call);
-            let found = contents(&mut open(&files, Sync::Each));
+            let found = contents(&mut open(&files, SyncPolicy::EachWrite));
             assert_eq!(found, model, "{length} errors from call {call}, after the power loss");
         }
     }
--- a/crates/sailcart-store/tests/model.rs
+++ b/crates/sailcart-store/tests/model.rs
@@ -5,7 +5,7 @@
 
 use common::{MemoryFiles, Model, Operation, contents, matches_model, open, options, write_until_crash};
 use proptest::prelude::*;
-use sailcart_store::{Store, Sync};
+use sailcart_store::{Store, SyncPolicy};
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2000, failure_persistence: None, ..ProptestConfig::default() })]
@@ -19,11 +19,11 @@
             files.restart();
             files.crash_at(call, completed_share);
             let operations = Operation::random(seed.wrapping_add(process as u64), 40, 2500);
-            let interrupted = match Store::open(files.clone(), options(Sync::None)) {
+            let interrupted = match Store::open(files.clone(), options(SyncPolicy::None)) {
                 Ok((mut store, _)) => write_until_crash(&mut store, &operations, &mut model),
                 Err(_) => None,
             };
-            let found = contents(&mut open(&files, Sync::None));
+            let found = contents(&mut open(&files, SyncPolicy::None));
             prop_assert!(matches_model(&found, &model, interrupted.as_ref()), "process {process} of seed {seed}");
             model = found;
         }
@@ -33,7 +33,7 @@
     #[test]
     fn recovery_from_arbitrary_bytes_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..600), offset in 0usize..2000, seed in any::<u64>()) {
         let files = MemoryFiles::default();
-        let mut store = open(&files, Sync::None);
+        let mut store = open(&files, SyncPolicy::None);
         write_until_crash(&mut store, &Operation::random(seed, 6, 300), &mut Model::new());
         drop(store);
         let names = files.file_names();
@@ -43,7 +43,7 @@
         overwritten.splice(offset..(offset + bytes.len()).min(overwritten.len()), bytes);
         files.write_file(name, &overwritten);
         files.restart();
-        if let Ok((mut store, _)) = Store::open(files.clone(), options(Sync::Each)) {
+        if let Ok((mut store, _)) = Store::open(files.clone(), options(SyncPolicy::EachWrite)) {
             contents(&mut store);
         }
     }
