--- a/crates/sailcart-sender/src/inspect.rs
+++ b/crates/sailcart-sender/src/inspect.rs
@@ -48,14 +48,14 @@
         count(|record| matches!(record, Record::PendingNotice(..))),
         count(|record| matches!(record, Record::Completed(..))),
         summary.segments,
-        summary.bytes,
-        summary.records
+        summary.total_segment_bytes,
+        summary.frames
     );
-    if summary.cut > 0 {
+    if summary.torn_bytes > 0 {
         let _ = write!(
             line,
             "; {} bytes of a torn write at the end, which the next start truncates",
-            summary.cut
+            summary.torn_bytes
         );
     }
     if unknown > 0 {
@@ -137,25 +137,26 @@
         entries.flatten().filter_map(|entry| entry.metadata().ok()).map(|data| data.len()).sum()
     };
     // Enough for all records, however many of them are still valid.
-    let room = StoreOptions {
-        bytes: bytes.saturating_mul(4).max(1 << 20),
+    let options = StoreOptions {
+        capacity_bytes: bytes.saturating_mul(4).max(1 << 20),
         sync: SyncPolicy::Interval(Duration::ZERO),
     };
     let with_code = |error: StoreError| format!("code={} {error}", error.code());
-    let (mut store, _) = Store::open(Disk::new(new), room).map_err(with_code)?;
+    let (mut store, _) = Store::open(Disk::new(new), options).map_err(with_code)?;
     let salvaged = sailcart_store::salvage(Disk::new(folder), &mut store).map_err(with_code)?;
-    if !salvaged.given_up.is_empty() {
+    if !salvaged.unreadable_ranges.is_empty() {
         mark_all_possibly_executed(&mut store).map_err(with_code)?;
     }
     store.sync().map_err(with_code)?;
-    let mut text = format!("{}: {} records saved into {}\n", folder.display(), salvaged.keys, new.display());
-    for (file, from, length) in &salvaged.given_up {
+    let mut text =
+        format!("{}: {} records saved into {}\n", folder.display(), salvaged.copied_keys, new.display());
+    for (file, from, length) in &salvaged.unreadable_ranges {
         let _ = match length {
             0 => writeln!(text, "given up: {file}, which is missing"),
             _ => writeln!(text, "given up: {file}, {length} bytes from byte {from} on"),
         };
     }
-    text.push_str(if salvaged.given_up.is_empty() {
+    text.push_str(if salvaged.unreadable_ranges.is_empty() {
         "nothing was given up"
     } else {
         "the completion of a packet may be among it: each packet saved counts as possibly executed, so that a sender\n\
--- a/crates/sailcart-sender/src/memory/ledger.rs
+++ b/crates/sailcart-sender/src/memory/ledger.rs
@@ -93,7 +93,7 @@
         max_completed: usize,
         sync: SyncPolicy,
     ) -> io::Result<Self> {
-        let opened = Store::open(Disk::new(folder), StoreOptions { bytes: capacity_bytes, sync });
+        let opened = Store::open(Disk::new(folder), StoreOptions { capacity_bytes, sync });
         let (store, recovered) = opened.map_err(|error| match error {
             StoreError::InUse => {
                 let message = format!("{} is in use by another sender", folder.display());
@@ -101,11 +101,11 @@
             }
             other => other.into(),
         })?;
-        if recovered.cut > 0 {
+        if recovered.torn_bytes > 0 {
             log::warn!(
                 "journal: code=torn truncated {} bytes at the end, read {} records",
-                recovered.cut,
-                recovered.records
+                recovered.torn_bytes,
+                recovered.frames
             );
         }
         let max_stored_completed = max_completed
@@ -200,10 +200,10 @@
     fn reservation(packet: &Packet) -> u64 {
         let (moment, notice) = (packet.deadline, Notice::Dismissed(Some(Default::default())));
         let state = Stand { possibly_executed_at: Some(moment), out: Some(moment), dispatches: 0 };
-        let cost = |kind, value: &[u8]| Store::<Disk>::cost(&key(kind, packet.number), value);
-        cost(RecordKind::DispatchState, &records::encode_dispatch_state(&state))
-            + cost(RecordKind::PendingNotice, &records::encode_pending_notice(&packet.id, &notice))
-            + cost(RecordKind::Completed, &records::encode_completed(&packet.id, Some(&notice)))
+        let live_size = |kind, value: &[u8]| Store::<Disk>::live_size(&key(kind, packet.number), value);
+        live_size(RecordKind::DispatchState, &records::encode_dispatch_state(&state))
+            + live_size(RecordKind::PendingNotice, &records::encode_pending_notice(&packet.id, &notice))
+            + live_size(RecordKind::Completed, &records::encode_completed(&packet.id, Some(&notice)))
     }
 
     /// The number for the next packet to be accepted.
@@ -244,8 +244,8 @@
     /// the error of the write. The packet is not accepted then.
     pub fn take(&mut self, packet: Packet) -> io::Result<()> {
         let (key, value) = (key(RecordKind::Packet, packet.number), records::encode_packet(&packet));
-        let required = Store::<Disk>::cost(&key, &value) + Self::reservation(&packet);
-        if self.store.live() + self.reserved_bytes + required > self.store.room().budget() {
+        let required = Store::<Disk>::live_size(&key, &value) + Self::reservation(&packet);
+        if self.store.live_bytes() + self.reserved_bytes + required > self.store.options().max_live_bytes() {
             if !std::mem::replace(&mut self.no_space_logged, true) {
                 log::warn!(
                     "journal: code=no_room for more packets; new ones are dismissed until others complete"
@@ -429,7 +429,7 @@
             Some(deadline) => {
                 all_recorded
                     || has_passed(deadline)
-                    || !(self.store.wants_sync() || self.backlog.contains(*number))
+                    || !(self.store.needs_sync() || self.backlog.contains(*number))
             }
         };
         let sendable =
@@ -448,7 +448,7 @@
 
     /// Whether everything that has happened is in the journal and synced as the settings ask.
     pub fn is_recorded(&self) -> bool {
-        self.backlog.is_empty() && !self.store.wants_sync()
+        self.backlog.is_empty() && !self.store.needs_sync()
     }
 
     /// The number of change groups that could not be written yet.
@@ -469,7 +469,7 @@
     }
 
     fn sync(&mut self) -> Result<(), StoreError> {
-        let synced = if self.store.wants_sync() { self.store.sync() } else { return Ok(()) };
+        let synced = if self.store.needs_sync() { self.store.sync() } else { return Ok(()) };
         self.log_write_health(&synced);
         synced
     }
--- a/crates/sailcart-store/benches/append.rs
+++ b/crates/sailcart-store/benches/append.rs
@@ -13,7 +13,7 @@
 #[divan::bench(args = [0, 1_000, 5_000])]
 fn packet(bencher: Bencher, held: u64) {
     let folder = tempfile::tempdir().expect("a temporary folder");
-    let options = StoreOptions { bytes: 3_000_000, sync: SyncPolicy::None };
+    let options = StoreOptions { capacity_bytes: 3_000_000, sync: SyncPolicy::None };
     let (mut store, _) = Store::open(Disk::new(folder.path()), options).expect("the store opens");
     for key in 0..held {
         store.write(&[Change::Put(&key.to_be_bytes(), &[7; 250])]).expect("the write succeeds");
--- a/crates/sailcart-store/examples/measure.rs
+++ b/crates/sailcart-store/examples/measure.rs
@@ -103,8 +103,8 @@
     }
 }
 
-fn open_own(folder: &Path, bytes: u64, sync: SyncPolicy) -> OwnStore {
-    OwnStore(Store::open(Disk::new(folder), StoreOptions { bytes, sync }).expect("a store").0)
+fn open_own(folder: &Path, capacity_bytes: u64, sync: SyncPolicy) -> OwnStore {
+    OwnStore(Store::open(Disk::new(folder), StoreOptions { capacity_bytes, sync }).expect("a store").0)
 }
 
 /// Total size in bytes of the files in a folder and its subfolders.
@@ -235,11 +235,13 @@
         Some("start") => {
             let (bytes, folder) = (arguments[2].parse::<u64>().expect("bytes"), Path::new(&arguments[3]));
             let start = Instant::now();
-            let (store, summary) =
-                Store::open(Disk::new(folder), StoreOptions { bytes: bytes * 2, sync: SyncPolicy::None })
-                    .expect("a store");
+            let (store, summary) = Store::open(
+                Disk::new(folder),
+                StoreOptions { capacity_bytes: bytes * 2, sync: SyncPolicy::None },
+            )
+            .expect("a store");
             let seconds = start.elapsed().as_secs_f64();
-            let mb = summary.bytes as f64 / 1e6;
+            let mb = summary.total_segment_bytes as f64 / 1e6;
             println!(
                 "| {mb:.0} MB | {} | {seconds:.3} s | {:.0} MB/s | {:.1} MB |",
                 store.len(),
--- a/crates/sailcart-store/src/compaction.rs
+++ b/crates/sailcart-store/src/compaction.rs
@@ -59,16 +59,16 @@
     ) -> Result<(), StoreError> {
         // Compaction itself may need a new segment for the live data of the oldest one, and a manifest.
         let overhead = log.options.segment_bytes() + BLOCK_BYTES * 4;
-        if log.used_bytes() + write_size + overhead > log.options.bytes {
+        if log.used_bytes() + write_size + overhead > log.options.capacity_bytes {
             self.forced_compactions += 1;
         }
         let (mut lowest_used_bytes, mut idle_steps) = (log.used_bytes(), 0);
-        while log.used_bytes() + write_size + overhead > log.options.bytes {
+        while log.used_bytes() + write_size + overhead > log.options.capacity_bytes {
             self.step(log, log.options.segment_bytes())?;
             idle_steps = if log.used_bytes() < lowest_used_bytes { 0 } else { idle_steps + 1 };
             lowest_used_bytes = lowest_used_bytes.min(log.used_bytes());
             if idle_steps > MAX_IDLE_PASSES * SEGMENTS_PER_STORE {
-                let available = log.options.bytes.saturating_sub(log.used_bytes() + overhead);
+                let available = log.options.capacity_bytes.saturating_sub(log.used_bytes() + overhead);
                 return Err(StoreError::Full { needed: write_size, available });
             }
         }
@@ -174,5 +174,6 @@
 /// Whether compaction is due: more than half of the capacity is used, or the log exceeds four times its live
 /// data by more than four segments.
 fn is_worthwhile<F: Files>(log: &SegmentedLog<F>, used_bytes: u64) -> bool {
-    used_bytes > log.options.bytes / 2 || used_bytes > log.live_bytes() * 4 + log.options.segment_bytes() * 4
+    used_bytes > log.options.capacity_bytes / 2
+        || used_bytes > log.live_bytes() * 4 + log.options.segment_bytes() * 4
 }
--- a/crates/sailcart-store/src/options.rs
+++ b/crates/sailcart-store/src/options.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct StoreOptions {
     /// Maximum total size of all files in bytes, each file rounded up to blocks of 512 bytes.
-    pub bytes: u64,
+    pub capacity_bytes: u64,
     /// When written data must be durable.
     pub sync: SyncPolicy,
 }
@@ -43,7 +43,7 @@
 impl StoreOptions {
     /// Segment size in bytes: a write that would exceed it starts a new segment.
     pub(crate) fn segment_bytes(&self) -> u64 {
-        (self.bytes / SEGMENTS_PER_STORE).clamp(*SEGMENT_BYTES.start(), *SEGMENT_BYTES.end())
+        (self.capacity_bytes / SEGMENTS_PER_STORE).clamp(*SEGMENT_BYTES.start(), *SEGMENT_BYTES.end())
     }
 
     /// Whether files are synced at all, that is, whether the store must survive a power loss.
@@ -52,14 +52,14 @@
     }
 
     /// Maximum size of the live data in bytes, including the tombstones that will delete it.
-    pub fn budget(&self) -> u64 {
+    pub fn max_live_bytes(&self) -> u64 {
         let spare = SPARE_SEGMENTS * (self.segment_bytes() + BLOCK_BYTES) + 2 * BLOCK_BYTES;
-        self.bytes.saturating_sub(spare)
+        self.capacity_bytes.saturating_sub(spare)
     }
 
     /// Maximum size of one write in bytes as a frame: one that fills a segment.
     pub fn max_write_bytes(&self) -> u64 {
-        (self.segment_bytes() - SEGMENT_HEADER_BYTES as u64).min(self.budget())
+        (self.segment_bytes() - SEGMENT_HEADER_BYTES as u64).min(self.max_live_bytes())
     }
 }
 
--- a/crates/sailcart-store/src/recovery.rs
+++ b/crates/sailcart-store/src/recovery.rs
@@ -19,11 +19,11 @@
     /// Number of segments.
     pub segments: usize,
     /// Bytes of all segments, each rounded up to blocks of 512 bytes.
-    pub bytes: u64,
+    pub total_segment_bytes: u64,
     /// Number of frames read.
-    pub records: u64,
+    pub frames: u64,
     /// Bytes of a torn write that are discarded. Its changes never took effect.
-    pub cut: u64,
+    pub torn_bytes: u64,
 }
 
 /// A log read from its folder, and a summary of it.
@@ -63,7 +63,7 @@
 /// # Errors
 /// As for [`Store::open`](crate::Store::open), except that a folder without a store is [`StoreError::MissingFile`].
 pub fn check<F: Files>(files: F, visit: &mut dyn FnMut(&[u8], &[u8])) -> Result<RecoverySummary, StoreError> {
-    let options = StoreOptions { bytes: u64::MAX / 2, sync: SyncPolicy::None };
+    let options = StoreOptions { capacity_bytes: u64::MAX / 2, sync: SyncPolicy::None };
     let Recovered { mut log, summary } = Recovery::new(files, options, false).read()?;
     let keys: Vec<Vec<u8>> = log.index.range(&[], None).map(<[u8]>::to_vec).collect();
     for key in keys {
@@ -104,7 +104,7 @@
         }
         self.summary.keys = self.log.index.len();
         self.summary.segments = self.log.segments.len();
-        self.summary.bytes =
+        self.summary.total_segment_bytes =
             self.log.segments.values().map(|segment| round_up_to_blocks(segment.length)).sum();
         Ok(Recovered { log: self.log, summary: self.summary })
     }
@@ -152,7 +152,7 @@
         let header = &header[..read.map_err(StoreError::io("reading", &name))?];
         if self.is_torn_header(header, number, context) {
             // The file holds no frames yet. It is removed before the preceding segment is written to.
-            self.summary.cut += segment_file.length;
+            self.summary.torn_bytes += segment_file.length;
             self.log.orphaned_segment = Some(number);
             return Ok(context.previous_length);
         }
@@ -188,7 +188,7 @@
                 NextFrame::End => break,
                 NextFrame::Unreadable(failure) => {
                     self.check_torn_tail(&file, segment_file, reader.offset, &failure, context.is_last)?;
-                    self.summary.cut += segment_file.length - reader.offset;
+                    self.summary.torn_bytes += segment_file.length - reader.offset;
                     self.log.has_torn_tail = true;
                     break;
                 }
@@ -207,7 +207,7 @@
             change_index: 0,
         };
         self.log.apply(frame::decode_changes(reader.body(frame_offset)).flatten(), location);
-        self.summary.records += 1;
+        self.summary.frames += 1;
     }
 
     /// Returns an error unless the unreadable bytes at this offset are a torn write at the end of the log.
--- a/crates/sailcart-store/src/salvage.rs
+++ b/crates/sailcart-store/src/salvage.rs
@@ -13,10 +13,10 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SalvageReport {
     /// Number of keys whose value was copied.
-    pub keys: usize,
+    pub copied_keys: usize,
     /// Ranges that could not be read, as file name, offset and length in bytes. The length is 0 for a missing
     /// file.
-    pub given_up: Vec<(String, u64, u64)>,
+    pub unreadable_ranges: Vec<(String, u64, u64)>,
 }
 
 /// Reads all complete frames of a folder in order and writes the resulting values to an empty store. An
@@ -37,7 +37,7 @@
     let (mut index, mut report) = (Index::default(), SalvageReport::default());
     for (previous, next) in segments.iter().zip(segments.iter().skip(1)) {
         if previous.number + 1 != next.number {
-            report.given_up.push((segment::file_name(previous.number + 1), 0, 0));
+            report.unreadable_ranges.push((segment::file_name(previous.number + 1), 0, 0));
         }
     }
     for segment in segments {
@@ -58,7 +58,7 @@
             && stored_key == key.as_slice()
         {
             target.write(&[change])?;
-            report.keys += 1;
+            report.copied_keys += 1;
         }
     }
     Ok(report)
@@ -98,7 +98,7 @@
                 let start = reader.offset;
                 let next = segment::find_next_frame(source, &file, start + 1, length)
                     .map_err(StoreError::io("reading", &name))?;
-                report.given_up.push((name.clone(), start, next.unwrap_or(length) - start));
+                report.unreadable_ranges.push((name.clone(), start, next.unwrap_or(length) - start));
                 match next {
                     Some(next) => reader = FrameReader::new(next, length),
                     None => return Ok(()),
--- a/crates/sailcart-store/src/store.rs
+++ b/crates/sailcart-store/src/store.rs
@@ -49,17 +49,17 @@
     }
 
     /// Bytes of the live data: all current values and the tombstones that will delete them.
-    pub fn live(&self) -> u64 {
+    pub fn live_bytes(&self) -> u64 {
         self.log.live_bytes()
     }
 
-    /// Bytes of [`StoreOptions::budget`] that a value takes, with the tombstone that will delete it.
-    pub fn cost(key: &[u8], value: &[u8]) -> u64 {
+    /// Bytes of [`StoreOptions::max_live_bytes`] that a value takes, with the tombstone that will delete it.
+    pub fn live_size(key: &[u8], value: &[u8]) -> u64 {
         (frame::frame_size(&[Change::Put(key, value)]) + frame::frame_size(&[Change::Delete(key)])) as u64
     }
 
     /// The options that the store was opened with.
-    pub fn room(&self) -> StoreOptions {
+    pub fn options(&self) -> StoreOptions {
         self.log.options
     }
 
@@ -92,7 +92,7 @@
     /// durable.
     pub fn write(&mut self, changes: &[Change]) -> Result<(), StoreError> {
         self.check_sizes(changes)?;
-        self.check_budget(changes)?;
+        self.check_live_bytes(changes)?;
         self.log.prepare_write()?;
         self.compaction.rewrite_unsynced(&mut self.log).map_err(StoreError::into_not_written)?;
         let write_size = frame::frame_size(changes) as u64;
@@ -126,12 +126,15 @@
         Ok(())
     }
 
-    /// Checks that the live data after the changes, with its tombstones, fits the budget.
-    fn check_budget(&self, changes: &[Change]) -> Result<(), StoreError> {
+    /// Checks that the live data after the changes, with its tombstones, fits [`StoreOptions::max_live_bytes`].
+    fn check_live_bytes(&self, changes: &[Change]) -> Result<(), StoreError> {
         let growth: i64 = changes.iter().map(|change| self.live_growth(change)).sum();
-        let (live, budget) = (self.live(), self.log.options.budget());
-        if growth > 0 && live + growth as u64 > budget {
-            return Err(StoreError::Full { needed: growth as u64, available: budget.saturating_sub(live) });
+        let (live_bytes, max_live_bytes) = (self.live_bytes(), self.log.options.max_live_bytes());
+        if growth > 0 && live_bytes + growth as u64 > max_live_bytes {
+            return Err(StoreError::Full {
+                needed: growth as u64,
+                available: max_live_bytes.saturating_sub(live_bytes),
+            });
         }
         Ok(())
     }
@@ -159,7 +162,7 @@
     }
 
     /// Whether written data awaits a [`Store::sync`].
-    pub fn wants_sync(&self) -> bool {
+    pub fn needs_sync(&self) -> bool {
         self.log.needs_sync
     }
 
--- a/crates/sailcart-store/tests/common/mod.rs
+++ b/crates/sailcart-store/tests/common/mod.rs
@@ -380,7 +380,7 @@
 }
 
 pub fn options(sync: SyncPolicy) -> StoreOptions {
-    StoreOptions { bytes: 64 * 1024, sync }
+    StoreOptions { capacity_bytes: 64 * 1024, sync }
 }
 
 pub fn open(files: &MemoryFiles, sync: SyncPolicy) -> Store<MemoryFiles> {
--- a/crates/sailcart-store/tests/damage.rs
+++ b/crates/sailcart-store/tests/damage.rs
@@ -142,12 +142,13 @@
     assert!(try_open(&files).is_err());
     let new_folder = MemoryFiles::default();
     let mut store = open(&new_folder, SyncPolicy::None);
-    let SalvageReport { keys, given_up } = salvage(files, &mut store).expect("the folder is readable");
-    assert_eq!(given_up.len(), 1);
-    let (file, start, length) = &given_up[0];
-    assert!(*file == name && *start <= at as u64 && at as u64 <= start + length, "{given_up:?}");
+    let SalvageReport { copied_keys, unreadable_ranges } =
+        salvage(files, &mut store).expect("the folder is readable");
+    assert_eq!(unreadable_ranges.len(), 1);
+    let (file, start, length) = &unreadable_ranges[0];
+    assert!(*file == name && *start <= at as u64 && at as u64 <= start + length, "{unreadable_ranges:?}");
     let found = contents(&mut store);
-    assert_eq!(found.len(), keys);
+    assert_eq!(found.len(), copied_keys);
     // At most the keys of the lost frame differ.
     let differing = expected.iter().filter(|(key, value)| found.get(*key) != Some(value)).count();
     assert!(differing <= 2, "{differing} of {}", expected.len());
