--- a/crates/sailcart-drill/src/instance.rs
+++ b/crates/sailcart-drill/src/instance.rs
@@ -114,9 +114,9 @@
         full: bool,
         entries: &[Entry],
     ) -> Result<(), ValueError> {
-        let mut listings = Vec::with_capacity(entries.len());
+        let mut list_entries = Vec::with_capacity(entries.len());
         for entry in entries {
-            listings.push(ListEntry {
+            list_entries.push(ListEntry {
                 endpoint: self.ids.endpoint(&entry.endpoint),
                 destination: DestinationId(entry.destination),
                 kind: KindId(position(&self.names.kinds, &entry.kind, "type")?),
@@ -124,7 +124,7 @@
                 rate: entry.rate,
             });
         }
-        self.sender.update_list(self.now(wall_time), full, &listings);
+        self.sender.update_list(self.now(wall_time), full, &list_entries);
         Ok(())
     }
 
--- a/crates/sailcart-sender/src/exchange/calls.rs
+++ b/crates/sailcart-sender/src/exchange/calls.rs
@@ -121,7 +121,7 @@
         let mut calls = Vec::new();
         for (endpoint, dispatches) in std::mem::take(&mut self.dispatches) {
             let Some(Place { address, kind, .. }) = self.directory.place(endpoint) else { continue };
-            let batch = self.batch_by_kind[usize::from(kind)];
+            let batch = self.max_batch_by_kind[usize::from(kind)];
             for chunk in dispatches.chunks(batch) {
                 let cancelled = Rc::new(Notify::new());
                 let ids = chunk.iter().map(|(id, _)| *id);
--- a/crates/sailcart-sender/src/exchange/host_state.rs
+++ b/crates/sailcart-sender/src/exchange/host_state.rs
@@ -23,10 +23,10 @@
     /// Ids of the categories, customers and kinds that the settings name.
     pub(super) names: Names,
     /// Largest number of packets in one call, by endpoint kind.
-    pub(super) batch_by_kind: Vec<usize>,
+    pub(super) max_batch_by_kind: Vec<usize>,
     /// Patience by category. Bounds the deadline of restored packets, whose wall clock times may be wrong.
     pub(super) patience_by_category: Vec<Duration>,
-    pub(super) retry_after: Option<Duration>,
+    pub(super) max_retry_after: Option<Duration>,
     pub(super) ledger: Ledger,
     /// Live endpoints and the known destinations.
     pub(super) directory: Directory,
@@ -62,9 +62,9 @@
         HostState {
             clock,
             names,
-            batch_by_kind: settings.kinds.iter().map(|kind| kind.max_batch.max(1)).collect(),
+            max_batch_by_kind: settings.kinds.iter().map(|kind| kind.max_batch.max(1)).collect(),
             patience_by_category: settings.categories.iter().map(|category| category.patience).collect(),
-            retry_after: settings.max_retry_after,
+            max_retry_after: settings.max_retry_after,
             ledger,
             directory: Directory::new(),
             has_current_list: false,
--- a/crates/sailcart-sender/src/exchange/packets.rs
+++ b/crates/sailcart-sender/src/exchange/packets.rs
@@ -115,7 +115,7 @@
             return Err(failure.map_or(Answer::Accepted, Answer::from));
         }
         if *stopped {
-            return Err(Answer::Dismissed(host.retry_after));
+            return Err(Answer::Dismissed(host.max_retry_after));
         }
         let now = host.clock.now();
         let packet = host.to_packet(put, now);
@@ -125,7 +125,7 @@
         }
         host.ledger.take(packet).map_err(|error| {
             log::debug!("packet {} dismissed, code=journal {error}", put.id);
-            Answer::Dismissed(host.retry_after)
+            Answer::Dismissed(host.max_retry_after)
         })?;
         let number = accepted.id;
         log::debug!(
--- a/crates/sailcart-sender/src/life/start.rs
+++ b/crates/sailcart-sender/src/life/start.rs
@@ -53,14 +53,15 @@
     // call that crosses the endpoint's close is lost.
     let pool = Pool::new(mandate.carriage.idle_close * 7 / 8, bounds.idle);
     let endpoints = Rc::new(Endpoints::new(pool, settings.connect_timeout));
-    let asked = settings.max_list_staleness;
+    let max_list_staleness = settings.max_list_staleness;
     let exchange = Rc::new(Exchange::new(settings, mandate.seed, mandate.names, ledger));
     recovery::recover(&exchange, &known);
     let reload_target = match mandate.source {
         Source::Platform(discovery) => {
             let (address_sender, address_receiver) = watch::channel(discovery);
             let (first_call_completed, first_call) = oneshot::channel();
-            let (version, schedule) = (known.summary().version, Rhythm::new(asked, mandate.seed));
+            let (version, schedule) =
+                (known.summary().version, Rhythm::new(max_list_staleness, mandate.seed));
             drop(known); // it may be large
             let follower = platform::Follower::new(
                 address_receiver.clone(),
@@ -71,7 +72,7 @@
             );
             spawn_local(follower.follow(first_call_completed));
             spawn_local(platform::send_notices(address_receiver, exchange.clone()));
-            if asked.is_none() {
+            if max_list_staleness.is_none() {
                 // What the agent has counts as known from the first moment on, and the list of the previous
                 // process may name endpoints that have drained since. The start waits for one call at most
                 // if the agent is silent.
--- a/crates/sailcart-terms/src/lib.rs
+++ b/crates/sailcart-terms/src/lib.rs
@@ -158,14 +158,14 @@
 fn read_kind(domain: &Value, index: usize) -> Result<Kind, ValueError> {
     let own_limits = list_in(domain, "own_limits")?;
     let batches = list_in(domain, "kind_batch")?;
-    let has_own_limits = own_limits
+    let per_route_limits = own_limits
         .get(index)
         .or(own_limits.last())
         .and_then(Value::as_bool)
         .ok_or("expected an array of true or false in own_limits")?;
-    let batch = batches.get(index).or(batches.last()).and_then(Value::as_u64);
-    let batch = batch.ok_or("expected an array of whole numbers in kind_batch")?;
-    Ok(Kind { per_route_limits: has_own_limits, max_batch: usize::try_from(batch).unwrap_or(1) })
+    let max_batch = batches.get(index).or(batches.last()).and_then(Value::as_u64);
+    let max_batch = max_batch.ok_or("expected an array of whole numbers in kind_batch")?;
+    Ok(Kind { per_route_limits, max_batch: usize::try_from(max_batch).unwrap_or(1) })
 }
 
 fn index_by_name(names: Vec<&str>) -> HashMap<String, usize> {
--- a/src/control.rs
+++ b/src/control.rs
@@ -149,15 +149,15 @@
     /// upstream that lost calls at random is slow for that time.
     fn slow_start_rate(&self, now: Duration, parameters: &Parameters) -> f64 {
         let recovery = &parameters.recovery;
-        let warm_up = match self.health {
+        let warm_up_progress = match self.health {
             Health::Healthy => return f64::INFINITY,
             Health::Unresponsive | Health::Ejected => 0.0,
             Health::Recovering(since) => {
                 now.saturating_sub(since).as_secs_f64() / recovery.warm_up.as_secs_f64()
             }
         };
-        let capacity_share =
-            recovery.initial_capacity_share + (1.0 - recovery.initial_capacity_share) * warm_up.min(1.0);
+        let capacity_share = recovery.initial_capacity_share
+            + (1.0 - recovery.initial_capacity_share) * warm_up_progress.min(1.0);
         let normal_rate = match self.listed_rate {
             listed if parameters.sparse_traffic => {
                 let demand = self.demand_rate(now, parameters);
