--- a/crates/sailcart-drill/src/instance.rs
+++ b/crates/sailcart-drill/src/instance.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use sailcart::{
-    CategoryId, CustomerId, DestinationId, EndpointId, Host, KeyId, KindId, Listing, Outcome, Packet,
+    CategoryId, CustomerId, DestinationId, EndpointId, Host, KeyId, KindId, ListEntry, Outcome, Packet,
     PacketId, Sender,
 };
-use sailcart_terms::{Fault, Names, read_milliseconds, read_number, read_text};
+use sailcart_terms::{Names, ValueError, read_milliseconds, read_number, read_text};
 use serde_json::{Value, json};
 
 use crate::message::Message;
@@ -23,7 +23,7 @@
 }
 
 impl Entry {
-    pub fn read(entry: &Value) -> Result<Self, Fault> {
+    pub fn read(entry: &Value) -> Result<Self, ValueError> {
         let message = Message::unnamed(entry, "rows_in")?;
         message.text(1, "rack_zone")?;
         let live = match message.text(4, "state")? {
@@ -95,10 +95,10 @@
 }
 
 impl Instance {
-    pub fn new(wall_time: Duration, seed: u64, settings: &Value) -> Result<Self, Fault> {
-        let (terms, names) = sailcart_terms::read(settings)?;
-        let mut sender = Sender::new(terms, seed);
-        sender.list_failed(Duration::ZERO); // the list is not being watched yet
+    pub fn new(wall_time: Duration, seed: u64, settings_value: &Value) -> Result<Self, ValueError> {
+        let (settings, names) = sailcart_terms::read(settings_value)?;
+        let mut sender = Sender::new(settings, seed);
+        sender.list_request_failed(Duration::ZERO); // the list is not being watched yet
         Ok(Instance { sender, names, ids: IdMap::default(), start: wall_time })
     }
 
@@ -108,10 +108,15 @@
     }
 
     /// Applies a destination list, full or incremental.
-    pub fn update_list(&mut self, wall_time: Duration, full: bool, entries: &[Entry]) -> Result<(), Fault> {
-        let mut listings = Vec::with_capacity(entries.len());
+    pub fn update_list(
+        &mut self,
+        wall_time: Duration,
+        full: bool,
+        entries: &[Entry],
+    ) -> Result<(), ValueError> {
+        let mut list_entries = Vec::with_capacity(entries.len());
         for entry in entries {
-            listings.push(Listing {
+            list_entries.push(ListEntry {
                 endpoint: self.ids.endpoint(&entry.endpoint),
                 destination: DestinationId(entry.destination),
                 kind: KindId(position(&self.names.kinds, &entry.kind, "type")?),
@@ -119,17 +124,17 @@
                 rate: entry.rate,
             });
         }
-        self.sender.list(self.now(wall_time), full, &listings);
+        self.sender.update_list(self.now(wall_time), full, &list_entries);
         Ok(())
     }
 
     /// Handles a failed request for the destination list.
-    pub fn list_failed(&mut self, wall_time: Duration) {
-        self.sender.list_failed(self.now(wall_time));
+    pub fn list_request_failed(&mut self, wall_time: Duration) {
+        self.sender.list_request_failed(self.now(wall_time));
     }
 
     /// Submits a packet (`Demand`).
-    pub fn submit(&mut self, wall_time: Duration, message: &Message) -> Result<(), Fault> {
+    pub fn submit(&mut self, wall_time: Duration, message: &Message) -> Result<(), ValueError> {
         let handle = message.text(0, "handle")?;
         let key = message.optional(1).map(|key| read_text(key, "path_key")).transpose()?;
         let deadline = read_milliseconds(message.required(3, "deadline_ms")?, "deadline_ms")?;
@@ -146,17 +151,17 @@
             category: CategoryId(category),
             customer: customer.map(CustomerId),
             key: key.map(|key| self.ids.key(key)),
-            ends: self.now(deadline),
+            deadline: self.now(deadline),
             dispatches: 0,
-            doubt: None,
-            taken_on: false,
+            possibly_executed_at: None,
+            accepted_by_previous_process: false,
         };
-        self.sender.take(self.now(wall_time), packet);
+        self.sender.accept(self.now(wall_time), packet);
         Ok(())
     }
 
     /// Handles the outcome of a dispatch (`Verdict`).
-    pub fn complete_dispatch(&mut self, wall_time: Duration, message: &Message) -> Result<(), Fault> {
+    pub fn complete_dispatch(&mut self, wall_time: Duration, message: &Message) -> Result<(), ValueError> {
         let handle = message.text(0, "handle")?;
         message.unsigned(1, "send_no")?;
         let elapsed = read_milliseconds(message.required(2, "elapsed_ms")?, "elapsed_ms")?;
@@ -179,18 +184,18 @@
         if let Some(id) = self.ids.packets.get(handle).copied() {
             let column = |index: usize| message.optional(7)?.as_array()?.get(index)?.as_f64();
             let report =
-                self.names.reports.as_ref().and_then(|fields| fields.read(|(index, _)| column(*index)));
+                self.names.report_fields.as_ref().and_then(|fields| fields.read(|(index, _)| column(*index)));
             if let Some(report) = report {
-                self.sender.report(id, report);
+                self.sender.record_report(id, report);
             }
-            self.sender.outcome(now, id, elapsed, outcome, settled);
+            self.sender.record_outcome(now, id, elapsed, outcome, settled);
             self.remove_if_completed(id);
         }
         Ok(())
     }
 
     /// Withdraws a packet that its client has given up (`Dropped`).
-    pub fn withdraw(&mut self, wall_time: Duration, message: &Message) -> Result<(), Fault> {
+    pub fn withdraw(&mut self, wall_time: Duration, message: &Message) -> Result<(), ValueError> {
         let handle = message.text(0, "handle")?;
         let now = self.now(wall_time);
         if let Some(id) = self.ids.packets.get(handle).copied() {
@@ -201,7 +206,7 @@
     }
 
     fn remove_if_completed(&mut self, id: PacketId) {
-        if !self.sender.holds(id) {
+        if !self.sender.is_tracked(id) {
             self.ids.remove_packet(id);
         }
     }
@@ -216,7 +221,7 @@
 }
 
 /// The position of a name in the settings.
-fn position(names: &HashMap<String, usize>, name: &str, what: &str) -> Result<usize, Fault> {
+fn position(names: &HashMap<String, usize>, name: &str, what: &str) -> Result<usize, ValueError> {
     let position = names.get(name).copied();
     position.ok_or_else(|| format!("expected a name from the settings in {what}, not {name}").into())
 }
@@ -256,7 +261,7 @@
         self.messages.push(json!(["Release", self.ids.addresses.get(endpoint.0 as usize)]));
     }
 
-    fn ask_list(&mut self) {
+    fn request_list(&mut self) {
         self.messages.push(json!(["Follow", true]));
     }
 
--- a/crates/sailcart-lab/src/capacity/decision_module.rs
+++ b/crates/sailcart-lab/src/capacity/decision_module.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use sailcart::{
-    Category, CategoryId, DestinationId, EndpointId, Host, Kind, KindId, Listing, Outcome, Packet, PacketId,
-    Repeat, Return, Sender, Terms,
+    Category, CategoryId, DestinationId, EndpointId, Host, Kind, KindId, ListEntry, Outcome, Packet,
+    PacketId, RecoveryProfile, Repeat, Sender, Settings,
 };
 
 use super::scaling::CountsVisits;
@@ -52,7 +52,7 @@
 
     fn close_idle(&mut self, _: EndpointId) {}
 
-    fn ask_list(&mut self) {}
+    fn request_list(&mut self) {}
 
     fn wake(&mut self, _: Duration) {}
 }
@@ -65,32 +65,36 @@
     next_packet_id: u64,
 }
 
-fn terms() -> Terms {
+fn terms() -> Settings {
     let category = Category {
         repeat: Repeat::Idempotent,
         in_order: false,
         soft_limit: Duration::from_secs(1),
         patience: Duration::from_secs(60),
         credit: 1.0,
-        late_share: 0.5,
+        min_credit_share: 0.5,
     };
-    Terms {
+    Settings {
         senders: FLEET_SENDERS,
         slots: 64,
-        hold: 100_000,
-        dispatches: 6,
-        cancel: true,
-        connect_time_out: Duration::from_secs(1),
+        max_held: 100_000,
+        max_dispatches: 6,
+        can_cancel: true,
+        connect_timeout: Duration::from_secs(1),
         categories: vec![category],
-        over_share: 1.0,
-        kinds: vec![Kind { own_limits: false, batch: 1 }],
-        back: Return { cold_from: 0.3, cold: Duration::from_secs(10), fall_multiple: 1.5 },
-        ..Terms::default()
+        over_quota_credit_share: 1.0,
+        kinds: vec![Kind { per_route_limits: false, max_batch: 1 }],
+        recovery: RecoveryProfile {
+            initial_capacity_share: 0.3,
+            warm_up: Duration::from_secs(10),
+            overload_factor: 1.5,
+        },
+        ..Settings::default()
     }
 }
 
-fn listing(index: u64, live: bool) -> Listing {
-    Listing {
+fn listing(index: u64, live: bool) -> ListEntry {
+    ListEntry {
         endpoint: EndpointId(index as u32),
         destination: DestinationId(index),
         kind: KindId(0),
@@ -120,18 +124,18 @@
             category: CategoryId(0),
             customer: None,
             key: None,
-            ends: self.now + Duration::from_secs(60),
+            deadline: self.now + Duration::from_secs(60),
             dispatches: 0,
-            doubt: None,
-            taken_on: false,
+            possibly_executed_at: None,
+            accepted_by_previous_process: false,
         };
-        self.sender.take(self.now, packet);
+        self.sender.accept(self.now, packet);
     }
 
     /// Completes all calls in flight successfully.
     fn complete_calls(&mut self) {
         for id in std::mem::take(&mut self.host.dispatched) {
-            self.sender.outcome(self.now, id, CALL_DURATION, Outcome::Done, true);
+            self.sender.record_outcome(self.now, id, CALL_DURATION, Outcome::Done, true);
         }
     }
 
@@ -140,19 +144,19 @@
     }
 
     /// Applies a full list that was built beforehand.
-    fn apply_list(&mut self, entries: &[Listing]) {
-        self.sender.list(self.now, true, entries);
+    fn apply_list(&mut self, entries: &[ListEntry]) {
+        self.sender.update_list(self.now, true, entries);
     }
 }
 
 impl ScalingSubject for DecisionModule {
     fn apply_full_list(&mut self, destinations: u64) {
-        let entries: Vec<Listing> = (0..destinations).map(|index| listing(index, true)).collect();
+        let entries: Vec<ListEntry> = (0..destinations).map(|index| listing(index, true)).collect();
         self.apply_list(&entries);
     }
 
     fn apply_change(&mut self, destination: DestinationIndex, live: bool) {
-        self.sender.list(self.now, false, &[listing(destination.0, live)]);
+        self.sender.update_list(self.now, false, &[listing(destination.0, live)]);
     }
 
     fn run_round(&mut self, busy: &[DestinationIndex]) {
@@ -166,7 +170,7 @@
 
 impl CountsVisits for DecisionModule {
     fn entries_visited(&self) -> u64 {
-        self.sender.visited()
+        self.sender.entries_visited()
     }
 }
 
@@ -191,7 +195,7 @@
     sizes: &Sizes,
     measurements: &mut Measurements,
 ) -> Result<Vec<DecisionModule>, Fault> {
-    let entries: Vec<Listing> = (0..size as u64).map(|index| listing(index, true)).collect();
+    let entries: Vec<ListEntry> = (0..size as u64).map(|index| listing(index, true)).collect();
     let count = (TOTAL_DESTINATIONS / size.max(1)).clamp(1, MAX_MODULES);
     let bytes_before = resident_bytes()?;
     let mut modules: Vec<DecisionModule> = (0..count).map(|_| DecisionModule::default()).collect();
--- a/crates/sailcart-lab/src/plan.rs
+++ b/crates/sailcart-lab/src/plan.rs
@@ -12,7 +12,8 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Exp, LogNormal};
 use sailcart::{
-    CategoryId, CustomerId, DestinationId, EndpointId, KeyId, KindId, Late, Listing, Return, Terms,
+    CategoryId, CreditDecay, CustomerId, DestinationId, EndpointId, KeyId, KindId, ListEntry,
+    RecoveryProfile, Settings,
 };
 
 use crate::experiment::{self, Experiment, Fault, Repeat, Trouble, TroubleKind, begins};
@@ -122,7 +123,7 @@
 pub struct Plan {
     pub experiment: Experiment,
     pub seed: u64,
-    pub terms: Terms,
+    pub terms: Settings,
     pub destinations: Vec<Destination>,
     pub places: Vec<Place>,
     pub struck: Vec<Struck>,
@@ -201,15 +202,15 @@
     }
 
     /// The list entry of an endpoint.
-    pub fn listing(&self, endpoint: EndpointId, live: bool) -> Listing {
+    pub fn listing(&self, endpoint: EndpointId, live: bool) -> ListEntry {
         let place = self.place(endpoint);
         let destination = self.destination(place.destination);
         let rate = if self.experiment.senders.rates_listed { destination.rate } else { 0.0 };
-        Listing { endpoint, destination: place.destination, kind: destination.kind, live, rate }
+        ListEntry { endpoint, destination: place.destination, kind: destination.kind, live, rate }
     }
 
     /// The list at a given time.
-    pub fn list_at(&self, now: Duration) -> Vec<Listing> {
+    pub fn list_at(&self, now: Duration) -> Vec<ListEntry> {
         let mut live: BTreeMap<EndpointId, bool> =
             self.places.iter().filter(|p| p.from.is_zero()).map(|p| (p.endpoint, true)).collect();
         for change in self.changes.iter().take_while(|change| change.at <= now) {
@@ -255,11 +256,11 @@
         let soft_limit = category.soft_limit.as_secs_f64();
         let share = match credit_decay(&self.experiment) {
             _ if late_by == 0.0 => 1.0,
-            Late::Line => {
+            CreditDecay::Linear => {
                 let max_late_by = (category.patience - category.soft_limit).as_secs_f64().max(1e-6);
                 1.0 - (1.0 - category.late_share) * late_by / max_late_by
             }
-            Late::Halves => 0.5f64.powf(late_by / soft_limit).max(category.late_share),
+            CreditDecay::Halving => 0.5f64.powf(late_by / soft_limit).max(category.late_share),
         };
         share * self.whole_credit(origin)
     }
@@ -483,25 +484,25 @@
 }
 
 /// The decay of credit as a setting of the sender.
-fn credit_decay(experiment: &Experiment) -> Late {
+fn credit_decay(experiment: &Experiment) -> CreditDecay {
     match experiment.late {
-        experiment::Late::Line => Late::Line,
-        experiment::Late::Halves => Late::Halves,
+        experiment::Late::Line => CreditDecay::Linear,
+        experiment::Late::Halves => CreditDecay::Halving,
     }
 }
 
 /// The settings of each sender at its start.
-fn sender_terms(experiment: &Experiment) -> Terms {
+fn sender_terms(experiment: &Experiment) -> Settings {
     let senders = &experiment.senders;
-    Terms {
+    Settings {
         senders: senders.count,
         slots: senders.slots,
-        hold: senders.hold,
-        dispatches: senders.dispatches,
-        cancel: senders.cancel,
-        connect_time_out: senders.connect_time_out,
-        retry_after: senders.retry_after,
-        settle: experiment.rules.settle,
+        max_held: senders.hold,
+        max_dispatches: senders.dispatches,
+        can_cancel: senders.cancel,
+        connect_timeout: senders.connect_time_out,
+        max_retry_after: senders.retry_after,
+        key_block_time: experiment.rules.settle,
         categories: experiment
             .categories
             .iter()
@@ -517,24 +518,28 @@
                 soft_limit: category.soft_limit,
                 patience: category.patience,
                 credit: category.credit,
-                late_share: category.late_share,
+                min_credit_share: category.late_share,
             })
             .collect(),
-        customers: experiment.customers.iter().map(|c| sailcart::Customer { quota: c.quota }).collect(),
-        over_share: experiment.rules.over_share,
+        customers: experiment
+            .customers
+            .iter()
+            .map(|c| sailcart::Customer { packets_per_second: c.quota })
+            .collect(),
+        over_quota_credit_share: experiment.rules.over_share,
         kinds: experiment
             .kinds
             .iter()
-            .map(|kind| sailcart::Kind { own_limits: kind.own_limits, batch: kind.batch })
+            .map(|kind| sailcart::Kind { per_route_limits: kind.own_limits, max_batch: kind.batch })
             .collect(),
         rates_listed: senders.rates_listed,
-        list_asked: None,
-        limits_told: true, // as in the settings of sender processes in sockets mode
-        late: credit_decay(experiment),
-        back: Return {
-            cold_from: experiment.rules.cold_from,
-            cold: experiment.rules.cold,
-            fall_multiple: experiment.rules.fall_multiple,
+        max_list_staleness: None,
+        limits_reported: true, // as in the settings of sender processes in sockets mode
+        credit_decay: credit_decay(experiment),
+        recovery: RecoveryProfile {
+            initial_capacity_share: experiment.rules.cold_from,
+            warm_up: experiment.rules.cold,
+            overload_factor: experiment.rules.fall_multiple,
         },
     }
 }
--- a/crates/sailcart-lab/src/policies/baseline.rs
+++ b/crates/sailcart-lab/src/policies/baseline.rs
@@ -9,7 +9,7 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use sailcart::{DestinationId, EndpointId, Host, Listing, Outcome, Packet, PacketId, Repeat, Terms};
+use sailcart::{DestinationId, EndpointId, Host, ListEntry, Outcome, Packet, PacketId, Repeat, Settings};
 
 use super::{OracleView, Policy, PolicyName};
 
@@ -65,7 +65,7 @@
 /// A sender that decides by a baseline policy.
 pub struct Baseline {
     name: PolicyName,
-    terms: Terms,
+    terms: Settings,
     rng: ChaCha8Rng,
     packets: BTreeMap<PacketId, TrackedPacket>,
     queue: VecDeque<PacketId>,
@@ -81,7 +81,7 @@
 
 impl Baseline {
     /// Creates a sender; `name` is one of the baselines.
-    pub fn new(name: PolicyName, terms: Terms, seed: u64) -> Self {
+    pub fn new(name: PolicyName, terms: Settings, seed: u64) -> Self {
         Baseline {
             name,
             terms,
@@ -100,7 +100,7 @@
     /// been executed, before its receiver stops recognising repeats.
     fn last_dispatch_at(&self, tracked: &TrackedPacket) -> Duration {
         let patience = self.terms.categories[tracked.packet.category.0].patience;
-        let last_dispatch_at = tracked.packet.ends.saturating_sub(patience / FINAL_PATIENCE_DIVISOR);
+        let last_dispatch_at = tracked.packet.deadline.saturating_sub(patience / FINAL_PATIENCE_DIVISOR);
         tracked.deduplicated_until.map_or(last_dispatch_at, |recognised_until| {
             last_dispatch_at.min(recognised_until.saturating_sub(patience / FINAL_PATIENCE_DIVISOR))
         })
@@ -116,7 +116,7 @@
         } else {
             host.dismiss(
                 id,
-                self.terms.retry_after.map(|max_delay| max_delay.min(BACKOFF_INITIAL_AND_MAX.0)),
+                self.terms.max_retry_after.map(|max_delay| max_delay.min(BACKOFF_INITIAL_AND_MAX.0)),
             );
         }
         self.queue.retain(|other| *other != id);
@@ -177,7 +177,8 @@
         let rank = |id: &PacketId| {
             let tracked = self.packets.get(id)?;
             let category = &self.terms.categories[tracked.packet.category.0];
-            let soft_deadline = tracked.packet.ends.saturating_sub(category.patience - category.soft_limit);
+            let soft_deadline =
+                tracked.packet.deadline.saturating_sub(category.patience - category.soft_limit);
             Some((soft_deadline < now + RECONSIDER_INTERVAL, soft_deadline, *id))
         };
         let mut ranked: Vec<_> = self.queue.iter().filter_map(rank).collect();
@@ -196,7 +197,7 @@
             );
         }
         if let Some((_, blocked_until)) = packet.key.and_then(|key| self.key_queues.get_mut(&key)) {
-            *blocked_until = now + self.terms.settle;
+            *blocked_until = now + self.terms.key_block_time;
         }
     }
 
@@ -207,13 +208,13 @@
         let one_try_used = self.name == PolicyName::OneTry && tracked.packet.dispatches > 0;
         may_repeat_effect
             || one_try_used
-            || tracked.packet.dispatches >= self.terms.dispatches
+            || tracked.packet.dispatches >= self.terms.max_dispatches
             || self.last_dispatch_at(tracked) <= now
     }
 
     /// Timeout of a call, at most `answer_timeout` if given.
     fn timeout(&self, now: Duration, packet: &Packet, answer_timeout: Option<Duration>) -> Duration {
-        let remaining = packet.ends.saturating_sub(now);
+        let remaining = packet.deadline.saturating_sub(now);
         let category = self.terms.categories[packet.category.0];
         let timeout = match category.repeat {
             Repeat::Unrepeatable => remaining,
@@ -257,7 +258,7 @@
 }
 
 impl Policy for Baseline {
-    fn list(&mut self, _: Duration, full: bool, entries: &[Listing]) {
+    fn update_list(&mut self, _: Duration, full: bool, entries: &[ListEntry]) {
         if full {
             self.endpoints.values_mut().for_each(|endpoint_state| endpoint_state.live = false);
         }
@@ -270,13 +271,14 @@
         }
     }
 
-    fn take(&mut self, _: Duration, packet: Packet) {
+    fn accept(&mut self, _: Duration, packet: Packet) {
         let category = self.terms.categories[packet.category.0];
         if let (true, Some(key)) = (category.in_order, packet.key) {
             self.key_queues.entry(key).or_default().0.push_back(packet.id);
         }
-        let deduplicated_until =
-            packet.doubt.map(|doubt| doubt.saturating_add(deduplication_window(category.repeat)));
+        let deduplicated_until = packet
+            .possibly_executed_at
+            .map(|doubt| doubt.saturating_add(deduplication_window(category.repeat)));
         let id = packet.id;
         self.packets.insert(
             id,
@@ -290,7 +292,14 @@
         self.queue.push_back(id);
     }
 
-    fn outcome(&mut self, now: Duration, id: PacketId, elapsed: Duration, outcome: Outcome, completed: bool) {
+    fn record_outcome(
+        &mut self,
+        now: Duration,
+        id: PacketId,
+        elapsed: Duration,
+        outcome: Outcome,
+        completed: bool,
+    ) {
         let Some(tracked) = self.packets.get_mut(&id) else { return };
         let PacketState::InFlight(endpoint) = tracked.state else { return };
         tracked.state = PacketState::Held;
@@ -317,7 +326,7 @@
         self.queue.push_back(id);
     }
 
-    fn may_still_go(&self, _: Duration, id: PacketId) -> bool {
+    fn may_still_dispatch(&self, _: Duration, id: PacketId) -> bool {
         let Some(PacketState::InFlight(endpoint)) = self.packets.get(&id).map(|tracked| tracked.state) else {
             return false;
         };
--- a/crates/sailcart-lab/src/policies/mod.rs
+++ b/crates/sailcart-lab/src/policies/mod.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use sailcart::{EndpointId, Host, Listing, Outcome, Packet, PacketId, Report, Sender, Terms};
+use sailcart::{EndpointId, Host, LimitReport, ListEntry, Outcome, Packet, PacketId, Sender, Settings};
 use serde::{Deserialize, Serialize};
 
 pub use baseline::Baseline;
@@ -62,16 +62,23 @@
 /// The decisions of one sender: the methods of [`Sender`], and what a baseline needs instead.
 pub trait Policy {
     /// Applies the list of endpoints, or changes of it, as [`Sender::list`] does.
-    fn list(&mut self, now: Duration, full: bool, entries: &[Listing]);
+    fn update_list(&mut self, now: Duration, full: bool, entries: &[ListEntry]);
     /// Accepts a packet that a client submitted or that the journal held at the start.
-    fn take(&mut self, now: Duration, packet: Packet);
+    fn accept(&mut self, now: Duration, packet: Packet);
     /// Reports the outcome of a dispatch after `elapsed`; `completed` if the packet needs no further
     /// dispatch.
-    fn outcome(&mut self, now: Duration, id: PacketId, elapsed: Duration, outcome: Outcome, completed: bool);
+    fn record_outcome(
+        &mut self,
+        now: Duration,
+        id: PacketId,
+        elapsed: Duration,
+        outcome: Outcome,
+        completed: bool,
+    );
     /// Reports the limit stated by the answer to a dispatch, before its outcome. No baseline uses it.
-    fn report(&mut self, _: PacketId, _: Report) {}
+    fn record_report(&mut self, _: PacketId, _: LimitReport) {}
     /// Whether a call that waited for its connection may still be written. Called before its first byte.
-    fn may_still_go(&self, now: Duration, id: PacketId) -> bool;
+    fn may_still_dispatch(&self, now: Duration, id: PacketId) -> bool;
     /// Runs a round of decisions and passes its requests to `host`.
     fn decide(&mut self, now: Duration, view: &dyn OracleView, host: &mut dyn Host);
 }
@@ -100,8 +107,8 @@
         self.0.close_idle(endpoint);
     }
 
-    fn ask_list(&mut self) {
-        self.0.ask_list();
+    fn request_list(&mut self) {
+        self.0.request_list();
     }
 
     fn wake(&mut self, after: Duration) {
@@ -110,24 +117,31 @@
 }
 
 impl Policy for Sender {
-    fn list(&mut self, now: Duration, full: bool, entries: &[Listing]) {
-        Sender::list(self, now, full, entries);
+    fn update_list(&mut self, now: Duration, full: bool, entries: &[ListEntry]) {
+        Sender::update_list(self, now, full, entries);
     }
 
-    fn take(&mut self, now: Duration, packet: Packet) {
-        Sender::take(self, now, packet);
+    fn accept(&mut self, now: Duration, packet: Packet) {
+        Sender::accept(self, now, packet);
     }
 
-    fn outcome(&mut self, now: Duration, id: PacketId, elapsed: Duration, outcome: Outcome, completed: bool) {
-        Sender::outcome(self, now, id, elapsed, outcome, completed);
+    fn record_outcome(
+        &mut self,
+        now: Duration,
+        id: PacketId,
+        elapsed: Duration,
+        outcome: Outcome,
+        completed: bool,
+    ) {
+        Sender::record_outcome(self, now, id, elapsed, outcome, completed);
     }
 
-    fn report(&mut self, id: PacketId, report: Report) {
-        Sender::report(self, id, report);
+    fn record_report(&mut self, id: PacketId, report: LimitReport) {
+        Sender::record_report(self, id, report);
     }
 
-    fn may_still_go(&self, now: Duration, id: PacketId) -> bool {
-        Sender::may_still_go(self, now, id)
+    fn may_still_dispatch(&self, now: Duration, id: PacketId) -> bool {
+        Sender::may_still_dispatch(self, now, id)
     }
 
     fn decide(&mut self, now: Duration, _: &dyn OracleView, host: &mut dyn Host) {
@@ -136,7 +150,7 @@
 }
 
 /// Creates the decisions of a sender that starts.
-pub fn start(name: PolicyName, terms: &Terms, seed: u64) -> Box<dyn Policy> {
+pub fn start(name: PolicyName, terms: &Settings, seed: u64) -> Box<dyn Policy> {
     match name {
         PolicyName::Sailcart => Box::new(Sender::new(terms.clone(), seed)),
         other => Box::new(Baseline::new(other, terms.clone(), seed)),
--- a/crates/sailcart-lab/src/receivers/limit.rs
+++ b/crates/sailcart-lab/src/receivers/limit.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sailcart::Report;
+use sailcart::LimitReport;
 
 use crate::experiment::{Limit, LimitBy};
 
@@ -96,8 +96,8 @@
     }
 
     /// The unused share of the limit, and the limit in calls per second; `None` without a limit.
-    pub fn report(&self, now: Duration) -> Option<Report> {
+    pub fn report(&self, now: Duration) -> Option<LimitReport> {
         let left = (self.calls_left(now) / self.max_calls()).clamp(0.0, 1.0);
-        (self.limit.by != LimitBy::None).then_some(Report { left, limit: self.limit.rate })
+        (self.limit.by != LimitBy::None).then_some(LimitReport { unused_share: left, limit: self.limit.rate })
     }
 }
--- a/crates/sailcart-lab/src/receivers/mod.rs
+++ b/crates/sailcart-lab/src/receivers/mod.rs
@@ -13,7 +13,7 @@
 use rand::prelude::Distribution;
 use rand_chacha::ChaCha8Rng;
 use rand_distr::LogNormal;
-use sailcart::{DestinationId, EndpointId, Report};
+use sailcart::{DestinationId, EndpointId, LimitReport};
 
 use crate::experiment::{Destinations, Repeat, Spoil};
 use crate::plan::{OriginId, Plan, chance};
@@ -96,7 +96,7 @@
     /// Whether each of its packets takes effect, in their order.
     pub effects: Vec<bool>,
     /// The state of the limit, where answers report it.
-    pub report: Option<Report>,
+    pub report: Option<LimitReport>,
     /// This call made a recovering destination fail under overload.
     pub fell: bool,
 }
@@ -113,7 +113,7 @@
     }
 
     /// A call that is rejected.
-    fn full(now: Duration, packet_count: usize, wait: Option<Duration>, report: Option<Report>) -> Self {
+    fn full(now: Duration, packet_count: usize, wait: Option<Duration>, report: Option<LimitReport>) -> Self {
         let answer = Some((now + IMMEDIATE_ANSWER_DELAY, Answer::Full(wait)));
         Reception { answer, effects: vec![false; packet_count], report, fell: false }
     }
@@ -293,7 +293,7 @@
         endpoint: EndpointId,
         packets: &[Piece],
         is_new: Vec<bool>,
-        report: Option<Report>,
+        report: Option<LimitReport>,
     ) -> Reception {
         let executed = self.rng.random_bool(0.5);
         let effects: Vec<bool> = is_new.iter().map(|is_new| *is_new && executed).collect();
--- a/crates/sailcart-lab/src/simulated/call.rs
+++ b/crates/sailcart-lab/src/simulated/call.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sailcart::{EndpointId, PacketId, Report};
+use sailcart::{EndpointId, LimitReport, PacketId};
 
 use crate::plan::SenderId;
 use crate::receivers::Answer;
@@ -19,7 +19,7 @@
         /// The answer that the receiver will send, if any.
         answer: Option<Answer>,
         /// The state of the limit that the answer reports, if any.
-        report: Option<Report>,
+        report: Option<LimitReport>,
     },
 }
 
--- a/crates/sailcart-lab/src/simulated/dispatching.rs
+++ b/crates/sailcart-lab/src/simulated/dispatching.rs
@@ -80,7 +80,7 @@
                 false
             }
             Connect::Never => {
-                let timeout = self.plan.terms.connect_time_out.min(timeout);
+                let timeout = self.plan.terms.connect_timeout.min(timeout);
                 self.queue.push(self.now + timeout, Event::ConnectFailed(id));
                 false
             }
@@ -91,7 +91,7 @@
     pub fn on_connected(&mut self, id: CallId) {
         let Some(call) = self.calls.get(&id) else { return };
         let Some(policy) = &self.senders[call.sender.0].policy else { return };
-        if !call.packets.iter().all(|packet| policy.may_still_go(self.now, *packet)) {
+        if !call.packets.iter().all(|packet| policy.may_still_dispatch(self.now, *packet)) {
             return self.finish_call(id, Outcome::NoSlot);
         }
         if self.receivers.cuts_before(self.now, call.endpoint) {
--- a/crates/sailcart-lab/src/simulated/outcomes.rs
+++ b/crates/sailcart-lab/src/simulated/outcomes.rs
@@ -109,7 +109,7 @@
         }
         let elapsed = self.now - call.started_at;
         if let Some(policy) = &mut self.senders[call.sender.0].policy {
-            policy.outcome(self.now, packet, elapsed, outcome, was_completed || done);
+            policy.record_outcome(self.now, packet, elapsed, outcome, was_completed || done);
         }
     }
 
--- a/crates/sailcart-lab/src/simulated/processes.rs
+++ b/crates/sailcart-lab/src/simulated/processes.rs
@@ -1,7 +1,7 @@
 //! Sender processes: how one starts, receives changes of the list, and dies.
 
 use rand::Rng;
-use sailcart::{Listing, Packet};
+use sailcart::{ListEntry, Packet};
 
 use super::world::World;
 use crate::plan::{SenderId, Standing, chance};
@@ -20,9 +20,9 @@
         }
         let mut policy = (self.make_policy)(self.sender_seed(sender));
         let entries = self.plan.list_at(self.now);
-        policy.list(self.now, true, &entries);
+        policy.update_list(self.now, true, &entries);
         for packet in &self.senders[sender.0].held {
-            policy.take(self.now, Packet { taken_on: true, ..self.describe(*packet) });
+            policy.accept(self.now, Packet { accepted_by_previous_process: true, ..self.describe(*packet) });
         }
         self.senders[sender.0].start(policy, self.now);
         self.observe_start(sender, &entries);
@@ -36,7 +36,7 @@
         chance(self.plan.seed ^ (process_number << 32), stream).random()
     }
 
-    fn observe_start(&mut self, sender: SenderId, entries: &[Listing]) {
+    fn observe_start(&mut self, sender: SenderId, entries: &[ListEntry]) {
         if !self.now.is_zero() {
             self.observe(Seen::SenderUp(sender));
         }
@@ -52,7 +52,7 @@
         };
         let change = self.plan.changes[change];
         let live = change.standing == Standing::Ready;
-        policy.list(self.now, false, &[self.plan.listing(change.endpoint, live)]);
+        policy.update_list(self.now, false, &[self.plan.listing(change.endpoint, live)]);
         self.observe(if live {
             Seen::ToldOn(sender, change.endpoint)
         } else {
--- a/crates/sailcart-lab/src/simulated/rounds.rs
+++ b/crates/sailcart-lab/src/simulated/rounds.rs
@@ -35,7 +35,7 @@
         state.held.insert(packet);
         state.unconfirmed.push(packet);
         if let Some(policy) = &mut state.policy {
-            policy.take(self.now, description);
+            policy.accept(self.now, description);
         }
         self.request_round(sender);
     }
@@ -50,10 +50,10 @@
             category: origin.category,
             customer: origin.customer,
             key: origin.key,
-            ends: submission.deadline,
+            deadline: submission.deadline,
             dispatches: submission.dispatches,
-            doubt: submission.possibly_executed_at,
-            taken_on: false,
+            possibly_executed_at: submission.possibly_executed_at,
+            accepted_by_previous_process: false,
         }
     }
 
--- a/crates/sailcart-lab/src/simulated/sender.rs
+++ b/crates/sailcart-lab/src/simulated/sender.rs
@@ -116,7 +116,7 @@
     }
 
     /// The simulation sends lists without being asked.
-    fn ask_list(&mut self) {}
+    fn request_list(&mut self) {}
 
     fn wake(&mut self, after: Duration) {
         self.wake = Some(self.wake.map_or(after, |earlier| earlier.min(after)));
--- a/crates/sailcart-lab/src/sockets/protocol.rs
+++ b/crates/sailcart-lab/src/sockets/protocol.rs
@@ -9,7 +9,7 @@
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
-use sailcart::{EndpointId, Report};
+use sailcart::{EndpointId, LimitReport};
 use serde_json::{Value, json};
 
 use super::http::{Call, response};
@@ -156,9 +156,9 @@
 }
 
 /// The response to a call with these packets; `None` if the connection is reset instead.
-pub fn response_bytes(answer: &Answer, ids: &[String], report: Option<Report>) -> Option<Vec<u8>> {
-    let report = report.map_or(String::new(), |Report { left, limit }| {
-        format!("X-Load-Report: x0={left:.3},x1={limit:.3}\r\n")
+pub fn response_bytes(answer: &Answer, ids: &[String], report: Option<LimitReport>) -> Option<Vec<u8>> {
+    let report = report.map_or(String::new(), |LimitReport { unused_share, limit }| {
+        format!("X-Load-Report: x0={unused_share:.3},x1={limit:.3}\r\n")
     });
     let is_batch = ids.len() > 1;
     let batch_body = |state: &dyn Fn(usize) -> &'static str| {
--- a/crates/sailcart-lab/tests/recorded_days.rs
+++ b/crates/sailcart-lab/tests/recorded_days.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use crc32fast::Hasher;
-use sailcart::{EndpointId, Host, Listing, Outcome, Packet, PacketId, Report, Sender};
+use sailcart::{EndpointId, Host, LimitReport, ListEntry, Outcome, Packet, PacketId, Sender};
 use sailcart_lab::events::Log;
 use sailcart_lab::experiment::read_text;
 use sailcart_lab::plan::Plan;
@@ -96,9 +96,9 @@
         }
         self.host.close_idle(endpoint);
     }
-    fn ask_list(&mut self) {
+    fn request_list(&mut self) {
         self.record(format_args!("ask"));
-        self.host.ask_list();
+        self.host.request_list();
     }
     fn wake(&mut self, after: Duration) {
         self.record(format_args!("wake {after:?}"));
@@ -107,20 +107,27 @@
 }
 
 impl Policy for RecordedModule {
-    fn list(&mut self, now: Duration, full: bool, entries: &[Listing]) {
-        self.module.list(now, full, entries);
-    }
-    fn take(&mut self, now: Duration, packet: Packet) {
-        self.module.take(now, packet);
-    }
-    fn outcome(&mut self, now: Duration, id: PacketId, elapsed: Duration, outcome: Outcome, over: bool) {
-        self.module.outcome(now, id, elapsed, outcome, over);
-    }
-    fn report(&mut self, id: PacketId, report: Report) {
-        self.module.report(id, report);
-    }
-    fn may_still_go(&self, now: Duration, id: PacketId) -> bool {
-        self.module.may_still_go(now, id)
+    fn update_list(&mut self, now: Duration, full: bool, entries: &[ListEntry]) {
+        self.module.update_list(now, full, entries);
+    }
+    fn accept(&mut self, now: Duration, packet: Packet) {
+        self.module.accept(now, packet);
+    }
+    fn record_outcome(
+        &mut self,
+        now: Duration,
+        id: PacketId,
+        elapsed: Duration,
+        outcome: Outcome,
+        over: bool,
+    ) {
+        self.module.record_outcome(now, id, elapsed, outcome, over);
+    }
+    fn record_report(&mut self, id: PacketId, report: LimitReport) {
+        self.module.record_report(id, report);
+    }
+    fn may_still_dispatch(&self, now: Duration, id: PacketId) -> bool {
+        self.module.may_still_dispatch(now, id)
     }
     fn decide(&mut self, now: Duration, _: &dyn OracleView, host: &mut dyn Host) {
         let RecordedModule { module, seed, requests, dispatched_to } = self;
--- a/crates/sailcart-lab/tests/rule_violations.rs
+++ b/crates/sailcart-lab/tests/rule_violations.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use common::{plan, run, run_with_policy, violated_rules};
-use sailcart::{Category, EndpointId, Host, Listing, Outcome, Packet, PacketId, Repeat, Sender, Terms};
+use sailcart::{Category, EndpointId, Host, ListEntry, Outcome, Packet, PacketId, Repeat, Sender, Settings};
 use sailcart_lab::plan::Plan;
 use sailcart_lab::policies::{Baseline, OracleView, Policy, PolicyName};
 use sailcart_lab::watcher::Rule;
@@ -23,7 +23,7 @@
 }
 
 impl FaultySender {
-    fn new(terms: &Terms, seed: u64) -> Self {
+    fn new(terms: &Settings, seed: u64) -> Self {
         let module = Sender::new(terms.clone(), seed);
         FaultySender {
             module,
@@ -62,8 +62,8 @@
     fn close_idle(&mut self, endpoint: EndpointId) {
         self.host.close_idle(endpoint);
     }
-    fn ask_list(&mut self) {
-        self.host.ask_list();
+    fn request_list(&mut self) {
+        self.host.request_list();
     }
 
     fn wake(&mut self, after: Duration) {
@@ -72,21 +72,28 @@
 }
 
 impl Policy for FaultySender {
-    fn list(&mut self, now: Duration, full: bool, entries: &[Listing]) {
-        let is_visible = |entry: &&Listing| entry.live || !self.ignores_drains;
-        let entries: Vec<Listing> = entries.iter().filter(is_visible).cloned().collect();
-        Sender::list(&mut self.module, now, full, &entries);
+    fn update_list(&mut self, now: Duration, full: bool, entries: &[ListEntry]) {
+        let is_visible = |entry: &&ListEntry| entry.live || !self.ignores_drains;
+        let entries: Vec<ListEntry> = entries.iter().filter(is_visible).cloned().collect();
+        Sender::update_list(&mut self.module, now, full, &entries);
     }
-    fn take(&mut self, now: Duration, packet: Packet) {
+    fn accept(&mut self, now: Duration, packet: Packet) {
         if !(self.ignores_packet)(&packet) {
-            Sender::take(&mut self.module, now, packet);
+            Sender::accept(&mut self.module, now, packet);
         }
     }
-    fn outcome(&mut self, now: Duration, id: PacketId, elapsed: Duration, outcome: Outcome, over: bool) {
-        Sender::outcome(&mut self.module, now, id, elapsed, outcome, over);
+    fn record_outcome(
+        &mut self,
+        now: Duration,
+        id: PacketId,
+        elapsed: Duration,
+        outcome: Outcome,
+        over: bool,
+    ) {
+        Sender::record_outcome(&mut self.module, now, id, elapsed, outcome, over);
     }
-    fn may_still_go(&self, now: Duration, id: PacketId) -> bool {
-        Sender::may_still_go(&self.module, now, id) || self.repeats_after_completion
+    fn may_still_dispatch(&self, now: Duration, id: PacketId) -> bool {
+        Sender::may_still_dispatch(&self.module, now, id) || self.repeats_after_completion
     }
     fn decide(&mut self, now: Duration, _: &dyn OracleView, host: &mut dyn Host) {
         if let Some(endpoint) = self.last_endpoint.filter(|_| self.repeats_after_completion) {
--- a/crates/sailcart-sender/examples/ledger.rs
+++ b/crates/sailcart-sender/examples/ledger.rs
@@ -22,14 +22,14 @@
         mark: Some(format!("{:016x}", number.0).into()),
         about: None,
         destination: DestinationId(7),
-        ends: Moment::by_wall_clock(Duration::from_secs(1_764_000_000)),
+        deadline: Moment::by_wall_clock(Duration::from_secs(1_764_000_000)),
         body: vec![b'x'; 200].into(),
     }
 }
 
 fn main() {
     let folder = tempfile::tempdir().expect("a temporary folder");
-    let mut ledger = Ledger::open(folder.path(), CAPACITY_BYTES, 1000, sailcart_store::Sync::None)
+    let mut ledger = Ledger::open(folder.path(), CAPACITY_BYTES, 1000, sailcart_store::SyncPolicy::None)
         .expect("the ledger opens");
     for _ in 0..HELD_PACKETS {
         let packet = packet(&ledger);
--- a/crates/sailcart-sender/src/exchange/calls.rs
+++ b/crates/sailcart-sender/src/exchange/calls.rs
@@ -46,7 +46,8 @@
         if let Some(completed) = completed {
             host.violations.count(Invariant::CallAfterCompletion, &completed.0);
         }
-        let allowed = ids.iter().all(|id| sender.may_still_go(now, *id)) && !host.waits_for_notice(call);
+        let allowed =
+            ids.iter().all(|id| sender.may_still_dispatch(now, *id)) && !host.waits_for_notice(call);
         let preconditions = SendPreconditions { all_tracked: completed.is_none(), allowed };
         // One record for the whole call: if separate records failed half-way, packets that were never sent
         // would count as possibly executed.
@@ -71,10 +72,14 @@
     fn call_completed(&self, call: &Call, endings: &[Ending], head: Option<&Head>) {
         let Inner { sender, host, .. } = &mut *self.inner.borrow_mut();
         let (now, elapsed) = (host.clock.now(), call.sent_at.get().unwrap_or(call.started_at).elapsed());
-        let report =
-            host.names.reports.as_ref().zip(head).and_then(|(reports, head)| call::report(head, reports));
+        let report = host
+            .names
+            .report_fields
+            .as_ref()
+            .zip(head)
+            .and_then(|(report_fields, head)| call::report(head, report_fields));
         if let Some((report, first)) = report.zip(call.packets.first()) {
-            sender.report(first.number, report);
+            sender.record_report(first.number, report);
         }
         for (packet, (outcome, completed)) in call.packets.iter().zip(endings) {
             let id = packet.number;
@@ -82,8 +87,8 @@
                 host.violations.count(Invariant::OutcomeWithoutCall, &id.0);
             }
             log::debug!("packet {} from {}: {outcome:?} after {elapsed:?}", packet.id, call.address);
-            sender.outcome(now, id, elapsed, *outcome, *completed);
-            if *outcome == Outcome::Done && host.clock.is_past(packet.ends) {
+            sender.record_outcome(now, id, elapsed, *outcome, *completed);
+            if *outcome == Outcome::Done && host.clock.is_past(packet.deadline) {
                 // Whether the packet arrived before its deadline is unknown here, so the platform is notified
                 // of its failure. Such a notice is harmless for a packet that the platform knows as
                 // completed.
@@ -116,7 +121,7 @@
         let mut calls = Vec::new();
         for (endpoint, dispatches) in std::mem::take(&mut self.dispatches) {
             let Some(Place { address, kind, .. }) = self.directory.place(endpoint) else { continue };
-            let batch = self.batch_by_kind[usize::from(kind)];
+            let batch = self.max_batch_by_kind[usize::from(kind)];
             for chunk in dispatches.chunks(batch) {
                 let cancelled = Rc::new(Notify::new());
                 let ids = chunk.iter().map(|(id, _)| *id);
--- a/crates/sailcart-sender/src/exchange/host_state.rs
+++ b/crates/sailcart-sender/src/exchange/host_state.rs
@@ -23,10 +23,10 @@
     /// Ids of the categories, customers and kinds that the settings name.
     pub(super) names: Names,
     /// Largest number of packets in one call, by endpoint kind.
-    pub(super) batch_by_kind: Vec<usize>,
+    pub(super) max_batch_by_kind: Vec<usize>,
     /// Patience by category. Bounds the deadline of restored packets, whose wall clock times may be wrong.
     pub(super) patience_by_category: Vec<Duration>,
-    pub(super) retry_after: Option<Duration>,
+    pub(super) max_retry_after: Option<Duration>,
     pub(super) ledger: Ledger,
     /// Live endpoints and the known destinations.
     pub(super) directory: Directory,
@@ -55,16 +55,16 @@
 }
 
 impl HostState {
-    pub(super) fn new(terms: &sailcart::Terms, names: Names, ledger: Ledger) -> Self {
+    pub(super) fn new(settings: &sailcart::Settings, names: Names, ledger: Ledger) -> Self {
         let states = ledger.unended().into_iter().map(|packet| ledger.stand(packet.number));
-        let clock = Clock::new(states.filter_map(|state| state.doubt.or(state.out)));
+        let clock = Clock::new(states.filter_map(|state| state.possibly_executed_at.or(state.out)));
         let unacknowledged = Untold::new(ledger.owed().map(|(id, ..)| id));
         HostState {
             clock,
             names,
-            batch_by_kind: terms.kinds.iter().map(|kind| kind.batch.max(1)).collect(),
-            patience_by_category: terms.categories.iter().map(|category| category.patience).collect(),
-            retry_after: terms.retry_after,
+            max_batch_by_kind: settings.kinds.iter().map(|kind| kind.max_batch.max(1)).collect(),
+            patience_by_category: settings.categories.iter().map(|category| category.patience).collect(),
+            max_retry_after: settings.max_retry_after,
             ledger,
             directory: Directory::new(),
             has_current_list: false,
@@ -76,7 +76,7 @@
             wakes: Wakes::default(),
             unacknowledged,
             violations: Violations::default(),
-            in_order_by_category: terms.categories.iter().map(|category| category.in_order).collect(),
+            in_order_by_category: settings.categories.iter().map(|category| category.in_order).collect(),
         }
     }
 
@@ -84,7 +84,7 @@
     /// one to its submission, otherwise the platform is notified.
     pub(super) fn complete_undelivered(&mut self, id: PacketId, notice: Notice) {
         let (deadline, dispatches) =
-            (self.ledger.packet(id).map(|packet| packet.ends), self.ledger.stand(id).dispatches);
+            (self.ledger.packet(id).map(|packet| packet.deadline), self.ledger.stand(id).dispatches);
         if let Some(left) = deadline.map(|at| self.clock.deadline(at).saturating_sub(self.clock.now())) {
             log::debug!("packet {}: ends {notice:?}, {dispatches} dispatches, {left:?} left", id.0);
         }
--- a/crates/sailcart-sender/src/exchange/packets.rs
+++ b/crates/sailcart-sender/src/exchange/packets.rs
@@ -65,8 +65,14 @@
                 // The previous process may have had a wrong clock: the time left is never longer than the
                 // category's patience.
                 let max = now.saturating_add(host.patience_by_category[restored.category.0]);
-                sender
-                    .take(now, sailcart::Packet { ends: restored.ends.min(max), taken_on: true, ..restored });
+                sender.accept(
+                    now,
+                    sailcart::Packet {
+                        deadline: restored.deadline.min(max),
+                        accepted_by_previous_process: true,
+                        ..restored
+                    },
+                );
             }
             Err(unknown) => {
                 log::warn!("packet {} scrapped, code=unknown_{unknown}", packet.id);
@@ -109,7 +115,7 @@
             return Err(failure.map_or(Answer::Accepted, Answer::from));
         }
         if *stopped {
-            return Err(Answer::Dismissed(host.retry_after));
+            return Err(Answer::Dismissed(host.max_retry_after));
         }
         let now = host.clock.now();
         let packet = host.to_packet(put, now);
@@ -119,7 +125,7 @@
         }
         host.ledger.take(packet).map_err(|error| {
             log::debug!("packet {} dismissed, code=journal {error}", put.id);
-            Answer::Dismissed(host.retry_after)
+            Answer::Dismissed(host.max_retry_after)
         })?;
         let number = accepted.id;
         log::debug!(
@@ -129,7 +135,7 @@
             put.about,
             put.patience
         );
-        sender.take(now, accepted);
+        sender.accept(now, accepted);
         Ok(number)
     }
 }
@@ -145,7 +151,7 @@
             mark: put.mark.map(Into::into),
             about: put.about.map(Into::into),
             destination: DestinationId(put.destination),
-            ends: self.clock.to_moment(now.saturating_add(put.patience)),
+            deadline: self.clock.to_moment(now.saturating_add(put.patience)),
             body: put.body.into(),
         }
     }
@@ -165,10 +171,13 @@
             category: CategoryId(*category),
             customer: customer.map(CustomerId),
             key: packet.about.as_deref().map(key_id),
-            ends: self.clock.deadline(packet.ends),
+            deadline: self.clock.deadline(packet.deadline),
             dispatches: state.dispatches,
-            doubt: state.doubt.or(state.out).map(|sent_at| self.clock.dispatch_time(sent_at)),
-            taken_on: false,
+            possibly_executed_at: state
+                .possibly_executed_at
+                .or(state.out)
+                .map(|sent_at| self.clock.dispatch_time(sent_at)),
+            accepted_by_previous_process: false,
         })
     }
 }
--- a/crates/sailcart-sender/src/inspect.rs
+++ b/crates/sailcart-sender/src/inspect.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use sailcart_store::{Change, Disk, Fault, Room, Standing, Store, Sync};
+use sailcart_store::{Change, Disk, RecoverySummary, Store, StoreError, StoreOptions, SyncPolicy};
 
 use crate::memory::moment::{Distance, Moment, Span, boot_id};
 use crate::memory::records::{Record, RecordKind, decode, encode_dispatch_state, key};
@@ -16,7 +16,7 @@
 const MAX_READ_ATTEMPTS: usize = 5;
 
 /// Reads all records. Returns the store's summary, the decoded records, and the number of unknown ones.
-fn read_records(folder: &Path) -> Result<(Standing, Vec<Record>, usize), String> {
+fn read_records(folder: &Path) -> Result<(RecoverySummary, Vec<Record>, usize), String> {
     let mut attempts = 0;
     loop {
         let (mut records, mut unknown) = (Vec::new(), 0);
@@ -27,7 +27,7 @@
         });
         match checked {
             Ok(summary) => return Ok((summary, records, unknown)),
-            Err(Fault::Missing { .. } | Fault::Io { .. } | Fault::Damaged { .. })
+            Err(StoreError::MissingFile { .. } | StoreError::Io { .. } | StoreError::Damaged { .. })
                 if attempts < MAX_READ_ATTEMPTS => {}
             Err(error) => return Err(format!("{}: code={} {error}", folder.display(), error.code())),
         }
@@ -48,14 +48,14 @@
         count(|record| matches!(record, Record::PendingNotice(..))),
         count(|record| matches!(record, Record::Completed(..))),
         summary.segments,
-        summary.bytes,
-        summary.records
+        summary.total_segment_bytes,
+        summary.frames
     );
-    if summary.cut > 0 {
+    if summary.torn_bytes > 0 {
         let _ = write!(
             line,
             "; {} bytes of a torn write at the end, which the next start truncates",
-            summary.cut
+            summary.torn_bytes
         );
     }
     if unknown > 0 {
@@ -79,7 +79,7 @@
     for record in &records {
         match record {
             Record::Packet(packet) => {
-                let (Distance::Sure(span) | Distance::Unsure(span)) = now.distance(packet.ends);
+                let (Distance::Sure(span) | Distance::Unsure(span)) = now.distance(packet.deadline);
                 let seconds_left = match span {
                     Span::Ahead(left) => left.as_secs_f64(),
                     Span::Ago(past) => -past.as_secs_f64(),
@@ -101,7 +101,11 @@
                 if state.out.is_some() {
                     text.push_str(", one is out");
                 }
-                text.push_str(if state.doubt.or(state.out).is_some() { ", may have run\n" } else { "\n" });
+                text.push_str(if state.possibly_executed_at.or(state.out).is_some() {
+                    ", may have run\n"
+                } else {
+                    "\n"
+                });
             }
             Record::PendingNotice(_, id, notice) => {
                 let _ = writeln!(text, "notice owed for {id}: {}", describe(notice));
@@ -133,22 +137,26 @@
         entries.flatten().filter_map(|entry| entry.metadata().ok()).map(|data| data.len()).sum()
     };
     // Enough for all records, however many of them are still valid.
-    let room = Room { bytes: bytes.saturating_mul(4).max(1 << 20), sync: Sync::Every(Duration::ZERO) };
-    let with_code = |error: Fault| format!("code={} {error}", error.code());
-    let (mut store, _) = Store::open(Disk::new(new), room).map_err(with_code)?;
+    let options = StoreOptions {
+        capacity_bytes: bytes.saturating_mul(4).max(1 << 20),
+        sync: SyncPolicy::Interval(Duration::ZERO),
+    };
+    let with_code = |error: StoreError| format!("code={} {error}", error.code());
+    let (mut store, _) = Store::open(Disk::new(new), options).map_err(with_code)?;
     let salvaged = sailcart_store::salvage(Disk::new(folder), &mut store).map_err(with_code)?;
-    if !salvaged.given_up.is_empty() {
+    if !salvaged.unreadable_ranges.is_empty() {
         mark_all_possibly_executed(&mut store).map_err(with_code)?;
     }
     store.sync().map_err(with_code)?;
-    let mut text = format!("{}: {} records saved into {}\n", folder.display(), salvaged.keys, new.display());
-    for (file, from, length) in &salvaged.given_up {
+    let mut text =
+        format!("{}: {} records saved into {}\n", folder.display(), salvaged.copied_keys, new.display());
+    for (file, from, length) in &salvaged.unreadable_ranges {
         let _ = match length {
             0 => writeln!(text, "given up: {file}, which is missing"),
             _ => writeln!(text, "given up: {file}, {length} bytes from byte {from} on"),
         };
     }
-    text.push_str(if salvaged.given_up.is_empty() {
+    text.push_str(if salvaged.unreadable_ranges.is_empty() {
         "nothing was given up"
     } else {
         "the completion of a packet may be among it: each packet saved counts as possibly executed, so that a sender\n\
@@ -163,7 +171,7 @@
 
 /// Marks each packet as possibly executed. Prevents a second execution where the record of the first
 /// dispatch is among what was given up.
-fn mark_all_possibly_executed(store: &mut Store<Disk>) -> Result<(), Fault> {
+fn mark_all_possibly_executed(store: &mut Store<Disk>) -> Result<(), StoreError> {
     let keys: Vec<Vec<u8>> = store.keys(&[], None).map(<[u8]>::to_vec).collect();
     for packet_key in keys {
         let Some(value) = store.get(&packet_key)? else { continue };
@@ -174,8 +182,13 @@
             Some(Record::DispatchState(_, state)) => state,
             _ => Stand::default(),
         };
-        let doubt = Some(Moment::by_wall_clock(packet.ends.unix.saturating_sub(BEYOND_KEY_RETENTION)));
-        let value = encode_dispatch_state(&Stand { dispatches: state.dispatches.max(1), doubt, out: None });
+        let possibly_executed_at =
+            Some(Moment::by_wall_clock(packet.deadline.unix.saturating_sub(BEYOND_KEY_RETENTION)));
+        let value = encode_dispatch_state(&Stand {
+            dispatches: state.dispatches.max(1),
+            possibly_executed_at,
+            out: None,
+        });
         store.write(&[Change::Put(&key(RecordKind::DispatchState, packet.number), &value)])?;
     }
     Ok(())
--- a/crates/sailcart-sender/src/memory/ledger.rs
+++ b/crates/sailcart-sender/src/memory/ledger.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 
 use sailcart::PacketId;
-use sailcart_store::{Change, Disk, Fault, Room, Store, Sync};
+use sailcart_store::{Change, Disk, Store, StoreError, StoreOptions, SyncPolicy};
 
 use super::backlog::{Backlog, ChangeGroup, OwnedChange};
 use super::format1;
@@ -29,7 +29,7 @@
     notice: Notice,
     /// After the packet's deadline no process dispatches it again. `None` for a notice of a previous
     /// process, whose record is on disk.
-    ends: Option<Moment>,
+    deadline: Option<Moment>,
 }
 
 /// The most recently completed packets by the id that the client chose.
@@ -87,20 +87,25 @@
     /// # Errors
     /// The errors of [`Store::open`]; a record of an unknown kind; a journal file in the folder that is not
     /// of format 1.
-    pub fn open(folder: &Path, capacity_bytes: u64, max_completed: usize, sync: Sync) -> io::Result<Self> {
-        let opened = Store::open(Disk::new(folder), Room { bytes: capacity_bytes, sync });
+    pub fn open(
+        folder: &Path,
+        capacity_bytes: u64,
+        max_completed: usize,
+        sync: SyncPolicy,
+    ) -> io::Result<Self> {
+        let opened = Store::open(Disk::new(folder), StoreOptions { capacity_bytes, sync });
         let (store, recovered) = opened.map_err(|error| match error {
-            Fault::InUse => {
+            StoreError::InUse => {
                 let message = format!("{} is in use by another sender", folder.display());
                 io::Error::new(io::ErrorKind::WouldBlock, message)
             }
             other => other.into(),
         })?;
-        if recovered.cut > 0 {
+        if recovered.torn_bytes > 0 {
             log::warn!(
                 "journal: code=torn truncated {} bytes at the end, read {} records",
-                recovered.cut,
-                recovered.records
+                recovered.torn_bytes,
+                recovered.frames
             );
         }
         let max_stored_completed = max_completed
@@ -138,7 +143,8 @@
                 Record::PendingNotice(number, client_id, notice) => {
                     self.completed_ids.insert(&client_id, None);
                     self.next_number = self.next_number.max(number.0 + 1);
-                    self.pending_notices.insert(number, PendingNotice { id: client_id, notice, ends: None });
+                    self.pending_notices
+                        .insert(number, PendingNotice { id: client_id, notice, deadline: None });
                 }
                 Record::Completed(number, client_id, rejection) => {
                     self.completed_ids.insert(&client_id, rejection);
@@ -192,12 +198,12 @@
     /// Bytes that the further records of a packet may take: its dispatch state, its notice and its
     /// completion.
     fn reservation(packet: &Packet) -> u64 {
-        let (moment, notice) = (packet.ends, Notice::Dismissed(Some(Default::default())));
-        let state = Stand { doubt: Some(moment), out: Some(moment), dispatches: 0 };
-        let cost = |kind, value: &[u8]| Store::<Disk>::cost(&key(kind, packet.number), value);
-        cost(RecordKind::DispatchState, &records::encode_dispatch_state(&state))
-            + cost(RecordKind::PendingNotice, &records::encode_pending_notice(&packet.id, &notice))
-            + cost(RecordKind::Completed, &records::encode_completed(&packet.id, Some(&notice)))
+        let (moment, notice) = (packet.deadline, Notice::Dismissed(Some(Default::default())));
+        let state = Stand { possibly_executed_at: Some(moment), out: Some(moment), dispatches: 0 };
+        let live_size = |kind, value: &[u8]| Store::<Disk>::live_size(&key(kind, packet.number), value);
+        live_size(RecordKind::DispatchState, &records::encode_dispatch_state(&state))
+            + live_size(RecordKind::PendingNotice, &records::encode_pending_notice(&packet.id, &notice))
+            + live_size(RecordKind::Completed, &records::encode_completed(&packet.id, Some(&notice)))
     }
 
     /// The number for the next packet to be accepted.
@@ -238,8 +244,8 @@
     /// the error of the write. The packet is not accepted then.
     pub fn take(&mut self, packet: Packet) -> io::Result<()> {
         let (key, value) = (key(RecordKind::Packet, packet.number), records::encode_packet(&packet));
-        let required = Store::<Disk>::cost(&key, &value) + Self::reservation(&packet);
-        if self.store.live() + self.reserved_bytes + required > self.store.room().budget() {
+        let required = Store::<Disk>::live_size(&key, &value) + Self::reservation(&packet);
+        if self.store.live_bytes() + self.reserved_bytes + required > self.store.options().max_live_bytes() {
             if !std::mem::replace(&mut self.no_space_logged, true) {
                 log::warn!(
                     "journal: code=no_room for more packets; new ones are dismissed until others complete"
@@ -250,7 +256,7 @@
         match self.write_after_backlog(&[Change::Put(&key, &value)]) {
             // After a failed sync the record may be on disk, so the packet is accepted. Its client is
             // informed with the commit that makes the record durable.
-            Ok(()) | Err(Fault::Unsure { .. }) => {}
+            Ok(()) | Err(StoreError::SyncFailed { .. }) => {}
             Err(error) => return Err(error.into()),
         }
         if std::mem::take(&mut self.no_space_logged) {
@@ -271,8 +277,8 @@
         let old_states: Vec<_> = held.iter().map(|number| (*number, self.stand(*number))).collect();
         let new_states = old_states.iter().map(|(number, old)| {
             // A dispatch that is still in flight was sent by a previous process: its outcome stays unknown.
-            let doubt = old.doubt.or(old.out);
-            (*number, Stand { dispatches: old.dispatches + 1, doubt, out: Some(at) })
+            let possibly_executed_at = old.possibly_executed_at.or(old.out);
+            (*number, Stand { dispatches: old.dispatches + 1, possibly_executed_at, out: Some(at) })
         });
         let new_states: Vec<_> = new_states.collect();
         let records = new_states.iter().map(|(number, state)| {
@@ -281,7 +287,7 @@
         let records: Vec<_> = records.collect();
         let changes: Vec<_> = records.iter().map(|(key, value)| Change::Put(key, value)).collect();
         let written = self.write_after_backlog(&changes);
-        let may_be_stored = matches!(written, Ok(()) | Err(Fault::Unsure { .. }));
+        let may_be_stored = matches!(written, Ok(()) | Err(StoreError::SyncFailed { .. }));
         let synced = written.and_then(|()| self.sync());
         if synced.is_ok() {
             new_states.into_iter().for_each(|(number, state)| self.set_dispatch_state(number, state));
@@ -295,8 +301,8 @@
     /// Records that a dispatch completed without completing its packet.
     pub fn came_back(&mut self, number: PacketId, may_have_executed: bool) {
         let old = self.stand(number);
-        let doubt = old.doubt.or(old.out.filter(|_| may_have_executed));
-        let state = Stand { dispatches: old.dispatches, doubt, out: None };
+        let possibly_executed_at = old.possibly_executed_at.or(old.out.filter(|_| may_have_executed));
+        let state = Stand { dispatches: old.dispatches, possibly_executed_at, out: None };
         if state != old {
             self.update_dispatch_state(number, state);
         }
@@ -344,7 +350,7 @@
         let written =
             self.write_after_backlog(&changes.iter().map(OwnedChange::as_change).collect::<Vec<_>>());
         // After a failed sync the record may be on disk; the client is informed once it is known to be.
-        let may_be_stored = matches!(written, Ok(()) | Err(Fault::Unsure { .. }));
+        let may_be_stored = matches!(written, Ok(()) | Err(StoreError::SyncFailed { .. }));
         if may_be_stored {
             self.remove(number, Some(rejection));
             self.push_stored_completed(number);
@@ -361,13 +367,13 @@
         rejection: Option<Notice>,
     ) -> Vec<OwnedChange> {
         let removals = [RecordKind::Packet, RecordKind::DispatchState, RecordKind::PendingNotice]
-            .map(|kind| OwnedChange::End(key(kind, number)));
+            .map(|kind| OwnedChange::Delete(key(kind, number)));
         let mut changes = Vec::from(removals);
         if self.stored_completed.len() >= self.max_stored_completed {
             changes.extend(
                 self.stored_completed
                     .front()
-                    .map(|first| OwnedChange::End(key(RecordKind::Completed, *first))),
+                    .map(|first| OwnedChange::Delete(key(RecordKind::Completed, *first))),
             );
         }
         if self.max_stored_completed > 0 {
@@ -393,8 +399,8 @@
     pub fn owe(&mut self, number: PacketId, notice: Notice) {
         let Some(removed) = self.remove(number, None) else { return };
         let client_id = removed.packet.id.clone();
-        let removals =
-            [RecordKind::Packet, RecordKind::DispatchState].map(|kind| OwnedChange::End(key(kind, number)));
+        let removals = [RecordKind::Packet, RecordKind::DispatchState]
+            .map(|kind| OwnedChange::Delete(key(kind, number)));
         let mut changes = Vec::from(removals);
         changes.push(OwnedChange::Put(
             key(RecordKind::PendingNotice, number),
@@ -402,7 +408,7 @@
         ));
         self.next_number = self.next_number.max(number.0 + 1);
         self.pending_notices
-            .insert(number, PendingNotice { id: client_id, notice, ends: Some(removed.packet.ends) });
+            .insert(number, PendingNotice { id: client_id, notice, deadline: Some(removed.packet.deadline) });
         self.write_or_defer(ChangeGroup { packet: number, changes });
     }
 
@@ -418,12 +424,12 @@
         has_passed: impl Fn(Moment) -> bool,
     ) -> impl Iterator<Item = (PacketId, &str, Notice)> {
         let all_recorded = self.is_recorded();
-        let may_be_sent = move |number: &PacketId, pending: &PendingNotice| match pending.ends {
+        let may_be_sent = move |number: &PacketId, pending: &PendingNotice| match pending.deadline {
             None => true,
-            Some(ends) => {
+            Some(deadline) => {
                 all_recorded
-                    || has_passed(ends)
-                    || !(self.store.wants_sync() || self.backlog.contains(*number))
+                    || has_passed(deadline)
+                    || !(self.store.needs_sync() || self.backlog.contains(*number))
             }
         };
         let sendable =
@@ -442,7 +448,7 @@
 
     /// Whether everything that has happened is in the journal and synced as the settings ask.
     pub fn is_recorded(&self) -> bool {
-        self.backlog.is_empty() && !self.store.wants_sync()
+        self.backlog.is_empty() && !self.store.needs_sync()
     }
 
     /// The number of change groups that could not be written yet.
@@ -462,15 +468,15 @@
         Ok(self.sync()?)
     }
 
-    fn sync(&mut self) -> Result<(), Fault> {
-        let synced = if self.store.wants_sync() { self.store.sync() } else { return Ok(()) };
+    fn sync(&mut self) -> Result<(), StoreError> {
+        let synced = if self.store.needs_sync() { self.store.sync() } else { return Ok(()) };
         self.log_write_health(&synced);
         synced
     }
 
     /// Writes changes that must be on disk before the action they describe. The backlog goes first, to keep
     /// the order.
-    fn write_after_backlog(&mut self, changes: &[Change]) -> Result<(), Fault> {
+    fn write_after_backlog(&mut self, changes: &[Change]) -> Result<(), StoreError> {
         self.write_backlog()?;
         self.write(changes)
     }
@@ -484,7 +490,7 @@
         }
     }
 
-    fn write_backlog(&mut self) -> Result<(), Fault> {
+    fn write_backlog(&mut self) -> Result<(), StoreError> {
         while let Some(group) = self.backlog.first() {
             let written = self.store.write(&group.as_changes());
             self.log_write_health(&written);
@@ -494,14 +500,14 @@
         Ok(())
     }
 
-    fn write(&mut self, changes: &[Change]) -> Result<(), Fault> {
+    fn write(&mut self, changes: &[Change]) -> Result<(), StoreError> {
         let written = self.store.write(changes);
         self.log_write_health(&written);
         written
     }
 
     /// Logs one line when writes begin to fail, and one when they succeed again.
-    fn log_write_health(&mut self, written: &Result<(), Fault>) {
+    fn log_write_health(&mut self, written: &Result<(), StoreError>) {
         match written {
             Err(error) if !std::mem::replace(&mut self.write_failure_logged, true) => {
                 log::error!(
--- a/crates/sailcart-sender/tests/journal.rs
+++ b/crates/sailcart-sender/tests/journal.rs
@@ -8,7 +8,7 @@
 use sailcart_sender::memory::ledger::Ledger;
 use sailcart_sender::memory::moment::Moment;
 use sailcart_sender::memory::{Notice, Packet, Stand};
-use sailcart_store::Sync;
+use sailcart_store::SyncPolicy;
 
 const ROOM: u64 = 64 * 1024;
 
@@ -21,7 +21,7 @@
 }
 
 fn open(folder: &Path) -> Ledger {
-    Ledger::open(folder, ROOM, 4, Sync::None).expect("a journal")
+    Ledger::open(folder, ROOM, 4, SyncPolicy::None).expect("a journal")
 }
 
 fn packet(ledger: &Ledger, id: &str, bytes: usize) -> Packet {
@@ -33,7 +33,7 @@
         mark: None,
         about: Some("".into()),
         destination: DestinationId(7),
-        ends: Moment::by_wall_clock(Duration::from_micros(1_764_000_000_123_456)),
+        deadline: Moment::by_wall_clock(Duration::from_micros(1_764_000_000_123_456)),
         body: vec![b'x'; bytes].into(),
     }
 }
@@ -68,9 +68,9 @@
     let mut ledger = open(&folder);
     assert_eq!(ids(&ledger), ["a", "b", "c"]);
     assert_eq!(ledger.packet(a), Some(&before));
-    assert_eq!(ledger.stand(a), Stand { dispatches: 1, doubt: None, out: Some(at(5)) });
-    assert_eq!(ledger.stand(b), Stand { dispatches: 2, doubt: Some(at(5)), out: Some(at(9)) });
-    assert_eq!(ledger.stand(c), Stand { dispatches: 1, doubt: None, out: None });
+    assert_eq!(ledger.stand(a), Stand { dispatches: 1, possibly_executed_at: None, out: Some(at(5)) });
+    assert_eq!(ledger.stand(b), Stand { dispatches: 2, possibly_executed_at: Some(at(5)), out: Some(at(9)) });
+    assert_eq!(ledger.stand(c), Stand { dispatches: 1, possibly_executed_at: None, out: None });
     let owed: Vec<_> = ledger.owed().map(|(id, name, notice)| (id, name.to_owned(), notice)).collect();
     assert_eq!(owed, [(e, "e".to_owned(), Notice::Dismissed(Some(Duration::from_millis(500))))]);
     assert_eq!(ledger.next(), PacketId(e.0 + 1), "no number is used twice");
@@ -92,8 +92,8 @@
     ledger.sends(&[id], Moment::by_wall_clock(Duration::from_secs(9))).expect("room");
     ledger.came_back(id, false);
     drop(ledger);
-    let doubt = Some(Moment::by_wall_clock(Duration::from_secs(5)));
-    assert_eq!(open(&folder).stand(id), Stand { dispatches: 2, doubt, out: None });
+    let possibly_executed_at = Some(Moment::by_wall_clock(Duration::from_secs(5)));
+    assert_eq!(open(&folder).stand(id), Stand { dispatches: 2, possibly_executed_at, out: None });
 }
 
 fn size(folder: &Path) -> u64 {
@@ -121,7 +121,7 @@
     let mut bad = fs::read(&segment).expect("a segment");
     bad[60] ^= 1;
     fs::write(&segment, &bad).expect("a bad segment");
-    let fault = Ledger::open(&folder, ROOM, 4, Sync::None).map(|_| ()).expect_err("damage");
+    let fault = Ledger::open(&folder, ROOM, 4, SyncPolicy::None).map(|_| ()).expect_err("damage");
     assert!(fault.to_string().contains("segment-0000000000000001 at byte"), "{fault}");
 }
 
@@ -176,7 +176,7 @@
         let ledger = open(&folder);
         assert_eq!(ids(&ledger), ["a"], "life {life}");
         let at = Some(Moment::by_wall_clock(Duration::from_millis(5)));
-        assert_eq!(ledger.stand(PacketId(3)), Stand { dispatches: 2, doubt: at, out: None });
+        assert_eq!(ledger.stand(PacketId(3)), Stand { dispatches: 2, possibly_executed_at: at, out: None });
         assert_eq!(&*ledger.packet(PacketId(3)).expect("kept").body, b"body");
         let owed: Vec<_> = ledger.owed().map(|(id, name, notice)| (id, name.to_owned(), notice)).collect();
         assert_eq!(owed, [(PacketId(4), "b".to_owned(), Notice::Scrapped)]);
@@ -184,7 +184,7 @@
         assert!(!folder.join("journal").exists());
     }
     fs::write(folder.join("journal"), b"sailcart journal 9\n").expect("a journal");
-    assert!(Ledger::open(&folder, ROOM, 4, Sync::None).is_err(), "a newer one is refused");
+    assert!(Ledger::open(&folder, ROOM, 4, SyncPolicy::None).is_err(), "a newer one is refused");
 }
 
 #[test]
