--- a/crates/sailcart-sender/examples/list_speed.rs
+++ b/crates/sailcart-sender/examples/list_speed.rs
@@ -5,7 +5,7 @@
 use std::fmt::Write;
 use std::time::Instant;
 
-use sailcart_sender::caller::PIECE;
+use sailcart_sender::response::MAX_PIECE_BYTES;
 use sailcart_sender::wire::list_reader::ListReader;
 
 const ENTRIES: usize = 440_000;
@@ -31,7 +31,7 @@
         let start = Instant::now();
         let mut reader = ListReader::default();
         let mut entries_read = 0;
-        for piece in list.as_bytes().chunks(PIECE) {
+        for piece in list.as_bytes().chunks(MAX_PIECE_BYTES) {
             entries_read += reader.push(piece).map_or(0, |entries| entries.len());
         }
         let seconds = start.elapsed().as_secs_f64();
--- a/crates/sailcart-sender/src/pauses.rs
+++ b/crates/sailcart-sender/src/backoff.rs
@@ -11,28 +11,28 @@
 /// Hundreds of senders that were turned away together must not return together: that would keep out even
 /// those that discovery could serve. Backoff libraries add jitter on top of a fixed delay, which keeps such
 /// a group together at first.
-pub struct Pauses {
+pub struct Backoff {
     rng: ChaCha8Rng,
     min_delay: Duration,
     /// Upper bound of the last draw; zero after a success.
     upper_bound: Duration,
 }
 
-impl Pauses {
+impl Backoff {
     /// A backoff whose delays are at least `min_delay`.
     pub fn new(seed: u64, min_delay: Duration) -> Self {
-        Pauses { rng: ChaCha8Rng::seed_from_u64(seed), min_delay, upper_bound: Duration::ZERO }
+        Backoff { rng: ChaCha8Rng::seed_from_u64(seed), min_delay, upper_bound: Duration::ZERO }
     }
 
     /// The delay after a failure. After a success the upper bound starts at `first` (at least at the minimum
     /// delay); it never exceeds `max`.
-    pub fn next(&mut self, first: Duration, max: Duration) -> Duration {
+    pub fn next_delay(&mut self, first: Duration, max: Duration) -> Duration {
         self.upper_bound = (self.upper_bound * 2).max(first).max(self.min_delay).min(max);
         self.min_delay + self.upper_bound.saturating_sub(self.min_delay).mul_f64(self.rng.random())
     }
 
     /// Records a success: the upper bound of the next delay starts anew.
-    pub fn over(&mut self) {
+    pub fn reset(&mut self) {
         self.upper_bound = Duration::ZERO;
     }
 }
--- a/crates/sailcart-sender/src/endpoints.rs
+++ b/crates/sailcart-sender/src/endpoints.rs
@@ -12,11 +12,11 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout_at};
 
-use crate::caller::{self, Reply};
 use crate::exchange::invariants::{Permit, Refusal};
-use crate::machine;
+use crate::local_errors;
 use crate::memory::pool::{Pool, ended};
 use crate::outgoing::{Call, CallOwner};
+use crate::response::{self, Response};
 use crate::socket::Socket;
 use crate::wire::MOST_BODY;
 use crate::wire::call::{self, Ending, Parcel};
@@ -98,7 +98,7 @@
     /// succession, so only the first and each that doubles their count are logged.
     fn connect_failed(&self, call: &Call, error: &io::Error) -> Outcome {
         let address = call.address;
-        if machine::is_own_fault(error) {
+        if local_errors::is_local_error(error) {
             let count = self.local_errors.get() + 1;
             self.local_errors.set(count);
             if count.is_power_of_two() {
@@ -123,32 +123,32 @@
     let budget = deadline.saturating_duration_since(Instant::now());
     let parcels: Vec<Parcel> = call.packets.iter().map(|packet| to_parcel(packet)).collect();
     let request = call::write(&call.address.to_string(), &parcels, budget);
-    let (mut written, mut reply) = (false, Reply::default());
+    let (mut written, mut response) = (false, Response::default());
     let result = tokio::select! {
-        result = timeout_at(deadline.into(), round_trip(&mut stream, &request, &mut written, &mut reply)) => {
+        result = timeout_at(deadline.into(), round_trip(&mut stream, &request, &mut written, &mut response)) => {
             result.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
         }
         () = call.cancelled.notified() => Err(io::ErrorKind::Interrupted.into()),
     };
     let ids: Vec<&str> = call.packets.iter().map(|packet| &*packet.id).collect();
-    let endings = match (&reply.head, &result) {
+    let endings = match (&response.head, &result) {
         // The status alone completes the packet, so that it is not sent again if the rest of the response is
         // malformed.
-        _ if call::settled(reply.status, ids.len()) => vec![(Outcome::Done, true)],
-        (Some(head), Ok(())) => call::endings(head, &reply.body, &ids),
-        (_, Err(error)) => same_for_all(call, failure(written || reply.status.is_some(), error)),
+        _ if call::settled(response.status, ids.len()) => vec![(Outcome::Done, true)],
+        (Some(head), Ok(())) => call::endings(head, &response.body, &ids),
+        (_, Err(error)) => same_for_all(call, failure(written || response.status.is_some(), error)),
         (None, Ok(())) => same_for_all(call, Outcome::Reset),
     };
     match result {
         // A connection on which part of the request was not written cannot be reused.
-        Ok(()) if written && reply.keeps() => {
-            stream.nothing_is_due();
-            return (endings, reply.head, Some(stream));
+        Ok(()) if written && response.is_reusable() => {
+            stream.clear_read_readiness();
+            return (endings, response.head, Some(stream));
         }
         Ok(()) => ended(call.address, "answer_closes"),
         Err(error) => ended(call.address, log_code(&error)),
     }
-    (endings, reply.head, None)
+    (endings, response.head, None)
 }
 
 /// Writes a request and reads its response; nothing is sent again. A response may arrive before the request
@@ -158,16 +158,16 @@
     stream: &mut Socket,
     request: &[u8],
     written: &mut bool,
-    reply: &mut Reply,
+    response: &mut Response,
 ) -> io::Result<()> {
     let (mut reader, mut writer) = stream.split();
-    let mut response = pin!(caller::read(&mut reader, MOST_BODY, RESPONSE_READ_TIMEOUT, reply));
+    let mut reading = pin!(response::read_collected(&mut reader, MOST_BODY, RESPONSE_READ_TIMEOUT, response));
     *written = tokio::select! {
         biased;
         sent = writer.write_all(request) => sent.is_ok(),
-        early = &mut response => return early,
+        early = &mut reading => return early,
     };
-    response.await
+    reading.await
 }
 
 /// Returns the outcome of a call without a complete response. The call was not executed unless it `began`:
--- a/crates/sailcart-sender/src/lib.rs
+++ b/crates/sailcart-sender/src/lib.rs
@@ -3,18 +3,18 @@
 //! and writes the protocols, [`memory`] holds the state and the journal, and [`life`] starts and stops the
 //! process.
 
-pub mod caller;
+pub mod backoff;
 pub mod clients;
 pub mod config;
 pub mod endpoints;
 pub mod exchange;
 pub mod inspect;
 pub mod life;
-pub mod machine;
+pub mod local_errors;
 pub mod memory;
 pub mod outgoing;
-pub mod pauses;
 pub mod platform;
-pub mod rhythm;
+pub mod polling;
+pub mod response;
 pub mod socket;
 pub mod wire;
--- a/crates/sailcart-sender/src/life/start.rs
+++ b/crates/sailcart-sender/src/life/start.rs
@@ -17,11 +17,11 @@
 use crate::exchange::Exchange;
 use crate::life::reload::{ReadConfig, ReloadTarget, reload};
 use crate::life::{recovery, stop};
-use crate::machine;
+use crate::local_errors;
 use crate::memory::ledger::Ledger;
 use crate::memory::pool::Pool;
 use crate::platform;
-use crate::rhythm::Rhythm;
+use crate::polling::PollingSchedule;
 
 /// How long a start waits for a port that is in use.
 const MAX_PORT_WAIT: Duration = Duration::from_secs(4);
@@ -60,7 +60,7 @@
         Source::Platform(discovery) => {
             let (address_sender, address_receiver) = watch::channel(discovery);
             let (first_call_completed, first_call) = oneshot::channel();
-            let (version, schedule) = (known.summary().version, Rhythm::new(asked, mandate.seed));
+            let (version, schedule) = (known.summary().version, PollingSchedule::new(asked, mandate.seed));
             drop(known); // it may be large
             let follower = platform::Follower::new(
                 address_receiver.clone(),
@@ -117,7 +117,9 @@
             io::ErrorKind::AddrInUse => ("in_use", MAX_PORT_WAIT, MAX_PORT_WAIT / 16),
             // Permanent: the address belongs to no interface of this machine.
             io::ErrorKind::AddrNotAvailable => return Err(error),
-            _ if machine::is_own_fault(&error) => ("own_fault", MAX_LOCAL_ERROR_WAIT, LOCAL_ERROR_DELAY),
+            _ if local_errors::is_local_error(&error) => {
+                ("own_fault", MAX_LOCAL_ERROR_WAIT, LOCAL_ERROR_DELAY)
+            }
             _ => return Err(error),
         };
         if start.elapsed() >= max_wait {
--- a/crates/sailcart-sender/src/machine.rs
+++ b/crates/sailcart-sender/src/local_errors.rs
@@ -21,6 +21,6 @@
 ];
 
 /// Whether a connection could not be established because of a local error.
-pub fn is_own_fault(error: &io::Error) -> bool {
+pub fn is_local_error(error: &io::Error) -> bool {
     error.raw_os_error().is_some_and(|number| LOCAL_ERRORS.contains(&Errno::from_raw(number)))
 }
--- a/crates/sailcart-sender/src/platform/connection.rs
+++ b/crates/sailcart-sender/src/platform/connection.rs
@@ -9,7 +9,7 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::caller::{self, Reply, Sink, Term};
+use crate::response::{self, BodySink, Response, TimeLimit};
 use crate::socket::Socket;
 
 /// A call was abandoned because a reload changed the platform's address.
@@ -45,12 +45,12 @@
     ///
     /// If the address changes meanwhile, the call fails at once with [`AddressChangedError`] instead of
     /// waiting for an answer from the old address, and the next call goes to the new one.
-    pub(super) async fn call<S: Sink>(
+    pub(super) async fn call<S: BodySink>(
         &mut self,
         bytes: &[u8],
         limits: AnswerLimits,
         sink: &mut S,
-    ) -> Result<Reply, S::Fault> {
+    ) -> Result<Response, S::Error> {
         let (mut address_receiver, old_address) = (self.address_receiver.clone(), self.address());
         tokio::select! {
             biased;
@@ -58,7 +58,7 @@
                 self.disconnect(old_address);
                 Err(io::Error::other(AddressChangedError).into())
             }
-            reply = self.call_current_address(bytes, limits, sink) => reply,
+            response = self.call_current_address(bytes, limits, sink) => response,
         }
     }
 
@@ -81,23 +81,23 @@
 
     /// Sends one call and reads its answer within the limits, connecting first if necessary. A connection
     /// on which no complete answer came is closed.
-    async fn call_current_address<S: Sink>(
+    async fn call_current_address<S: BodySink>(
         &mut self,
         bytes: &[u8],
         limits: AnswerLimits,
         sink: &mut S,
-    ) -> Result<Reply, S::Fault> {
-        let AnswerLimits { within, least_rate, max_body_bytes } = limits;
-        let term = Term { start: Instant::now(), within, least_rate };
-        let mut stream = timeout(within, self.send(bytes)).await.map_err(io::Error::from)??;
-        let reply = caller::hand_on(&mut stream, max_body_bytes, term, sink).await?;
-        if reply.keeps() {
-            stream.nothing_is_due();
+    ) -> Result<Response, S::Error> {
+        let AnswerLimits { base_time, min_bytes_per_second, max_body_bytes } = limits;
+        let time_limit = TimeLimit { started_at: Instant::now(), base_time, min_bytes_per_second };
+        let mut stream = timeout(base_time, self.send(bytes)).await.map_err(io::Error::from)??;
+        let response = response::read_to_sink(&mut stream, max_body_bytes, time_limit, sink).await?;
+        if response.is_reusable() {
+            stream.clear_read_readiness();
             self.stream = Some(stream);
         } else {
             log::info!("platform {}: connection ended, code=answer_closes", self.address());
         }
-        Ok(reply)
+        Ok(response)
     }
 
     /// Sends a call on the idle connection or a new one, and returns the connection.
@@ -116,9 +116,10 @@
 /// Bounds on the answer to a call.
 #[derive(Clone, Copy)]
 pub(super) struct AnswerLimits {
-    /// Time for the call and its answer, connecting included. A large body has more by `least_rate`.
-    pub(super) within: Duration,
-    /// In bytes per second, as in [`Term`].
-    pub(super) least_rate: Option<u32>,
+    /// Time for the call and its answer, connecting included. A large body has more by
+    /// `min_bytes_per_second`.
+    pub(super) base_time: Duration,
+    /// In bytes per second, as in [`TimeLimit`].
+    pub(super) min_bytes_per_second: Option<u32>,
     pub(super) max_body_bytes: usize,
 }
--- a/crates/sailcart-sender/src/platform/follower.rs
+++ b/crates/sailcart-sender/src/platform/follower.rs
@@ -11,9 +11,9 @@
 use tokio::time::Instant;
 
 use super::connection::{AddressReceiver, AnswerLimits, Connection, is_address_change};
-use crate::caller::{Sink, TooLarge};
 use crate::exchange::{Exchange, ListTooLarge, StagedList};
-use crate::rhythm::{self, Failure, Rhythm};
+use crate::polling::{self, Failure, PollingSchedule};
+use crate::response::{BodySink, TooLarge};
 use crate::wire::http::Head;
 use crate::wire::list_reader::{ListReader, MOST_ENTRY, Summary};
 use crate::wire::{MOST_BODY, discovery, http};
@@ -92,10 +92,10 @@
     other_bytes: usize,
 }
 
-impl Sink for ListIntake<'_> {
-    type Fault = ListError;
+impl BodySink for ListIntake<'_> {
+    type Error = ListError;
 
-    fn take(&mut self, head: &Head, piece: &[u8]) -> Result<(), ListError> {
+    fn receive(&mut self, head: &Head, piece: &[u8]) -> Result<(), ListError> {
         if head.status != 200 {
             self.other_bytes += piece.len();
             return if self.other_bytes > MOST_BODY { Err(ListError::Status(head.status)) } else { Ok(()) };
@@ -110,8 +110,9 @@
 ///
 /// # Large lists
 ///
-/// A list is parsed as it is received, and this thread yields to other tasks after each [`caller::PIECE`].
-/// No part of the list takes effect before all of it has been received and found valid.
+/// A list is parsed as it is received, and this thread yields to other tasks after each
+/// [`response::MAX_PIECE_BYTES`]. No part of the list takes effect before all of it has been received and found
+/// valid.
 ///
 /// A call has the time that its polling schedule gives, and a large list more in proportion to the bytes
 /// received (`MIN_LIST_BYTES_PER_SECOND`). A list of `n` endpoints has at most `n` times [`MOST_ENTRY`]
@@ -129,10 +130,10 @@
 /// received without reading that answer again, so nothing is promised about updates before the delay has
 /// passed.
 ///
-/// [`caller::PIECE`]: crate::caller::PIECE
+/// [`response::MAX_PIECE_BYTES`]: crate::response::MAX_PIECE_BYTES
 pub struct Follower {
     connection: Connection,
-    schedule: Rhythm,
+    schedule: PollingSchedule,
     /// The most endpoints that a list may contain.
     max_endpoints: usize,
     exchange: Rc<Exchange>,
@@ -154,12 +155,16 @@
     pub fn new(
         address_receiver: AddressReceiver,
         version: u64,
-        schedule: Rhythm,
+        schedule: PollingSchedule,
         max_endpoints: usize,
         exchange: Rc<Exchange>,
     ) -> Self {
         Follower {
-            connection: Connection { address_receiver, stream: None, connect_timeout: schedule.call() },
+            connection: Connection {
+                address_receiver,
+                stream: None,
+                connect_timeout: schedule.call_timeout(),
+            },
             schedule,
             max_endpoints,
             exchange,
@@ -187,7 +192,7 @@
                 Ok(Received::Nothing) => {
                     // A watch that is answered at once is not repeated at once, to bound the rate of calls.
                     // The delay is short enough that updates still arrive on schedule.
-                    let delay = rhythm::MIN_DELAY.saturating_sub(start.elapsed());
+                    let delay = polling::MIN_DELAY.saturating_sub(start.elapsed());
                     self.wait(delay).await;
                 }
                 Err(error) => self.handle_failure(error).await,
@@ -197,16 +202,17 @@
 
     /// Makes one call and puts the list or update that it brings in force.
     async fn poll(&mut self) -> Result<Received, ListError> {
-        let (path, within) = self.next_call();
+        let (path, base_time) = self.next_call();
         let call = http::get(&self.connection.address().to_string(), &path);
         let max_body_bytes = self.max_endpoints.saturating_mul(MOST_ENTRY);
-        let limits = AnswerLimits { within, least_rate: Some(MIN_LIST_BYTES_PER_SECOND), max_body_bytes };
+        let limits =
+            AnswerLimits { base_time, min_bytes_per_second: Some(MIN_LIST_BYTES_PER_SECOND), max_body_bytes };
         let exchange = self.exchange.clone();
         let staged = exchange.stage(self.max_endpoints);
         let mut intake =
             ListIntake { exchange: &exchange, reader: ListReader::default(), staged, other_bytes: 0 };
-        let reply = self.connection.call(&call, limits, &mut intake).await?;
-        let status = reply.head.map_or(0, |head| head.status);
+        let response = self.connection.call(&call, limits, &mut intake).await?;
+        let status = response.head.map_or(0, |head| head.status);
         if status != 200 {
             return Err(ListError::Status(status));
         }
@@ -225,11 +231,13 @@
 
     /// The path of the next call, and the time within which its answer must arrive.
     fn next_call(&self) -> (String, Duration) {
-        let Some(from) = self.watch_from else { return (discovery::WHOLE.to_owned(), self.schedule.call()) };
-        let (hold, within) = self.schedule.watch();
+        let Some(from) = self.watch_from else {
+            return (discovery::WHOLE.to_owned(), self.schedule.call_timeout());
+        };
+        let (hold, base_time) = self.schedule.watch_timing();
         let until_full_list = self.full_list_at.map(|at| at.saturating_duration_since(Instant::now()));
         let shortened = until_full_list.map_or(hold, |until_full_list| until_full_list.min(hold));
-        (discovery::watch(from, shortened), within - (hold - shortened))
+        (discovery::watch(from, shortened), base_time - (hold - shortened))
     }
 
     /// Updates the state after a list or update was put in force.
@@ -238,11 +246,11 @@
         self.version_in_force = Some(list.version);
         self.watch_from = self.version_in_force;
         self.logged_error = None;
-        self.schedule.over();
+        self.schedule.list_in_force();
         if self.full_list_at.is_none() || list.whole || asked_for_full {
             self.full_list_at = None;
             self.logged_too_large = false;
-            self.schedule.fits();
+            self.schedule.list_fits();
         }
     }
 
@@ -251,12 +259,12 @@
         match error {
             ListError::AddressChanged => self.reset(),
             ListError::TooLarge => self.handle_too_large().await,
-            ListError::ConnectionFailed(_) => self.back_off(&error, Failure::Lost).await,
-            ListError::Status(_) => self.back_off(&error, Failure::TurnedAway).await,
+            ListError::ConnectionFailed(_) => self.back_off(&error, Failure::CallFailed).await,
+            ListError::Status(_) => self.back_off(&error, Failure::Overloaded).await,
             ListError::Malformed(_) => {
                 // Fetch the full list next, unless it is known to be too large.
                 self.watch_from = self.version_in_force.filter(|_| self.full_list_at.is_some());
-                self.back_off(&error, Failure::Lost).await;
+                self.back_off(&error, Failure::CallFailed).await;
             }
         }
     }
@@ -270,12 +278,12 @@
         if self.logged_error.replace(kind) != Some(kind) {
             log::warn!("discovery: code=no_list {error}");
         }
-        let delay = self.schedule.pause(failure);
+        let delay = self.schedule.delay_after(failure);
         self.wait(delay).await;
     }
 
     async fn handle_too_large(&mut self) {
-        let delay = self.schedule.refused();
+        let delay = self.schedule.too_large_delay();
         if !std::mem::replace(&mut self.logged_too_large, true) {
             let max_endpoints = self.max_endpoints;
             log::warn!(
--- a/crates/sailcart-sender/src/platform/notices.rs
+++ b/crates/sailcart-sender/src/platform/notices.rs
@@ -12,10 +12,10 @@
 
 use super::connection::{AddressReceiver, AnswerLimits, Connection, is_address_change};
 use super::refused::RefusedNotices;
-use crate::caller::Sink;
 use crate::exchange::Exchange;
 use crate::memory::Notice;
-use crate::rhythm;
+use crate::polling;
+use crate::response::BodySink;
 use crate::wire::http::Head;
 use crate::wire::{MOST_BODY, http, notice};
 
@@ -28,10 +28,10 @@
 /// Ignores the body of an answer.
 struct DiscardBody;
 
-impl Sink for DiscardBody {
-    type Fault = io::Error;
+impl BodySink for DiscardBody {
+    type Error = io::Error;
 
-    fn take(&mut self, _: &Head, _: &[u8]) -> io::Result<()> {
+    fn receive(&mut self, _: &Head, _: &[u8]) -> io::Result<()> {
         Ok(())
     }
 }
@@ -140,13 +140,13 @@
         exchange.notices_out.notify_waiters();
         let call = http::post(&self.connection.address().to_string(), notice::PATH, "", body.as_bytes());
         let limits = AnswerLimits {
-            within: rhythm::notice(self.consecutive_losses),
-            least_rate: None,
+            base_time: polling::notice_timeout(self.consecutive_losses),
+            min_bytes_per_second: None,
             max_body_bytes: MOST_BODY,
         };
-        let reply = self.connection.call(&call, limits, &mut DiscardBody).await;
-        self.consecutive_losses = if reply.is_ok() { 0 } else { self.consecutive_losses + 1 };
-        let status = reply.map(|reply| reply.head.map_or(0, |head| head.status));
+        let response = self.connection.call(&call, limits, &mut DiscardBody).await;
+        self.consecutive_losses = if response.is_ok() { 0 } else { self.consecutive_losses + 1 };
+        let status = response.map(|response| response.head.map_or(0, |head| head.status));
         if matches!(status, Ok(204)) {
             shared.refused.borrow_mut().remove(&ids);
             exchange.told(&ids);
--- a/crates/sailcart-sender/src/caller.rs
+++ b/crates/sailcart-sender/src/response.rs
@@ -14,7 +14,7 @@
 
 /// Largest number of body bytes passed on at once. The task yields after so many, to let other tasks on its
 /// thread run.
-pub const PIECE: usize = 64 * 1024;
+pub const MAX_PIECE_BYTES: usize = 64 * 1024;
 /// Smallest capacity of the buffer for one read.
 const MIN_READ_BYTES: usize = 1024;
 /// Largest number of interim responses (status below 200) before the final one, as a peer may send them
@@ -25,7 +25,7 @@
 
 /// A response, as far as it was received.
 #[derive(Default)]
-pub struct Reply {
+pub struct Response {
     /// The status, known as soon as the first line is complete.
     pub status: Option<u16>,
     pub head: Option<Head>,
@@ -35,9 +35,9 @@
     pub complete: bool,
 }
 
-impl Reply {
+impl Response {
     /// Whether the connection can be used for another call.
-    pub fn keeps(&self) -> bool {
+    pub fn is_reusable(&self) -> bool {
         self.complete && self.head.as_ref().is_some_and(|head| !head.close)
     }
 }
@@ -53,19 +53,19 @@
 }
 
 /// Receives a body while it is read.
-pub trait Sink {
+pub trait BodySink {
     /// Why the body was not received to its end.
-    type Fault: From<io::Error> + From<TooLarge>;
+    type Error: From<io::Error> + From<TooLarge>;
 
-    /// Receives the next bytes of the body, at most [`PIECE`]. `head` is the head of the response.
-    fn take(&mut self, head: &Head, piece: &[u8]) -> Result<(), Self::Fault>;
+    /// Receives the next bytes of the body, at most [`MAX_PIECE_BYTES`]. `head` is the head of the response.
+    fn receive(&mut self, head: &Head, piece: &[u8]) -> Result<(), Self::Error>;
 }
 
 /// Collects a body.
-impl Sink for Vec<u8> {
-    type Fault = io::Error;
+impl BodySink for Vec<u8> {
+    type Error = io::Error;
 
-    fn take(&mut self, _: &Head, piece: &[u8]) -> io::Result<()> {
+    fn receive(&mut self, _: &Head, piece: &[u8]) -> io::Result<()> {
         self.extend_from_slice(piece);
         Ok(())
     }
@@ -75,39 +75,41 @@
 /// proportion to the bytes received. It applies only while waiting for bytes: those that have already arrived
 /// are read, even if this thread was delayed.
 #[derive(Clone, Copy, Debug)]
-pub struct Term {
+pub struct TimeLimit {
     /// When the call began.
-    pub start: Instant,
-    /// Time for the call, the head, and the first [`PIECE`] of the body.
-    pub within: Duration,
+    pub started_at: Instant,
+    /// Time for the call, the head, and the first [`MAX_PIECE_BYTES`] of the body.
+    pub base_time: Duration,
     /// Smallest rate, in bytes per second, of a body that exceeds the fixed time. `None` grants no additional
     /// time.
-    pub least_rate: Option<u32>,
+    pub min_bytes_per_second: Option<u32>,
 }
 
-impl Term {
+impl TimeLimit {
     /// The deadline of a response of which `received` body bytes have arrived.
-    pub fn end(&self, received: usize) -> Instant {
-        let extra = match self.least_rate {
-            Some(rate) => Duration::from_secs_f64(received.saturating_sub(PIECE) as f64 / f64::from(rate)),
+    pub fn deadline(&self, received: usize) -> Instant {
+        let extra = match self.min_bytes_per_second {
+            Some(rate) => {
+                Duration::from_secs_f64(received.saturating_sub(MAX_PIECE_BYTES) as f64 / f64::from(rate))
+            }
             None => Duration::ZERO,
         };
-        self.start + self.within + extra
+        self.started_at + self.base_time + extra
     }
 }
 
 /// Reads one response and collects its body of at most `max_body` bytes. Waits without limit for its first
-/// byte; from then on it must be complete within `read_timeout`. `reply` holds what was received so far, also
+/// byte; from then on it must be complete within `read_timeout`. `response` holds what was received so far, also
 /// after a failure and if the future is dropped.
 ///
 /// # Errors
 /// Those of the stream, and [`InvalidData`](io::ErrorKind::InvalidData) for a response that is malformed, too
 /// large or too slow.
-pub async fn read(
+pub async fn read_collected(
     stream: &mut (impl AsyncRead + Unpin),
     max_body: usize,
     read_timeout: Duration,
-    reply: &mut Reply,
+    response: &mut Response,
 ) -> io::Result<()> {
     let mut reader = ResponseReader::new(stream, max_body, None);
     for _ in 0..=MAX_INTERIM_RESPONSES {
@@ -115,36 +117,36 @@
             reader.read_more().await?;
         }
         let mut body = Vec::new();
-        let status = timeout(read_timeout, reader.read_response(reply, &mut body)).await;
+        let status = timeout(read_timeout, reader.read_response(response, &mut body)).await;
         // After an interim response, the final one is still to come.
         if status.unwrap_or_else(|_| Err(invalid_data("response incomplete at its time limit")))? >= 200 {
-            reply.body = body;
+            response.body = body;
             // Bytes after the response were not requested, and would be read as the next response.
-            reply.complete = reader.buffer.is_empty();
+            response.complete = reader.buffer.is_empty();
             return Ok(());
         }
     }
     Err(invalid_data("too many interim responses"))
 }
 
-/// Reads one response within the time limit `term` and passes its body, of at most `max_body` bytes, on to a
+/// Reads one response within `time_limit` and passes its body, of at most `max_body` bytes, on to a
 /// sink.
 ///
 /// # Errors
-/// Those of [`read`], [`TimedOut`](io::ErrorKind::TimedOut) at the end of the time limit, and those of the
+/// Those of [`read_collected`], [`TimedOut`](io::ErrorKind::TimedOut) at the end of the time limit, and those of the
 /// sink.
-pub async fn hand_on<S: Sink>(
+pub async fn read_to_sink<S: BodySink>(
     stream: &mut (impl AsyncRead + Unpin),
     max_body: usize,
-    term: Term,
+    time_limit: TimeLimit,
     sink: &mut S,
-) -> Result<Reply, S::Fault> {
-    let mut reader = ResponseReader::new(stream, max_body, Some(term));
-    let mut reply = Reply::default();
+) -> Result<Response, S::Error> {
+    let mut reader = ResponseReader::new(stream, max_body, Some(time_limit));
+    let mut response = Response::default();
     for _ in 0..=MAX_INTERIM_RESPONSES {
-        if reader.read_response(&mut reply, sink).await? >= 200 {
-            reply.complete = reader.buffer.is_empty();
-            return Ok(reply);
+        if reader.read_response(&mut response, sink).await? >= 200 {
+            response.complete = reader.buffer.is_empty();
+            return Ok(response);
         }
     }
     Err(invalid_data("too many interim responses").into())
@@ -156,7 +158,7 @@
     buffer: BytesMut,
     /// Largest body in bytes.
     max_body: usize,
-    term: Option<Term>,
+    time_limit: Option<TimeLimit>,
     /// Number of bytes of the current body that were passed on.
     body_bytes: usize,
     /// Number of bytes passed on since the task last yielded.
@@ -164,20 +166,24 @@
 }
 
 impl<'a, Stream: AsyncRead + Unpin> ResponseReader<'a, Stream> {
-    fn new(stream: &'a mut Stream, max_body: usize, term: Option<Term>) -> Self {
+    fn new(stream: &'a mut Stream, max_body: usize, time_limit: Option<TimeLimit>) -> Self {
         ResponseReader {
             stream,
             buffer: BytesMut::new(),
             max_body,
-            term,
+            time_limit,
             body_bytes: 0,
             bytes_since_yield: 0,
         }
     }
 
     /// Reads a complete response and returns its status.
-    async fn read_response<S: Sink>(&mut self, reply: &mut Reply, sink: &mut S) -> Result<u16, S::Fault> {
-        let head = self.read_head(reply).await?;
+    async fn read_response<S: BodySink>(
+        &mut self,
+        response: &mut Response,
+        sink: &mut S,
+    ) -> Result<u16, S::Error> {
+        let head = self.read_head(response).await?;
         self.body_bytes = 0;
         match head.extent {
             Extent::Unreadable => return Err(invalid_data("invalid Content-Length").into()),
@@ -189,25 +195,25 @@
         Ok(head.status)
     }
 
-    async fn read_head<'r>(&mut self, reply: &'r mut Reply) -> io::Result<&'r Head> {
+    async fn read_head<'r>(&mut self, response: &'r mut Response) -> io::Result<&'r Head> {
         loop {
             if let Some((status, _)) = http::status(&self.buffer).map_err(invalid_data)? {
-                reply.status = Some(status);
+                response.status = Some(status);
             }
             if let Some(head) = self.parse(http::head)? {
-                return Ok(reply.head.insert(head));
+                return Ok(response.head.insert(head));
             }
             self.read_more().await?;
         }
     }
 
     /// Passes on the next `length` bytes of a body.
-    async fn read_exactly<S: Sink>(
+    async fn read_exactly<S: BodySink>(
         &mut self,
         head: &Head,
         length: usize,
         sink: &mut S,
-    ) -> Result<(), S::Fault> {
+    ) -> Result<(), S::Error> {
         let mut left = length;
         while left > 0 {
             if self.buffer.is_empty() {
@@ -218,7 +224,7 @@
         Ok(())
     }
 
-    async fn read_chunks<S: Sink>(&mut self, head: &Head, sink: &mut S) -> Result<(), S::Fault> {
+    async fn read_chunks<S: BodySink>(&mut self, head: &Head, sink: &mut S) -> Result<(), S::Error> {
         loop {
             let size = self.read_value(chunked::size).await?;
             if size > self.max_body - self.body_bytes {
@@ -242,7 +248,7 @@
     }
 
     /// Passes on a body that ends when the connection is closed.
-    async fn read_to_end<S: Sink>(&mut self, head: &Head, sink: &mut S) -> Result<(), S::Fault> {
+    async fn read_to_end<S: BodySink>(&mut self, head: &Head, sink: &mut S) -> Result<(), S::Error> {
         loop {
             while !self.buffer.is_empty() {
                 if self.buffer.len() > self.max_body - self.body_bytes {
@@ -257,13 +263,18 @@
     }
 
     /// Passes on up to `max` bytes from the buffer; returns how many.
-    async fn pass_on<S: Sink>(&mut self, head: &Head, max: usize, sink: &mut S) -> Result<usize, S::Fault> {
-        let length = self.buffer.len().min(max).min(PIECE);
-        sink.take(head, &self.buffer[..length])?;
+    async fn pass_on<S: BodySink>(
+        &mut self,
+        head: &Head,
+        max: usize,
+        sink: &mut S,
+    ) -> Result<usize, S::Error> {
+        let length = self.buffer.len().min(max).min(MAX_PIECE_BYTES);
+        sink.receive(head, &self.buffer[..length])?;
         self.buffer.advance(length);
         self.body_bytes += length;
         self.bytes_since_yield += length;
-        if self.bytes_since_yield >= PIECE {
+        if self.bytes_since_yield >= MAX_PIECE_BYTES {
             self.bytes_since_yield = 0;
             yield_now().await;
         }
@@ -298,11 +309,11 @@
     /// capacity of the buffer grows with the body.
     async fn fill(&mut self) -> io::Result<usize> {
         if self.buffer.is_empty() {
-            self.buffer.reserve(self.body_bytes.clamp(MIN_READ_BYTES, PIECE));
+            self.buffer.reserve(self.body_bytes.clamp(MIN_READ_BYTES, MAX_PIECE_BYTES));
         }
         let reading = self.stream.read_buf(&mut self.buffer);
-        match self.term {
-            Some(term) => timeout_at(term.end(self.body_bytes), reading).await?,
+        match self.time_limit {
+            Some(time_limit) => timeout_at(time_limit.deadline(self.body_bytes), reading).await?,
             None => reading.await,
         }
     }
--- a/crates/sailcart-sender/src/socket.rs
+++ b/crates/sailcart-sender/src/socket.rs
@@ -23,7 +23,7 @@
     /// Clears read readiness after a complete response, so that the next read waits for a new report instead
     /// of making a system call that finds nothing. Must be used only if the peer sends nothing more until the
     /// next request.
-    pub fn nothing_is_due(&self) {
+    pub fn clear_read_readiness(&self) {
         // Ends readiness as a read that returns `EAGAIN` would. That the peer has closed its side stays
         // known.
         let ended = self.0.try_io(Interest::READABLE, || io::Result::<()>::Err(ErrorKind::WouldBlock.into()));
--- a/crates/sailcart-sender/tests/pauses.rs
+++ b/crates/sailcart-sender/tests/pauses.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use sailcart_sender::pauses::Pauses;
-use sailcart_sender::rhythm::{Failure, Rhythm};
+use sailcart_sender::backoff::Backoff;
+use sailcart_sender::polling::{Failure, PollingSchedule};
 
 /// A discovery that takes 20 calls a second and turns away, after two seconds, whoever waits longer; its work for them is done
 /// all the same. Tells when the last of a hundred senders that all asked at once has its list, if within two minutes.
@@ -26,8 +26,9 @@
 /// day's end, as was every sender that was restarted.
 #[test]
 fn a_hundred_that_were_turned_away_let_each_other_in() {
-    let mut own: Vec<_> = (0..100).map(|seed| Rhythm::new(Some(Duration::from_secs(10)), seed)).collect();
-    let heard = all_have_heard(|sender| own[sender].pause(Failure::TurnedAway));
+    let mut own: Vec<_> =
+        (0..100).map(|seed| PollingSchedule::new(Some(Duration::from_secs(10)), seed)).collect();
+    let heard = all_have_heard(|sender| own[sender].delay_after(Failure::Overloaded));
     assert!(heard.is_some_and(|at| at < 20.0), "all have heard at {heard:?}");
     let least = Duration::from_millis(50);
     assert_eq!(all_have_heard(|_| least), None, "this discovery does not get through with fixed pauses");
@@ -36,8 +37,9 @@
 #[test]
 fn pauses_grow_in_a_row_and_end_with_it() {
     let ms = Duration::from_millis;
-    let mut pauses = Pauses::new(7, ms(50));
-    let mut most = |row: u32| (0..row).map(|_| pauses.next(ms(50), ms(800))).max().inspect(|_| pauses.over());
+    let mut pauses = Backoff::new(7, ms(50));
+    let mut most =
+        |row: u32| (0..row).map(|_| pauses.next_delay(ms(50), ms(800))).max().inspect(|_| pauses.reset());
     assert_eq!(most(1), Some(ms(50)));
     let tenth: Vec<_> = (0..20).filter_map(|_| most(10)).collect();
     assert!(tenth.iter().all(|longest| (ms(50)..=ms(800)).contains(longest)), "{tenth:?}");
--- a/crates/sailcart-sender/tests/pieces.rs
+++ b/crates/sailcart-sender/tests/pieces.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::Duration;
 
-use sailcart_sender::caller::{self, PIECE, Reply, Sink, Term, TooLarge};
+use sailcart_sender::response::{self, BodySink, MAX_PIECE_BYTES, Response, TimeLimit, TooLarge};
 use sailcart_sender::wire::http::Head;
 use tokio::net::TcpStream;
 use tokio::task::{LocalSet, spawn_local, yield_now};
@@ -46,11 +46,11 @@
     longest: usize,
 }
 
-impl Sink for Watcher {
-    type Fault = io::Error;
+impl BodySink for Watcher {
+    type Error = io::Error;
 
-    fn take(&mut self, head: &Head, piece: &[u8]) -> io::Result<()> {
-        assert!(head.status == 200 && !piece.is_empty() && piece.len() <= PIECE);
+    fn receive(&mut self, head: &Head, piece: &[u8]) -> io::Result<()> {
+        assert!(head.status == 200 && !piece.is_empty() && piece.len() <= MAX_PIECE_BYTES);
         assert!(piece.iter().enumerate().all(|(nth, told)| *told == byte(self.came + nth)), "in order");
         if self.turns.get() != self.turns_seen {
             self.turns_seen = self.turns.get();
@@ -70,7 +70,7 @@
 }
 
 /// Reads what a peer writes, beside a task that always has something to do.
-async fn read(bytes: Vec<u8>, most: usize) -> (io::Result<Reply>, Watcher) {
+async fn read(bytes: Vec<u8>, most: usize) -> (io::Result<Response>, Watcher) {
     let turns = Rc::new(Cell::new(0));
     let counted = turns.clone();
     let other = spawn_local(async move {
@@ -80,11 +80,15 @@
         }
     });
     let mut stream = TcpStream::connect(peer(bytes)).await.expect("a connection");
-    let term = Term { start: Instant::now(), within: Duration::from_secs(20), least_rate: None };
+    let term = TimeLimit {
+        started_at: Instant::now(),
+        base_time: Duration::from_secs(20),
+        min_bytes_per_second: None,
+    };
     let mut watcher = Watcher { came: 0, turns, turns_seen: 0, in_a_row: 0, longest: 0 };
-    let reply = caller::hand_on(&mut stream, most, term, &mut watcher).await;
+    let response = response::read_to_sink(&mut stream, most, term, &mut watcher).await;
     other.abort();
-    (reply, watcher)
+    (response, watcher)
 }
 
 fn answer(headers: &str, rest: &[u8]) -> Vec<u8> {
@@ -100,16 +104,16 @@
 #[test]
 fn a_large_body_leaves_the_thread_to_others_after_each_piece() {
     let (length, chunked) = (format!("Content-Length: {SIZE}\r\n"), "Transfer-Encoding: chunked\r\n");
-    for (frame, bytes, keeps) in [
+    for (frame, bytes, is_reusable) in [
         ("length", answer(&length, &body(SIZE)), true),
         ("one chunk", answer(chunked, &chunks(&body(SIZE), SIZE)), true),
         ("chunks", answer(chunked, &chunks(&body(SIZE), 1000)), true),
         ("until the end", answer("", &body(SIZE)), false),
     ] {
-        let (reply, watcher) = run(read(bytes, SIZE));
-        let reply = reply.expect(frame);
-        assert_eq!((watcher.came, reply.keeps()), (SIZE, keeps), "{frame}");
-        assert!(watcher.longest < 2 * PIECE, "{frame}: {} bytes without a turn", watcher.longest);
+        let (response, watcher) = run(read(bytes, SIZE));
+        let response = response.expect(frame);
+        assert_eq!((watcher.came, response.is_reusable()), (SIZE, is_reusable), "{frame}");
+        assert!(watcher.longest < 2 * MAX_PIECE_BYTES, "{frame}: {} bytes without a turn", watcher.longest);
     }
 }
 
@@ -122,8 +126,8 @@
         (chunked, SIZE - 1000),
         (answer("", &body(SIZE)), SIZE - (1 << 20)),
     ] {
-        let (reply, watcher) = run(read(bytes, SIZE - 1));
-        let fault = reply.err().expect("a fault").to_string();
+        let (response, watcher) = run(read(bytes, SIZE - 1));
+        let fault = response.err().expect("a fault").to_string();
         assert_eq!(fault, io::Error::from(TooLarge).to_string());
         assert!((least..SIZE).contains(&watcher.came), "{} bytes came", watcher.came);
     }
@@ -140,9 +144,10 @@
         let bytes = answer(headers, &rest);
         let gather = async |most: usize| {
             let mut stream = TcpStream::connect(peer(bytes.clone())).await.expect("a connection");
-            let mut reply = Reply::default();
-            let read = caller::read(&mut stream, most, Duration::from_secs(20), &mut reply).await;
-            read.map(|()| reply.body)
+            let mut response = Response::default();
+            let read =
+                response::read_collected(&mut stream, most, Duration::from_secs(20), &mut response).await;
+            read.map(|()| response.body)
         };
         assert_eq!(run(gather(3000)).expect(headers), body(3000));
         let fault = run(gather(2999)).expect_err(headers);
--- a/crates/sailcart-sender/tests/rhythm.rs
+++ b/crates/sailcart-sender/tests/rhythm.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sailcart_sender::rhythm::{Failure, Rhythm, TOLD, notice};
+use sailcart_sender::polling::{Failure, MAX_UPDATE_DELAY, PollingSchedule, notice_timeout};
 
 /// Pauses were drawn from a span that doubled to 40 s, and a silent watch was given up after 21 s. The longest way is a call that is
 /// silent, a pause, one that is lost, a pause, one that brings the list; half a second is left for the sender itself.
@@ -10,20 +10,29 @@
 fn from_within_reach_to_told_is_shorter_than_the_term() {
     let asked = Some(Duration::from_secs(10));
     for (seed, asked) in (0..200).flat_map(|seed| [(seed, None), (seed, asked)]) {
-        let mut rhythm = Rhythm::new(asked, seed);
-        rhythm.over();
-        let (hold, waited) = rhythm.watch();
-        let lost = [Failure::Lost; 20].map(|lost| rhythm.pause(lost)).into_iter().max().unwrap_or_default();
-        let away = [Failure::TurnedAway; 20].map(|away| rhythm.pause(away)).into_iter().max();
-        let again = lost + rhythm.call();
-        let way = if hold < TOLD { waited + again } else { rhythm.call() } + again;
-        assert!(way + Duration::from_millis(500) <= TOLD, "{asked:?} {way:?}");
+        let mut schedule = PollingSchedule::new(asked, seed);
+        schedule.list_in_force();
+        let (hold, waited) = schedule.watch_timing();
+        let lost = [Failure::CallFailed; 20]
+            .map(|lost| schedule.delay_after(lost))
+            .into_iter()
+            .max()
+            .unwrap_or_default();
+        let away = [Failure::Overloaded; 20].map(|away| schedule.delay_after(away)).into_iter().max();
+        let again = lost + schedule.call_timeout();
+        let way = if hold < MAX_UPDATE_DELAY { waited + again } else { schedule.call_timeout() } + again;
+        assert!(way + Duration::from_millis(500) <= MAX_UPDATE_DELAY, "{asked:?} {way:?}");
         assert!(
-            away.is_some_and(|away| away + rhythm.watch().0 + Duration::from_millis(500) < TOLD),
+            away.is_some_and(
+                |away| away + schedule.watch_timing().0 + Duration::from_millis(500) < MAX_UPDATE_DELAY
+            ),
             "{away:?}"
         );
         // One that waits for longer has two seconds from its end, and leaves a discovery room that all senders share.
-        assert!(hold < TOLD || hold >= Duration::from_secs(16) && waited - hold < Duration::from_secs(2));
+        assert!(
+            hold < MAX_UPDATE_DELAY
+                || hold >= Duration::from_secs(16) && waited - hold < Duration::from_secs(2)
+        );
     }
 }
 
@@ -31,8 +40,8 @@
 #[test]
 fn a_lost_notice_is_told_again_in_time() {
     assert!(
-        notice(0) < Duration::from_millis(300)
-            && notice(1) > notice(0)
-            && notice(9) <= Duration::from_secs(1)
+        notice_timeout(0) < Duration::from_millis(300)
+            && notice_timeout(1) > notice_timeout(0)
+            && notice_timeout(9) <= Duration::from_secs(1)
     );
 }
