--- a/crates/sailcart-sender/examples/ledger.rs
+++ b/crates/sailcart-sender/examples/ledger.rs
@@ -13,14 +13,14 @@
 const HELD_PACKETS: u64 = 1_500;
 
 fn packet(ledger: &Ledger) -> Packet {
-    let number = ledger.next();
+    let number = ledger.next_number();
     Packet {
         number,
         id: format!("{:016x}", number.0).into(),
         category: "notice".into(),
         customer: Some("acme".into()),
-        mark: Some(format!("{:016x}", number.0).into()),
-        about: None,
+        idempotency_key: Some(format!("{:016x}", number.0).into()),
+        order_key: None,
         destination: DestinationId(7),
         ends: Moment::by_wall_clock(Duration::from_secs(1_764_000_000)),
         body: vec![b'x'; 200].into(),
@@ -33,7 +33,7 @@
         .expect("the ledger opens");
     for _ in 0..HELD_PACKETS {
         let packet = packet(&ledger);
-        ledger.take(packet).expect("the packet fits");
+        ledger.accept(packet).expect("the packet fits");
     }
     let mut times = Vec::new();
     let start = Instant::now();
@@ -46,13 +46,13 @@
             times.push(start.elapsed());
         };
         let mut packet = Some(packet);
-        timed(&mut || ledger.take(packet.take().expect("called once")).expect("the packet fits"));
+        timed(&mut || ledger.accept(packet.take().expect("called once")).expect("the packet fits"));
         timed(&mut || {
             ledger
-                .sends(&[number], Moment::by_wall_clock(Duration::from_secs(1_764_000_000)))
+                .record_dispatch(&[number], Moment::by_wall_clock(Duration::from_secs(1_764_000_000)))
                 .expect("the record fits")
         });
-        timed(&mut || ledger.over(number));
+        timed(&mut || ledger.complete(number));
     }
     let rate = times.len() as f64 / start.elapsed().as_secs_f64();
     times.sort();
--- a/crates/sailcart-sender/src/endpoints.rs
+++ b/crates/sailcart-sender/src/endpoints.rs
@@ -14,7 +14,7 @@
 
 use crate::exchange::invariants::{Permit, Refusal};
 use crate::local_errors;
-use crate::memory::pool::{Pool, ended};
+use crate::memory::pool::{Pool, log_connection_end};
 use crate::outgoing::{Call, CallOwner};
 use crate::response::{self, Response};
 use crate::socket::Socket;
@@ -72,7 +72,7 @@
             Some(stream) if owner.lists(call.endpoint) => {
                 self.pool.borrow_mut().put(call.endpoint, call.address, stream);
             }
-            Some(_) => ended(call.address, "unlisted"),
+            Some(_) => log_connection_end(call.address, "unlisted"),
             None => {}
         }
         owner.call_completed(&call, &endings, head.as_ref());
@@ -145,8 +145,8 @@
             stream.clear_read_readiness();
             return (endings, response.head, Some(stream));
         }
-        Ok(()) => ended(call.address, "answer_closes"),
-        Err(error) => ended(call.address, log_code(&error)),
+        Ok(()) => log_connection_end(call.address, "answer_closes"),
+        Err(error) => log_connection_end(call.address, log_code(&error)),
     }
     (endings, response.head, None)
 }
@@ -197,5 +197,5 @@
 }
 
 fn to_parcel(packet: &crate::memory::Packet) -> Parcel<'_> {
-    Parcel { id: &packet.id, mark: packet.mark.as_deref(), body: &packet.body }
+    Parcel { id: &packet.id, idempotency_key: packet.idempotency_key.as_deref(), body: &packet.body }
 }
--- a/crates/sailcart-sender/src/exchange/calls.rs
+++ b/crates/sailcart-sender/src/exchange/calls.rs
@@ -50,7 +50,7 @@
         let preconditions = SendPreconditions { all_tracked: completed.is_none(), allowed };
         // One record for the whole call: if separate records failed half-way, packets that were never sent
         // would count as possibly executed.
-        let permitted = preconditions.permit(|| host.ledger.sends(&ids, host.clock.to_moment(now)));
+        let permitted = preconditions.permit(|| host.ledger.record_dispatch(&ids, host.clock.to_moment(now)));
         match &permitted {
             Ok(_) => call.sent_at.set(Some(Instant::now())),
             Err(refusal) => {
@@ -89,9 +89,9 @@
                 // completed.
                 host.queue_notice(id, Notice::Scrapped);
             } else if *completed || *outcome == Outcome::Done {
-                host.ledger.over(id);
+                host.ledger.complete(id);
             } else {
-                host.ledger.came_back(id, may_have_executed(*outcome));
+                host.ledger.record_outcome(id, may_have_executed(*outcome));
             }
         }
         self.round_requested.notify_one();
@@ -138,12 +138,12 @@
     /// The key in whose order a packet is sent, or `None` if its category is not ordered or it has no key.
     pub(super) fn order_key(&self, packet: &Packet) -> Option<KeyId> {
         let category = *self.names.categories.get(&*packet.category)?;
-        packet.about.as_deref().filter(|_| self.in_order_by_category[category]).map(key_id)
+        packet.order_key.as_deref().filter(|_| self.in_order_by_category[category]).map(key_id)
     }
 
     fn waits_for_notice(&self, call: &Call) -> bool {
         let mut keys =
             call.packets.iter().filter_map(|packet| Some((packet.number, self.order_key(packet)?)));
-        !self.unacknowledged.is_empty() && keys.any(|(id, key)| self.unacknowledged.before(id, key))
+        !self.unacknowledged.is_empty() && keys.any(|(id, key)| self.unacknowledged.any_before(id, key))
     }
 }
--- a/crates/sailcart-sender/src/exchange/clock.rs
+++ b/crates/sailcart-sender/src/exchange/clock.rs
@@ -22,8 +22,8 @@
         let boot_id = boot_id();
         let now = Moment::now(boot_id);
         match now.uptime {
-            Some(Uptime { boot, since }) => {
-                log::info!("clock: boot={boot} uptime={since:?} unix={:?}", now.unix)
+            Some(Uptime { boot, since_boot }) => {
+                log::info!("clock: boot={boot} uptime={since_boot:?} unix={:?}", now.unix)
             }
             None => log::warn!(
                 "clock: code=no_boot_id unix={:?}; durations across restarts rely on the wall clock",
@@ -52,7 +52,8 @@
     /// Converts a packet's deadline to this clock. A deadline known only by the wall clock is trusted here;
     /// the code that restores the packet bounds it.
     pub(super) fn deadline(&self, deadline: Moment) -> Duration {
-        let (Distance::Sure(span) | Distance::Unsure(span)) = Moment::now(self.boot_id).distance(deadline);
+        let (Distance::Monotonic(span) | Distance::WallClock(span)) =
+            Moment::now(self.boot_id).distance(deadline);
         match span {
             Span::Ahead(span) => self.now().saturating_add(span),
             Span::Ago(span) => self.now().saturating_sub(span),
@@ -70,8 +71,8 @@
 /// earlier formats hold only wall clock time, which is used as it is.
 fn dispatch_age(now: Moment, sent: Moment) -> Duration {
     match now.distance(sent) {
-        Distance::Sure(Span::Ago(span)) => span,
-        Distance::Unsure(Span::Ago(span)) if sent.uptime.is_none() => span,
+        Distance::Monotonic(Span::Ago(span)) => span,
+        Distance::WallClock(Span::Ago(span)) if sent.uptime.is_none() => span,
         _ => UNKNOWN_AGE,
     }
 }
--- a/crates/sailcart-sender/src/exchange/host.rs
+++ b/crates/sailcart-sender/src/exchange/host.rs
@@ -39,7 +39,7 @@
 
     fn wake(&mut self, after: Duration) {
         if let Some(at) = Instant::now().checked_add(after) {
-            self.wakes.ask(at);
+            self.scheduled_rounds.schedule(at);
         }
     }
 }
--- a/crates/sailcart-sender/src/exchange/host_state.rs
+++ b/crates/sailcart-sender/src/exchange/host_state.rs
@@ -14,8 +14,8 @@
 use super::packets::{Answer, reply_all};
 use crate::memory::Notice;
 use crate::memory::ledger::Ledger;
-use crate::memory::untold::Untold;
-use crate::memory::wakes::Wakes;
+use crate::memory::scheduled_rounds::ScheduledRounds;
+use crate::memory::unacknowledged::UnacknowledgedNotices;
 
 /// The sender's host: carries out the decisions of the sender at the end of each round.
 pub(super) struct HostState {
@@ -46,9 +46,9 @@
     /// Endpoints whose idle connections are to be closed, with the code for the log.
     pub(super) endpoints_to_close: Vec<(EndpointId, &'static str)>,
     /// Times of the rounds that the sender requested.
-    pub(super) wakes: Wakes,
+    pub(super) scheduled_rounds: ScheduledRounds,
     /// Packets whose notice the platform has not acknowledged: later packets with the same key wait for them.
-    pub(super) unacknowledged: Untold,
+    pub(super) unacknowledged: UnacknowledgedNotices,
     /// By category, whether its packets are sent in the order of their keys.
     pub(super) in_order_by_category: Vec<bool>,
     pub(super) violations: Violations,
@@ -56,9 +56,10 @@
 
 impl HostState {
     pub(super) fn new(terms: &sailcart::Terms, names: Names, ledger: Ledger) -> Self {
-        let states = ledger.unended().into_iter().map(|packet| ledger.stand(packet.number));
-        let clock = Clock::new(states.filter_map(|state| state.doubt.or(state.out)));
-        let unacknowledged = Untold::new(ledger.owed().map(|(id, ..)| id));
+        let states =
+            ledger.uncompleted_packets().into_iter().map(|packet| ledger.dispatch_state(packet.number));
+        let clock = Clock::new(states.filter_map(|state| state.doubt.or(state.in_flight_since)));
+        let unacknowledged = UnacknowledgedNotices::new(ledger.pending_notices().map(|(id, ..)| id));
         HostState {
             clock,
             names,
@@ -73,7 +74,7 @@
             in_flight: BTreeMap::new(),
             dispatches: Vec::new(),
             endpoints_to_close: Vec::new(),
-            wakes: Wakes::default(),
+            scheduled_rounds: ScheduledRounds::default(),
             unacknowledged,
             violations: Violations::default(),
             in_order_by_category: terms.categories.iter().map(|category| category.in_order).collect(),
@@ -84,12 +85,12 @@
     /// one to its submission, otherwise the platform is notified.
     pub(super) fn complete_undelivered(&mut self, id: PacketId, notice: Notice) {
         let (deadline, dispatches) =
-            (self.ledger.packet(id).map(|packet| packet.ends), self.ledger.stand(id).dispatches);
+            (self.ledger.packet(id).map(|packet| packet.ends), self.ledger.dispatch_state(id).dispatches);
         if let Some(left) = deadline.map(|at| self.clock.deadline(at).saturating_sub(self.clock.now())) {
             log::debug!("packet {}: ends {notice:?}, {dispatches} dispatches, {left:?} left", id.0);
         }
         let Some(clients) = self.waiting_clients.remove(&id) else { return self.queue_notice(id, notice) };
-        if self.ledger.over_at_once(id, notice) {
+        if self.ledger.complete_rejected(id, notice) {
             self.failure_replies.push((clients, notice));
         } else {
             // The journal holds the packet as accepted and cannot be changed now, so the reply says that it
@@ -116,8 +117,8 @@
             return self.violations.count(Invariant::SecondCompletion, &id.0);
         }
         if let Some(key) = self.ledger.packet(id).cloned().and_then(|packet| self.order_key(&packet)) {
-            self.unacknowledged.owe(id, key);
+            self.unacknowledged.insert(id, key);
         }
-        self.ledger.owe(id, notice);
+        self.ledger.complete_with_notice(id, notice);
     }
 }
--- a/crates/sailcart-sender/src/exchange/mod.rs
+++ b/crates/sailcart-sender/src/exchange/mod.rs
@@ -66,7 +66,7 @@
 
     /// Calls `read` with the pending notices: those that the platform has not acknowledged.
     pub fn owed<T>(&self, read: impl FnOnce(&mut dyn Iterator<Item = (PacketId, &str, Notice)>) -> T) -> T {
-        read(&mut self.inner.borrow().host.ledger.owed())
+        read(&mut self.inner.borrow().host.ledger.pending_notices())
     }
 
     /// Calls `read` with the pending notices that may be sent now: those that this process or a later one can
@@ -76,7 +76,7 @@
         read: impl FnOnce(&mut dyn Iterator<Item = (PacketId, &str, Notice)>) -> T,
     ) -> T {
         let host = &self.inner.borrow().host;
-        read(&mut host.ledger.tellable(|deadline| host.clock.is_past(deadline)))
+        read(&mut host.ledger.sendable_notices(|deadline| host.clock.is_past(deadline)))
     }
 
     /// Number of invariant violations in this process.
@@ -86,15 +86,15 @@
 
     /// Number of changes that are not yet written to the state folder.
     pub fn behind(&self) -> usize {
-        self.inner.borrow().host.ledger.behind()
+        self.inner.borrow().host.ledger.unwritten_groups()
     }
 
     /// Removes notices that the platform has acknowledged.
     pub fn told(&self, ids: &[PacketId]) {
         log::debug!("notices: told {:?}", ids.iter().map(|id| id.0).collect::<Vec<_>>());
         let host = &mut self.inner.borrow_mut().host;
-        host.ledger.told(ids);
-        host.unacknowledged.told(ids);
+        host.ledger.acknowledge_notices(ids);
+        host.unacknowledged.remove(ids);
         self.notices_acknowledged.notify_waiters();
     }
 
@@ -122,14 +122,14 @@
     /// `min_interval`.
     pub async fn rounds(self: Rc<Self>, min_interval: Duration, endpoints: Rc<Endpoints>) {
         loop {
-            let (wake, recorded) = {
+            let (scheduled, recorded) = {
                 let host = &self.inner.borrow().host;
-                (host.wakes.next(), host.ledger.is_recorded())
+                (host.scheduled_rounds.next(), host.ledger.is_recorded())
             };
             let latest = Instant::now() + if recorded { MAX_ROUND_INTERVAL } else { WRITE_RETRY_INTERVAL };
             tokio::select! {
                 () = self.round_requested.notified() => {}
-                () = sleep_until(wake.map_or(latest, |wake| wake.min(latest)).into()) => {}
+                () = sleep_until(scheduled.map_or(latest, |scheduled| scheduled.min(latest)).into()) => {}
             }
             let start = Instant::now();
             self.run_round(&endpoints);
@@ -139,7 +139,7 @@
 
     fn run_round(self: &Rc<Self>, endpoints: &Rc<Endpoints>) {
         let Inner { sender, host, stopped } = &mut *self.inner.borrow_mut();
-        host.wakes.meet(Instant::now());
+        host.scheduled_rounds.remove_due(Instant::now());
         if !*stopped || !host.waiting_clients.is_empty() {
             sender.decide(host.clock.now(), host);
         }
@@ -154,7 +154,7 @@
         for call in host.take_calls() {
             tokio::task::spawn_local(endpoints.clone().execute(call, self.clone()));
         }
-        if host.ledger.owed().next().is_some() {
+        if host.ledger.pending_notices().next().is_some() {
             self.notices.notify_one();
         }
     }
--- a/crates/sailcart-sender/src/exchange/packets.rs
+++ b/crates/sailcart-sender/src/exchange/packets.rs
@@ -52,7 +52,7 @@
 impl Exchange {
     /// Packets that are not completed, in the order in which they were accepted.
     pub fn unended(&self) -> Vec<Rc<Packet>> {
-        self.inner.borrow().host.ledger.unended()
+        self.inner.borrow().host.ledger.uncompleted_packets()
     }
 
     /// Passes a packet that a previous process accepted to the sender again. One with names that are no
@@ -96,7 +96,7 @@
     /// once.
     fn accept(&mut self, put: &Put) -> Result<PacketId, Answer> {
         let Inner { sender, host, stopped } = self;
-        if let Some(number) = host.ledger.number(put.id) {
+        if let Some(number) = host.ledger.number_of(put.id) {
             // A duplicate submission on another connection gets the same reply as the first.
             return if host.waiting_clients.contains_key(&number) {
                 Ok(number)
@@ -105,7 +105,7 @@
             };
         }
         // A packet resubmitted after its completion must not be dispatched again under the same id.
-        if let Some(failure) = host.ledger.ended(put.id) {
+        if let Some(failure) = host.ledger.completed(put.id) {
             return Err(failure.map_or(Answer::Accepted, Answer::from));
         }
         if *stopped {
@@ -117,7 +117,7 @@
         if host.has_current_list && !host.directory.knows(accepted.destination) {
             return Err(Answer::Unknown("destination"));
         }
-        host.ledger.take(packet).map_err(|error| {
+        host.ledger.accept(packet).map_err(|error| {
             log::debug!("packet {} dismissed, code=journal {error}", put.id);
             Answer::Dismissed(host.retry_after)
         })?;
@@ -126,7 +126,7 @@
             "packet {}: taken as {}, about {:?}, for {:?}",
             put.id,
             number.0,
-            put.about,
+            put.order_key,
             put.patience
         );
         sender.take(now, accepted);
@@ -138,12 +138,12 @@
     /// Copies a submitted packet out of the connection's buffer, and numbers it.
     fn to_packet(&self, put: &Put, now: Duration) -> Packet {
         Packet {
-            number: self.ledger.next(),
+            number: self.ledger.next_number(),
             id: put.id.into(),
             category: put.category.into(),
             customer: put.customer.map(Into::into),
-            mark: put.mark.map(Into::into),
-            about: put.about.map(Into::into),
+            idempotency_key: put.idempotency_key.map(Into::into),
+            order_key: put.order_key.map(Into::into),
             destination: DestinationId(put.destination),
             ends: self.clock.to_moment(now.saturating_add(put.patience)),
             body: put.body.into(),
@@ -153,7 +153,7 @@
     /// Converts a packet for the sender. Fails with the kind of the first name that the settings do not
     /// contain.
     fn sender_packet(&mut self, packet: &Packet) -> Result<sailcart::Packet, &'static str> {
-        let state = self.ledger.stand(packet.number);
+        let state = self.ledger.dispatch_state(packet.number);
         let category = self.names.categories.get(&*packet.category).ok_or("category")?;
         let customer = match &packet.customer {
             None => None,
@@ -164,10 +164,10 @@
             destination: packet.destination,
             category: CategoryId(*category),
             customer: customer.map(CustomerId),
-            key: packet.about.as_deref().map(key_id),
+            key: packet.order_key.as_deref().map(key_id),
             ends: self.clock.deadline(packet.ends),
             dispatches: state.dispatches,
-            doubt: state.doubt.or(state.out).map(|sent_at| self.clock.dispatch_time(sent_at)),
+            doubt: state.doubt.or(state.in_flight_since).map(|sent_at| self.clock.dispatch_time(sent_at)),
             taken_on: false,
         })
     }
--- a/crates/sailcart-sender/src/inspect.rs
+++ b/crates/sailcart-sender/src/inspect.rs
@@ -9,7 +9,7 @@
 
 use crate::memory::moment::{Distance, Moment, Span, boot_id};
 use crate::memory::records::{Record, RecordKind, decode, encode_dispatch_state, key};
-use crate::memory::{Notice, Stand};
+use crate::memory::{DispatchState, Notice};
 
 /// How often the folder is read before an error counts: a running sender may retire a segment during the
 /// read.
@@ -79,7 +79,7 @@
     for record in &records {
         match record {
             Record::Packet(packet) => {
-                let (Distance::Sure(span) | Distance::Unsure(span)) = now.distance(packet.ends);
+                let (Distance::Monotonic(span) | Distance::WallClock(span)) = now.distance(packet.ends);
                 let seconds_left = match span {
                     Span::Ahead(left) => left.as_secs_f64(),
                     Span::Ago(past) => -past.as_secs_f64(),
@@ -98,10 +98,14 @@
                 });
                 let state = state.copied().unwrap_or_default();
                 let _ = write!(text, ", {} dispatches", state.dispatches);
-                if state.out.is_some() {
+                if state.in_flight_since.is_some() {
                     text.push_str(", one is out");
                 }
-                text.push_str(if state.doubt.or(state.out).is_some() { ", may have run\n" } else { "\n" });
+                text.push_str(if state.doubt.or(state.in_flight_since).is_some() {
+                    ", may have run\n"
+                } else {
+                    "\n"
+                });
             }
             Record::PendingNotice(_, id, notice) => {
                 let _ = writeln!(text, "notice owed for {id}: {}", describe(notice));
@@ -172,10 +176,14 @@
         let state = state.and_then(|value| decode(&key(RecordKind::DispatchState, packet.number), &value));
         let state = match state {
             Some(Record::DispatchState(_, state)) => state,
-            _ => Stand::default(),
+            _ => DispatchState::default(),
         };
         let doubt = Some(Moment::by_wall_clock(packet.ends.unix.saturating_sub(BEYOND_KEY_RETENTION)));
-        let value = encode_dispatch_state(&Stand { dispatches: state.dispatches.max(1), doubt, out: None });
+        let value = encode_dispatch_state(&DispatchState {
+            dispatches: state.dispatches.max(1),
+            doubt,
+            in_flight_since: None,
+        });
         store.write(&[Change::Put(&key(RecordKind::DispatchState, packet.number), &value)])?;
     }
     Ok(())
--- a/crates/sailcart-sender/src/memory/format1.rs
+++ b/crates/sailcart-sender/src/memory/format1.rs
@@ -11,7 +11,7 @@
 use sailcart::PacketId;
 
 use super::records;
-use super::{Notice, Packet, Stand};
+use super::{DispatchState, Notice, Packet};
 
 const FILE_NAME: &str = "journal";
 const HEADER: &[u8] = b"sailcart journal 1\n";
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
     Accepted(Packet),
-    DispatchState(PacketId, Stand),
+    DispatchState(PacketId, DispatchState),
     /// The packet completed without being delivered, and its notice is pending.
     PendingNotice(PacketId, Box<str>, Notice),
     /// The packet completed, and its notice, if any, was acknowledged.
--- a/crates/sailcart-sender/src/memory/ledger.rs
+++ b/crates/sailcart-sender/src/memory/ledger.rs
@@ -16,11 +16,11 @@
 use super::format1;
 use super::moment::Moment;
 use super::records::{self, Record, RecordKind, key};
-use super::{Notice, Packet, Stand};
+use super::{DispatchState, Notice, Packet};
 
 struct HeldPacket {
     packet: Rc<Packet>,
-    dispatch_state: Stand,
+    dispatch_state: DispatchState,
 }
 
 /// A notice that the platform has not acknowledged.
@@ -157,12 +157,14 @@
         let count = records.len();
         for record in records {
             match record {
-                format1::Record::Accepted(packet) => self.take(packet)?,
+                format1::Record::Accepted(packet) => self.accept(packet)?,
                 format1::Record::DispatchState(number, state) => self.update_dispatch_state(number, state),
-                format1::Record::PendingNotice(number, _, notice) => self.owe(number, notice),
+                format1::Record::PendingNotice(number, _, notice) => {
+                    self.complete_with_notice(number, notice)
+                }
                 format1::Record::Completed(number) => {
-                    self.over(number);
-                    self.told(&[number]);
+                    self.complete(number);
+                    self.acknowledge_notices(&[number]);
                 }
             }
         }
@@ -177,7 +179,7 @@
         self.reserved_bytes += Self::reservation(&packet);
         self.next_number = self.next_number.max(packet.number.0 + 1);
         self.numbers_by_id.insert(packet.id.clone(), packet.number);
-        let held = HeldPacket { packet: Rc::new(packet), dispatch_state: Stand::default() };
+        let held = HeldPacket { packet: Rc::new(packet), dispatch_state: DispatchState::default() };
         self.held.insert(held.packet.number, held);
     }
 
@@ -193,7 +195,7 @@
     /// completion.
     fn reservation(packet: &Packet) -> u64 {
         let (moment, notice) = (packet.ends, Notice::Dismissed(Some(Default::default())));
-        let state = Stand { doubt: Some(moment), out: Some(moment), dispatches: 0 };
+        let state = DispatchState { doubt: Some(moment), in_flight_since: Some(moment), dispatches: 0 };
         let cost = |kind, value: &[u8]| Store::<Disk>::cost(&key(kind, packet.number), value);
         cost(RecordKind::DispatchState, &records::encode_dispatch_state(&state))
             + cost(RecordKind::PendingNotice, &records::encode_pending_notice(&packet.id, &notice))
@@ -201,18 +203,18 @@
     }
 
     /// The number for the next packet to be accepted.
-    pub fn next(&self) -> PacketId {
+    pub fn next_number(&self) -> PacketId {
         PacketId(self.next_number)
     }
 
     /// The number of an accepted packet that has not completed.
-    pub fn number(&self, client_id: &str) -> Option<PacketId> {
+    pub fn number_of(&self, client_id: &str) -> Option<PacketId> {
         self.numbers_by_id.get(client_id).copied()
     }
 
     /// Whether a packet with this id has completed, as far as that is remembered. The inner value is the
     /// notice that its client received in place of an acceptance, if any.
-    pub fn ended(&self, client_id: &str) -> Option<Option<Notice>> {
+    pub fn completed(&self, client_id: &str) -> Option<Option<Notice>> {
         self.completed_ids.rejections.get(client_id).copied()
     }
 
@@ -222,12 +224,12 @@
     }
 
     /// The dispatch state of an accepted packet that has not completed.
-    pub fn stand(&self, number: PacketId) -> Stand {
+    pub fn dispatch_state(&self, number: PacketId) -> DispatchState {
         self.held.get(&number).map(|held| held.dispatch_state).unwrap_or_default()
     }
 
     /// All accepted packets that have not completed, in order of acceptance.
-    pub fn unended(&self) -> Vec<Rc<Packet>> {
+    pub fn uncompleted_packets(&self) -> Vec<Rc<Packet>> {
         self.held.values().map(|held| held.packet.clone()).collect()
     }
 
@@ -236,7 +238,7 @@
     /// # Errors
     /// [`io::ErrorKind::StorageFull`] if the packet with all its further records does not fit; otherwise
     /// the error of the write. The packet is not accepted then.
-    pub fn take(&mut self, packet: Packet) -> io::Result<()> {
+    pub fn accept(&mut self, packet: Packet) -> io::Result<()> {
         let (key, value) = (key(RecordKind::Packet, packet.number), records::encode_packet(&packet));
         let required = Store::<Disk>::cost(&key, &value) + Self::reservation(&packet);
         if self.store.live() + self.reserved_bytes + required > self.store.room().budget() {
@@ -265,14 +267,14 @@
     /// # Errors
     /// The record could not be written or, where records have to survive a power loss, could not be synced.
     /// The call must not be sent then.
-    pub fn sends(&mut self, numbers: &[PacketId], at: Moment) -> io::Result<()> {
+    pub fn record_dispatch(&mut self, numbers: &[PacketId], at: Moment) -> io::Result<()> {
         let held: Vec<PacketId> =
             numbers.iter().copied().filter(|number| self.held.contains_key(number)).collect();
-        let old_states: Vec<_> = held.iter().map(|number| (*number, self.stand(*number))).collect();
+        let old_states: Vec<_> = held.iter().map(|number| (*number, self.dispatch_state(*number))).collect();
         let new_states = old_states.iter().map(|(number, old)| {
             // A dispatch that is still in flight was sent by a previous process: its outcome stays unknown.
-            let doubt = old.doubt.or(old.out);
-            (*number, Stand { dispatches: old.dispatches + 1, doubt, out: Some(at) })
+            let doubt = old.doubt.or(old.in_flight_since);
+            (*number, DispatchState { dispatches: old.dispatches + 1, doubt, in_flight_since: Some(at) })
         });
         let new_states: Vec<_> = new_states.collect();
         let records = new_states.iter().map(|(number, state)| {
@@ -293,22 +295,22 @@
     }
 
     /// Records that a dispatch completed without completing its packet.
-    pub fn came_back(&mut self, number: PacketId, may_have_executed: bool) {
-        let old = self.stand(number);
-        let doubt = old.doubt.or(old.out.filter(|_| may_have_executed));
-        let state = Stand { dispatches: old.dispatches, doubt, out: None };
+    pub fn record_outcome(&mut self, number: PacketId, may_have_executed: bool) {
+        let old = self.dispatch_state(number);
+        let doubt = old.doubt.or(old.in_flight_since.filter(|_| may_have_executed));
+        let state = DispatchState { dispatches: old.dispatches, doubt, in_flight_since: None };
         if state != old {
             self.update_dispatch_state(number, state);
         }
     }
 
     /// Sets the state in memory only.
-    fn set_dispatch_state(&mut self, number: PacketId, state: Stand) {
+    fn set_dispatch_state(&mut self, number: PacketId, state: DispatchState) {
         self.held.entry(number).and_modify(|held| held.dispatch_state = state);
     }
 
     /// Sets the state and records it.
-    fn update_dispatch_state(&mut self, number: PacketId, state: Stand) {
+    fn update_dispatch_state(&mut self, number: PacketId, state: DispatchState) {
         if self.held.contains_key(&number) {
             self.set_dispatch_state(number, state);
             let change = OwnedChange::Put(
@@ -320,7 +322,7 @@
     }
 
     /// Completes a packet for which no notice is needed.
-    pub fn over(&mut self, number: PacketId) {
+    pub fn complete(&mut self, number: PacketId) {
         if let Some(removed) = self.remove(number, None) {
             self.record_completion(number, &removed.packet.id);
         }
@@ -338,7 +340,7 @@
     /// Returns false and changes nothing if the completion cannot be recorded: the next process would find
     /// the packet accepted.
     #[must_use]
-    pub fn over_at_once(&mut self, number: PacketId, rejection: Notice) -> bool {
+    pub fn complete_rejected(&mut self, number: PacketId, rejection: Notice) -> bool {
         let Some(client_id) = self.held.get(&number).map(|held| held.packet.id.clone()) else { return true };
         let changes = self.completion_changes(number, &client_id, Some(rejection));
         let written =
@@ -390,7 +392,7 @@
     }
 
     /// Completes a packet and records its notice as pending.
-    pub fn owe(&mut self, number: PacketId, notice: Notice) {
+    pub fn complete_with_notice(&mut self, number: PacketId, notice: Notice) {
         let Some(removed) = self.remove(number, None) else { return };
         let client_id = removed.packet.id.clone();
         let removals =
@@ -407,13 +409,13 @@
     }
 
     /// All notices that the platform has not acknowledged.
-    pub fn owed(&self) -> impl Iterator<Item = (PacketId, &str, Notice)> {
+    pub fn pending_notices(&self) -> impl Iterator<Item = (PacketId, &str, Notice)> {
         self.pending_notices.iter().map(|(number, pending)| (*number, &*pending.id, pending.notice))
     }
 
     /// The pending notices that may be sent: those whose completion is on disk, and those whose packet's
     /// deadline has passed, since no process dispatches such a packet again.
-    pub fn tellable(
+    pub fn sendable_notices(
         &self,
         has_passed: impl Fn(Moment) -> bool,
     ) -> impl Iterator<Item = (PacketId, &str, Notice)> {
@@ -432,7 +434,7 @@
     }
 
     /// Records that the platform has acknowledged the notices of these packets.
-    pub fn told(&mut self, numbers: &[PacketId]) {
+    pub fn acknowledge_notices(&mut self, numbers: &[PacketId]) {
         for number in numbers {
             if let Some(pending) = self.pending_notices.remove(number) {
                 self.record_completion(*number, &pending.id);
@@ -446,7 +448,7 @@
     }
 
     /// The number of change groups that could not be written yet.
-    pub fn behind(&self) -> usize {
+    pub fn unwritten_groups(&self) -> usize {
         self.backlog.len()
     }
 
--- a/crates/sailcart-sender/src/memory/mod.rs
+++ b/crates/sailcart-sender/src/memory/mod.rs
@@ -7,8 +7,8 @@
 pub mod moment;
 pub mod pool;
 pub mod records;
-pub mod untold;
-pub mod wakes;
+pub mod scheduled_rounds;
+pub mod unacknowledged;
 
 use std::time::Duration;
 
@@ -26,9 +26,9 @@
     pub category: Box<str>,
     pub customer: Option<Box<str>>,
     /// The idempotency key that endpoints receive with each dispatch.
-    pub mark: Option<Box<str>>,
+    pub idempotency_key: Option<Box<str>>,
     /// The key whose packets are dispatched in order of acceptance, in categories that ask for it.
-    pub about: Option<Box<str>>,
+    pub order_key: Option<Box<str>>,
     pub destination: DestinationId,
     /// The deadline: when the patience that the client asked for is used up.
     pub ends: Moment,
@@ -37,13 +37,13 @@
 
 /// The dispatch state of a packet.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Stand {
+pub struct DispatchState {
     /// The number of dispatches so far.
     pub dispatches: u32,
     /// When the first dispatch that may have executed was sent.
     pub doubt: Option<Moment>,
     /// When the dispatch in flight was sent.
-    pub out: Option<Moment>,
+    pub in_flight_since: Option<Moment>,
 }
 
 /// The platform is notified of each packet that completed without being delivered.
--- a/crates/sailcart-sender/src/memory/moment.rs
+++ b/crates/sailcart-sender/src/memory/moment.rs
@@ -29,7 +29,7 @@
 pub struct Uptime {
     pub boot: BootId,
     /// Time since an unspecified point of that boot.
-    pub since: Duration,
+    pub since_boot: Duration,
 }
 
 /// A point in time that a later process can interpret too.
@@ -45,9 +45,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Distance {
     /// Measured on the monotonic clock, so exact.
-    Sure(Span),
+    Monotonic(Span),
     /// Measured on the wall clock, which may have been stepped in between.
-    Unsure(Span),
+    WallClock(Span),
 }
 
 /// A signed interval, seen from now.
@@ -75,19 +75,21 @@
     pub fn now(boot: Option<BootId>) -> Moment {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let monotonic = clock_gettime(ClockId::CLOCK_MONOTONIC).ok().map(Duration::from);
-        let uptime = boot.zip(monotonic).map(|(boot, since)| Uptime { boot, since });
+        let uptime = boot.zip(monotonic).map(|(boot, since_boot)| Uptime { boot, since_boot });
         Moment { unix, uptime }
     }
 
     /// The moment `span` after this one.
     pub fn later(self, span: Duration) -> Moment {
-        let uptime = self.uptime.map(|uptime| Uptime { since: uptime.since.saturating_add(span), ..uptime });
+        let uptime =
+            self.uptime.map(|uptime| Uptime { since_boot: uptime.since_boot.saturating_add(span), ..uptime });
         Moment { unix: self.unix.saturating_add(span), uptime }
     }
 
     /// The moment `span` before this one.
     pub fn earlier(self, span: Duration) -> Moment {
-        let uptime = self.uptime.map(|uptime| Uptime { since: uptime.since.saturating_sub(span), ..uptime });
+        let uptime =
+            self.uptime.map(|uptime| Uptime { since_boot: uptime.since_boot.saturating_sub(span), ..uptime });
         Moment { unix: self.unix.saturating_sub(span), uptime }
     }
 
@@ -95,9 +97,9 @@
     pub fn distance(self, other: Moment) -> Distance {
         match (self.uptime, other.uptime) {
             (Some(now), Some(at)) if now.boot == at.boot => {
-                Distance::Sure(Span::between(now.since, at.since))
+                Distance::Monotonic(Span::between(now.since_boot, at.since_boot))
             }
-            _ => Distance::Unsure(Span::between(self.unix, other.unix)),
+            _ => Distance::WallClock(Span::between(self.unix, other.unix)),
         }
     }
 }
--- a/crates/sailcart-sender/src/memory/pool.rs
+++ b/crates/sailcart-sender/src/memory/pool.rs
@@ -34,8 +34,8 @@
         let idle = self.idle.get_mut(&endpoint)?;
         while let Some(last) = idle.pop() {
             match self.max_idle_time.checked_sub(last.idle_since.elapsed()) {
-                None => ended(last.address, "idle"),
-                Some(_) if is_unusable(&last.stream) => ended(last.address, "peer_closed"),
+                None => log_connection_end(last.address, "idle"),
+                Some(_) if is_unusable(&last.stream) => log_connection_end(last.address, "peer_closed"),
                 Some(_) => return Some(last.stream),
             }
         }
@@ -45,7 +45,7 @@
     /// Adds a connection that became idle, or closes it if the pool is full.
     pub fn put(&mut self, endpoint: EndpointId, address: SocketAddr, stream: Socket) {
         if self.len() >= self.max_connections {
-            return ended(address, "too_many");
+            return log_connection_end(address, "too_many");
         }
         self.idle.entry(endpoint).or_default().push(IdleConnection {
             address,
@@ -57,7 +57,7 @@
     /// Closes an endpoint's idle connections and logs each with this code.
     pub fn close(&mut self, endpoint: EndpointId, code: &str) {
         for connection in self.idle.remove(&endpoint).unwrap_or_default() {
-            ended(connection.address, code);
+            log_connection_end(connection.address, code);
         }
     }
 
@@ -79,7 +79,7 @@
                 };
                 let must_close = code == "idle" || is_unusable(&connection.stream);
                 if must_close {
-                    ended(connection.address, code);
+                    log_connection_end(connection.address, code);
                 }
                 !must_close
             });
@@ -101,6 +101,6 @@
 }
 
 /// Logs the end of a connection to an endpoint: one line for each connection.
-pub fn ended(address: SocketAddr, code: &str) {
+pub fn log_connection_end(address: SocketAddr, code: &str) {
     log::info!("endpoint {address}: connection ended, code={code}");
 }
--- a/crates/sailcart-sender/src/memory/records.rs
+++ b/crates/sailcart-sender/src/memory/records.rs
@@ -10,7 +10,7 @@
 use sailcart::{DestinationId, PacketId};
 
 use super::moment::{BootId, Moment, Uptime};
-use super::{Notice, Packet, Stand};
+use super::{DispatchState, Notice, Packet};
 
 /// The first byte of a key. The store lists records ordered by kind, then by packet number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
     Packet(Packet),
-    DispatchState(PacketId, Stand),
+    DispatchState(PacketId, DispatchState),
     PendingNotice(PacketId, Box<str>, Notice),
     /// A completed packet with its id, and the notice that its client received in place of an acceptance,
     /// if any.
@@ -75,7 +75,7 @@
     put_u64(&mut out, packet.destination.0);
     put_bytes(&mut out, packet.id.as_bytes());
     put_bytes(&mut out, packet.category.as_bytes());
-    for optional in [&packet.customer, &packet.mark, &packet.about] {
+    for optional in [&packet.customer, &packet.idempotency_key, &packet.order_key] {
         out.push(optional.is_some().into());
         if let Some(optional) = optional {
             put_bytes(&mut out, optional.as_bytes());
@@ -86,10 +86,10 @@
 }
 
 /// Encodes the value of a dispatch state's record.
-pub fn encode_dispatch_state(state: &Stand) -> Vec<u8> {
+pub fn encode_dispatch_state(state: &DispatchState) -> Vec<u8> {
     let mut out = vec![FORMAT];
     out.extend(state.dispatches.to_be_bytes());
-    for moment in [state.doubt, state.out] {
+    for moment in [state.doubt, state.in_flight_since] {
         out.push(moment.is_some().into());
         if let Some(moment) = moment {
             put_moment(&mut out, moment);
@@ -144,9 +144,9 @@
 fn put_moment(out: &mut Vec<u8>, moment: Moment) {
     put_u64(out, micros(moment.unix));
     out.push(moment.uptime.is_some().into());
-    if let Some(Uptime { boot, since }) = moment.uptime {
+    if let Some(Uptime { boot, since_boot }) = moment.uptime {
         put_u64(out, boot.0);
-        put_u64(out, micros(since));
+        put_u64(out, micros(since_boot));
     }
 }
 
@@ -159,18 +159,20 @@
     let (rest, encoding) = moment_encoding(input)?;
     let (rest, ends) = encoding.moment(rest)?;
     let (rest, (destination, id, category)) = (be_u64.map(DestinationId), string, string).parse(rest)?;
-    let (rest, (customer, mark, about)) = (optional_string, optional_string, optional_string).parse(rest)?;
+    let (rest, (customer, idempotency_key, order_key)) =
+        (optional_string, optional_string, optional_string).parse(rest)?;
     let (rest, body) = length_data(be_u32).parse(rest)?;
     let body = body.into();
-    Ok((rest, Packet { number, id, category, customer, mark, about, destination, ends, body }))
+    Ok((rest, Packet { number, id, category, customer, idempotency_key, order_key, destination, ends, body }))
 }
 
 /// Parses the value of a dispatch state's record.
-pub fn dispatch_state(input: &[u8]) -> IResult<&[u8], Stand> {
+pub fn dispatch_state(input: &[u8]) -> IResult<&[u8], DispatchState> {
     let (rest, encoding) = moment_encoding(input)?;
     let optional_moment = |input| optional(input, |rest| encoding.moment(rest));
-    let (rest, (dispatches, doubt, out)) = (be_u32, optional_moment, optional_moment).parse(rest)?;
-    Ok((rest, Stand { dispatches, doubt, out }))
+    let (rest, (dispatches, doubt, in_flight_since)) =
+        (be_u32, optional_moment, optional_moment).parse(rest)?;
+    Ok((rest, DispatchState { dispatches, doubt, in_flight_since }))
 }
 
 /// How a value encodes its moments.
@@ -204,7 +206,7 @@
 }
 
 fn uptime(input: &[u8]) -> IResult<&[u8], Uptime> {
-    (be_u64.map(BootId), duration).map(|(boot, since)| Uptime { boot, since }).parse(input)
+    (be_u64.map(BootId), duration).map(|(boot, since_boot)| Uptime { boot, since_boot }).parse(input)
 }
 
 /// Parses a value that is preceded by a presence byte.
--- a/crates/sailcart-sender/src/memory/untold.rs
+++ b/crates/sailcart-sender/src/memory/unacknowledged.rs
@@ -9,25 +9,25 @@
 
 /// Packets that completed without being delivered and whose notices the platform has not acknowledged.
 #[derive(Debug, Default)]
-pub struct Untold {
+pub struct UnacknowledgedNotices {
     /// From the previous process. The journal does not store their keys, so each may precede any packet.
     without_key: BTreeSet<PacketId>,
     keys: BTreeMap<PacketId, KeyId>,
 }
 
-impl Untold {
+impl UnacknowledgedNotices {
     /// Starts with the notices that a previous process left pending.
     pub fn new(recovered: impl Iterator<Item = PacketId>) -> Self {
-        Untold { without_key: recovered.collect(), keys: BTreeMap::new() }
+        UnacknowledgedNotices { without_key: recovered.collect(), keys: BTreeMap::new() }
     }
 
     /// Records that a notice is pending for a packet with this key.
-    pub fn owe(&mut self, id: PacketId, key: KeyId) {
+    pub fn insert(&mut self, id: PacketId, key: KeyId) {
         self.keys.insert(id, key);
     }
 
     /// Records that the platform has acknowledged the notices of these packets.
-    pub fn told(&mut self, ids: &[PacketId]) {
+    pub fn remove(&mut self, ids: &[PacketId]) {
         for id in ids {
             self.without_key.remove(id);
             self.keys.remove(id);
@@ -41,7 +41,7 @@
 
     /// Whether a notice is pending for a packet that was accepted before this one and has, or may have, its
     /// key.
-    pub fn before(&self, id: PacketId, key: KeyId) -> bool {
+    pub fn any_before(&self, id: PacketId, key: KeyId) -> bool {
         self.without_key.range(..id).next().is_some() || self.keys.range(..id).any(|(_, other)| *other == key)
     }
 }
--- a/crates/sailcart-sender/src/wire/call.rs
+++ b/crates/sailcart-sender/src/wire/call.rs
@@ -15,7 +15,7 @@
 pub struct Parcel<'a> {
     pub id: &'a str,
     /// Sent as the idempotency key.
-    pub mark: Option<&'a str>,
+    pub idempotency_key: Option<&'a str>,
     pub body: &'a [u8],
 }
 
@@ -30,7 +30,7 @@
     let budget = format!("X-Budget: {}m\r\n", budget.as_millis().max(1));
     if let [parcel] = parcels {
         let idempotency_key =
-            parcel.mark.map(|key| format!("Idempotency-Key: {key}\r\n")).unwrap_or_default();
+            parcel.idempotency_key.map(|key| format!("Idempotency-Key: {key}\r\n")).unwrap_or_default();
         let headers = format!("X-Call-Id: {}\r\n{idempotency_key}{budget}", parcel.id);
         return http::post(host, "/receive", &headers, parcel.body);
     }
@@ -40,7 +40,7 @@
 
 fn list_entry(parcel: &Parcel) -> Value {
     let mut entry = json!({"id": parcel.id, "body": STANDARD.encode(parcel.body)});
-    if let Some(key) = parcel.mark {
+    if let Some(key) = parcel.idempotency_key {
         entry["key"] = key.into();
     }
     entry
--- a/crates/sailcart-sender/src/wire/mod.rs
+++ b/crates/sailcart-sender/src/wire/mod.rs
@@ -28,10 +28,10 @@
     /// How long the client waits for the packet's completion.
     pub patience: Duration,
     /// Idempotency key, passed on to the endpoint.
-    pub mark: Option<&'a str>,
+    pub idempotency_key: Option<&'a str>,
     pub destination: u64,
     /// Ordering key: in a category with ordered delivery, packets with the same key are delivered in order.
-    pub about: Option<&'a str>,
+    pub order_key: Option<&'a str>,
     pub body: &'a [u8],
 }
 
--- a/crates/sailcart-sender/src/wire/resp.rs
+++ b/crates/sailcart-sender/src/wire/resp.rs
@@ -101,10 +101,10 @@
         category: category.ok_or("expected c")?,
         customer,
         patience: patience.ok_or("expected d, in milliseconds")?,
-        mark: idempotency_key,
+        idempotency_key,
         destination: destination.ok_or("expected dest, a number")?,
         // A key of zeros means that the packet has no ordering key.
-        about: Some(key).filter(|key| key.bytes().any(|digit| digit != b'0')),
+        order_key: Some(key).filter(|key| key.bytes().any(|digit| digit != b'0')),
         body,
     })
 }
--- a/crates/sailcart-sender/tests/directory.rs
+++ b/crates/sailcart-sender/tests/directory.rs
@@ -561,9 +561,9 @@
         category: "notice",
         customer: Some("acme"),
         patience: Duration::from_secs(8),
-        mark: None,
+        idempotency_key: None,
         destination,
-        about: None,
+        order_key: None,
         body: b"hello",
     };
     exchange.take(&put).try_recv() == Ok(Answer::Unknown("destination"))
--- a/crates/sailcart-sender/tests/journal.rs
+++ b/crates/sailcart-sender/tests/journal.rs
@@ -7,7 +7,7 @@
 use sailcart::{DestinationId, PacketId};
 use sailcart_sender::memory::ledger::Ledger;
 use sailcart_sender::memory::moment::Moment;
-use sailcart_sender::memory::{Notice, Packet, Stand};
+use sailcart_sender::memory::{DispatchState, Notice, Packet};
 use sailcart_store::Sync;
 
 const ROOM: u64 = 64 * 1024;
@@ -26,12 +26,12 @@
 
 fn packet(ledger: &Ledger, id: &str, bytes: usize) -> Packet {
     Packet {
-        number: ledger.next(),
+        number: ledger.next_number(),
         id: id.into(),
         category: "c".into(),
         customer: Some("t".into()),
-        mark: None,
-        about: Some("".into()),
+        idempotency_key: None,
+        order_key: Some("".into()),
         destination: DestinationId(7),
         ends: Moment::by_wall_clock(Duration::from_micros(1_764_000_000_123_456)),
         body: vec![b'x'; bytes].into(),
@@ -41,12 +41,12 @@
 fn take(ledger: &mut Ledger, id: &str) -> PacketId {
     let packet = packet(ledger, id, 100);
     let number = packet.number;
-    ledger.take(packet).expect("room");
+    ledger.accept(packet).expect("room");
     number
 }
 
 fn ids(ledger: &Ledger) -> Vec<String> {
-    ledger.unended().iter().map(|packet| packet.id.to_string()).collect()
+    ledger.uncompleted_packets().iter().map(|packet| packet.id.to_string()).collect()
 }
 
 #[test]
@@ -56,27 +56,34 @@
     let [a, b, c, d, e] = ["a", "b", "c", "d", "e"].map(|id| take(&mut ledger, id));
     let at = |ms| Moment::by_wall_clock(Duration::from_millis(ms));
     for id in [a, b, c] {
-        ledger.sends(&[id], at(5)).expect("room");
+        ledger.record_dispatch(&[id], at(5)).expect("room");
     }
-    ledger.came_back(b, true);
-    ledger.sends(&[b], at(9)).expect("room");
-    ledger.came_back(c, false);
-    ledger.over(d);
-    ledger.owe(e, Notice::Dismissed(Some(Duration::from_millis(500))));
+    ledger.record_outcome(b, true);
+    ledger.record_dispatch(&[b], at(9)).expect("room");
+    ledger.record_outcome(c, false);
+    ledger.complete(d);
+    ledger.complete_with_notice(e, Notice::Dismissed(Some(Duration::from_millis(500))));
     let before = ledger.packet(a).expect("kept").clone();
     drop(ledger);
     let mut ledger = open(&folder);
     assert_eq!(ids(&ledger), ["a", "b", "c"]);
     assert_eq!(ledger.packet(a), Some(&before));
-    assert_eq!(ledger.stand(a), Stand { dispatches: 1, doubt: None, out: Some(at(5)) });
-    assert_eq!(ledger.stand(b), Stand { dispatches: 2, doubt: Some(at(5)), out: Some(at(9)) });
-    assert_eq!(ledger.stand(c), Stand { dispatches: 1, doubt: None, out: None });
-    let owed: Vec<_> = ledger.owed().map(|(id, name, notice)| (id, name.to_owned(), notice)).collect();
+    assert_eq!(
+        ledger.dispatch_state(a),
+        DispatchState { dispatches: 1, doubt: None, in_flight_since: Some(at(5)) }
+    );
+    assert_eq!(
+        ledger.dispatch_state(b),
+        DispatchState { dispatches: 2, doubt: Some(at(5)), in_flight_since: Some(at(9)) }
+    );
+    assert_eq!(ledger.dispatch_state(c), DispatchState { dispatches: 1, doubt: None, in_flight_since: None });
+    let owed: Vec<_> =
+        ledger.pending_notices().map(|(id, name, notice)| (id, name.to_owned(), notice)).collect();
     assert_eq!(owed, [(e, "e".to_owned(), Notice::Dismissed(Some(Duration::from_millis(500))))]);
-    assert_eq!(ledger.next(), PacketId(e.0 + 1), "no number is used twice");
-    ledger.told(&[e]);
+    assert_eq!(ledger.next_number(), PacketId(e.0 + 1), "no number is used twice");
+    ledger.acknowledge_notices(&[e]);
     drop(ledger);
-    assert_eq!(open(&folder).owed().count(), 0);
+    assert_eq!(open(&folder).pending_notices().count(), 0);
 }
 
 /// A call that an earlier life had out stays in doubt, whatever becomes of later ones: the memory of a deduplicated
@@ -86,14 +93,17 @@
     let folder = folder("doubt");
     let mut ledger = open(&folder);
     let id = take(&mut ledger, "a");
-    ledger.sends(&[id], Moment::by_wall_clock(Duration::from_secs(5))).expect("room");
+    ledger.record_dispatch(&[id], Moment::by_wall_clock(Duration::from_secs(5))).expect("room");
     drop(ledger);
     let mut ledger = open(&folder);
-    ledger.sends(&[id], Moment::by_wall_clock(Duration::from_secs(9))).expect("room");
-    ledger.came_back(id, false);
+    ledger.record_dispatch(&[id], Moment::by_wall_clock(Duration::from_secs(9))).expect("room");
+    ledger.record_outcome(id, false);
     drop(ledger);
     let doubt = Some(Moment::by_wall_clock(Duration::from_secs(5)));
-    assert_eq!(open(&folder).stand(id), Stand { dispatches: 2, doubt, out: None });
+    assert_eq!(
+        open(&folder).dispatch_state(id),
+        DispatchState { dispatches: 2, doubt, in_flight_since: None }
+    );
 }
 
 fn size(folder: &Path) -> u64 {
@@ -134,13 +144,13 @@
     for n in 0..6 {
         let id = take(&mut ledger, &n.to_string());
         match wait {
-            Some(notice) if n == 5 => assert!(ledger.over_at_once(id, notice)),
-            _ => ledger.over(id),
+            Some(notice) if n == 5 => assert!(ledger.complete_rejected(id, notice)),
+            _ => ledger.complete(id),
         }
     }
     drop(ledger);
     let ledger = open(&folder);
-    let known: Vec<Option<Option<Notice>>> = (0..6).map(|n| ledger.ended(&n.to_string())).collect();
+    let known: Vec<Option<Option<Notice>>> = (0..6).map(|n| ledger.completed(&n.to_string())).collect();
     assert_eq!(known, [None, None, Some(None), Some(None), Some(None), Some(wait)], "the last four");
 }
 
@@ -176,11 +186,15 @@
         let ledger = open(&folder);
         assert_eq!(ids(&ledger), ["a"], "life {life}");
         let at = Some(Moment::by_wall_clock(Duration::from_millis(5)));
-        assert_eq!(ledger.stand(PacketId(3)), Stand { dispatches: 2, doubt: at, out: None });
+        assert_eq!(
+            ledger.dispatch_state(PacketId(3)),
+            DispatchState { dispatches: 2, doubt: at, in_flight_since: None }
+        );
         assert_eq!(&*ledger.packet(PacketId(3)).expect("kept").body, b"body");
-        let owed: Vec<_> = ledger.owed().map(|(id, name, notice)| (id, name.to_owned(), notice)).collect();
+        let owed: Vec<_> =
+            ledger.pending_notices().map(|(id, name, notice)| (id, name.to_owned(), notice)).collect();
         assert_eq!(owed, [(PacketId(4), "b".to_owned(), Notice::Scrapped)]);
-        assert_eq!(ledger.ended("c"), Some(None));
+        assert_eq!(ledger.completed("c"), Some(None));
         assert!(!folder.join("journal").exists());
     }
     fs::write(folder.join("journal"), b"sailcart journal 9\n").expect("a journal");
@@ -192,19 +206,19 @@
     let folder = folder("room");
     let mut ledger = open(&folder);
     let kept = take(&mut ledger, "kept");
-    ledger.owe(kept, Notice::Scrapped);
+    ledger.complete_with_notice(kept, Notice::Scrapped);
     let staying = take(&mut ledger, "staying");
     for n in 0..2000 {
         let id = take(&mut ledger, &format!("{n}"));
-        ledger.sends(&[id], Moment::by_wall_clock(Duration::from_secs(n))).expect("room");
-        ledger.over(id);
+        ledger.record_dispatch(&[id], Moment::by_wall_clock(Duration::from_secs(n))).expect("room");
+        ledger.complete(id);
         let bytes = size(&folder);
         assert!(bytes <= ROOM, "{bytes} bytes");
     }
     drop(ledger);
     let ledger = open(&folder);
     assert_eq!(ids(&ledger), ["staying"]);
-    assert_eq!(ledger.owed().count(), 1);
+    assert_eq!(ledger.pending_notices().count(), 1);
     assert!(ledger.packet(staying).is_some());
 }
 
@@ -214,12 +228,12 @@
     let mut ledger = open(&folder);
     let taken = (0..10).take_while(|n| {
         let packet = packet(&ledger, &n.to_string(), 4000);
-        ledger.take(packet).is_ok()
+        ledger.accept(packet).is_ok()
     });
     let taken = taken.count();
     assert_eq!(taken, 8, "half of the room, with what they may still need");
-    let first = ledger.unended()[0].number;
-    ledger.sends(&[first], Moment::by_wall_clock(Duration::ZERO)).expect("what was taken can go");
-    ledger.over(first);
-    assert!(ledger.take(packet(&ledger, "next", 4000)).is_ok());
+    let first = ledger.uncompleted_packets()[0].number;
+    ledger.record_dispatch(&[first], Moment::by_wall_clock(Duration::ZERO)).expect("what was taken can go");
+    ledger.complete(first);
+    assert!(ledger.accept(packet(&ledger, "next", 4000)).is_ok());
 }
--- a/crates/sailcart-sender/tests/other_boot.rs
+++ b/crates/sailcart-sender/tests/other_boot.rs
@@ -24,29 +24,29 @@
     let other = |moment: Moment| Moment {
         uptime: Some(Uptime {
             boot: BootId(!boot_id().map_or(0, |boot| boot.0)),
-            since: Duration::from_secs(9),
+            since_boot: Duration::from_secs(9),
         }),
         ..moment
     };
     let now = Moment::now(boot_id());
     let mut take = |id: &str| {
         let packet = Packet {
-            number: ledger.next(),
+            number: ledger.next_number(),
             id: id.into(),
             category: "notice".into(),
             customer: None,
-            mark: Some(id.into()),
-            about: None,
+            idempotency_key: Some(id.into()),
+            order_key: None,
             destination: DestinationId(7),
             ends: other(now.later(Duration::from_secs(20))),
             body: b"hello".to_vec().into(),
         };
         let number = packet.number;
-        ledger.take(packet).expect("room");
+        ledger.accept(packet).expect("room");
         number
     };
     let (called, _untried) = (take("called"), take("untried"));
-    ledger.sends(&[called], other(now)).expect("room");
+    ledger.record_dispatch(&[called], other(now)).expect("room");
     drop(ledger);
     world.start();
     world.until("the call", |world| world.came() == ["untried"]);
--- a/crates/sailcart-sender/tests/store.rs
+++ b/crates/sailcart-sender/tests/store.rs
@@ -18,20 +18,20 @@
 }
 
 fn take(ledger: &mut Ledger, id: &str) -> PacketId {
-    let number = ledger.next();
+    let number = ledger.next_number();
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock");
     let packet = Packet {
         number,
         id: id.into(),
         category: "order".into(),
         customer: None,
-        mark: None,
-        about: None,
+        idempotency_key: None,
+        order_key: None,
         destination: DestinationId(7),
         ends: Moment::by_wall_clock(now + Duration::from_secs(60)),
         body: vec![b'x'; 300].into(),
     };
-    ledger.take(packet).expect("room");
+    ledger.accept(packet).expect("room");
     number
 }
 
@@ -48,9 +48,9 @@
     let folder = tempfile::tempdir().expect("a folder");
     let mut ledger = open(folder.path());
     let [a, b, c] = ["aa", "bb", "cc"].map(|id| take(&mut ledger, id));
-    ledger.sends(&[a], Moment::by_wall_clock(Duration::from_secs(5))).expect("room");
-    ledger.owe(b, Notice::Scrapped);
-    ledger.over(c);
+    ledger.record_dispatch(&[a], Moment::by_wall_clock(Duration::from_secs(5))).expect("room");
+    ledger.complete_with_notice(b, Notice::Scrapped);
+    ledger.complete(c);
     let (well, said) = say(&["show"], &[folder.path()]);
     assert!(well, "{said}");
     assert!(said.contains("packet aa: category order, destination 7, 300 bytes"), "{said}");
@@ -82,9 +82,9 @@
     assert!(said.contains("19 records saved"), "{said}");
     assert_eq!(fs::read(&segment).expect("a segment"), bytes, "the old folder stays as it is");
     let ledger = open(&new);
-    let saved = ledger.unended();
+    let saved = ledger.uncompleted_packets();
     assert_eq!(saved.len(), 19);
-    assert!(saved.iter().all(|packet| ledger.stand(packet.number).doubt.is_some()));
+    assert!(saved.iter().all(|packet| ledger.dispatch_state(packet.number).doubt.is_some()));
     let (well, said) = say(&["salvage"], &[&old, &new]);
     assert!(!well, "into a folder that is there: {said}");
 }
--- a/crates/sailcart-sender/tests/stories.rs
+++ b/crates/sailcart-sender/tests/stories.rs
@@ -186,20 +186,20 @@
     let ahead = SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock") + Duration::from_secs(3600);
     let mut ledger =
         Ledger::open(&world.folder, 3_000_000, 100, sailcart_store::Sync::None).expect("a journal");
-    let number = ledger.next();
+    let number = ledger.next_number();
     let packet = Packet {
         number,
         id: "a1".into(),
         category: "notice".into(),
         customer: None,
-        mark: Some("a1".into()),
-        about: None,
+        idempotency_key: Some("a1".into()),
+        order_key: None,
         destination: DestinationId(7),
         ends: Moment::by_wall_clock(ahead + Duration::from_secs(20)),
         body: b"hello"[..].into(),
     };
-    ledger.take(packet).expect("room");
-    ledger.sends(&[number], Moment::by_wall_clock(ahead)).expect("room");
+    ledger.accept(packet).expect("room");
+    ledger.record_dispatch(&[number], Moment::by_wall_clock(ahead)).expect("room");
     drop(ledger);
     world.start();
     world.until("its end is told", |world| !world.notices().is_empty());
--- a/crates/sailcart-sender/tests/wire.rs
+++ b/crates/sailcart-sender/tests/wire.rs
@@ -18,8 +18,8 @@
     }
     let both = [PUT, b"*1\r\n$4\r\nPING\r\n"].concat();
     let Ok(Some((Command::Put(put), used))) = resp::command(&both) else { panic!("a packet handed in") };
-    assert_eq!((put.id, put.category, put.customer, put.mark), ("ab", "n", Some("a"), Some("5c")));
-    assert_eq!((put.destination, put.patience, put.about), (7, Duration::from_secs(8), None));
+    assert_eq!((put.id, put.category, put.customer, put.idempotency_key), ("ab", "n", Some("a"), Some("5c")));
+    assert_eq!((put.destination, put.patience, put.order_key), (7, Duration::from_secs(8), None));
     assert_eq!(put.body, b"b\r\n*1\r");
     assert_eq!(resp::command(&both[used..]), Ok(Some((Command::Ping(None), 14))));
 }
@@ -28,11 +28,11 @@
 /// of one key went out together.
 #[test]
 fn the_first_word_is_what_packets_in_order_are_about() {
-    for (word, about) in [("000fbfff30a2d3e3", Some("000fbfff30a2d3e3")), ("0000000000000000", None)] {
+    for (word, order_key) in [("000fbfff30a2d3e3", Some("000fbfff30a2d3e3")), ("0000000000000000", None)] {
         let input =
             format!("*5\r\n$7\r\nMSG.PUT\r\n$16\r\n{word}\r\n$1\r\na\r\n$14\r\nc=n,d=1,dest=7\r\n$0\r\n\r\n");
         let Ok(Some((Command::Put(put), _))) = resp::command(input.as_bytes()) else { panic!("{word}") };
-        assert_eq!(put.about, about);
+        assert_eq!(put.order_key, order_key);
     }
 }
 
@@ -124,7 +124,7 @@
 
 #[test]
 fn several_packets_travel_as_a_list() {
-    let one = Parcel { id: "a", mark: Some("5c"), body: b"x\0y" };
+    let one = Parcel { id: "a", idempotency_key: Some("5c"), body: b"x\0y" };
     let single = String::from_utf8_lossy(&call::write("h", &[one], Duration::from_millis(1500))).into_owned();
     assert!(single.starts_with("POST /receive HTTP/1.1\r\n") && single.ends_with("\r\n\r\nx\0y"));
     for line in
@@ -132,8 +132,10 @@
     {
         assert!(single.contains(line), "{line}");
     }
-    let two =
-        [Parcel { id: "a", mark: Some("5c"), body: b"hello" }, Parcel { id: "b", mark: None, body: b"" }];
+    let two = [
+        Parcel { id: "a", idempotency_key: Some("5c"), body: b"hello" },
+        Parcel { id: "b", idempotency_key: None, body: b"" },
+    ];
     let list = String::from_utf8_lossy(&call::write("h", &two, Duration::ZERO)).into_owned();
     assert!(list.starts_with("POST /receive-many HTTP/1.1\r\n"));
     assert!(list.ends_with(r#"[{"body":"aGVsbG8=","id":"a","key":"5c"},{"body":"","id":"b"}]"#), "{list}");
