--- a/crates/sailcart-sender/src/clients.rs
+++ b/crates/sailcart-sender/src/clients.rs
@@ -14,7 +14,7 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep, sleep_until, timeout};
 
-use crate::exchange::{Answer, Exchange};
+use crate::exchange::{Exchange, SubmitReply};
 use crate::socket::Socket;
 use crate::wire::resp::{self, Command};
 
@@ -144,9 +144,9 @@
     /// unread. Returns true if there were none.
     ///
     /// A failed accept does not tell whether connections wait; call this again to retry.
-    pub fn empty_queue(self: &Rc<Self>, listener: &std::net::TcpListener) -> bool {
+    pub fn accept_queued(self: &Rc<Self>, listener: &std::net::TcpListener) -> bool {
         let mut accepted_count = 0;
-        while self.open() < self.max_connections + MAX_UNCOUNTED_CLOSING {
+        while self.open_connections() < self.max_connections + MAX_UNCOUNTED_CLOSING {
             let accepted = listener.accept().and_then(|(stream, peer)| {
                 stream.set_nonblocking(true)?;
                 Ok((TcpStream::from_std(stream)?, peer))
@@ -170,7 +170,7 @@
     }
 
     /// Number of open connections, including those that are closing.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.connections.borrow().len()
     }
 
@@ -179,7 +179,9 @@
     /// last, and only for this reason: some clients connect seconds before their first packet, and the close
     /// would fail that packet. If none is idle, new connections wait to be accepted.
     async fn wait_for_capacity(&self) {
-        while self.open() >= self.max_connections + self.closing_count.get().min(MAX_UNCOUNTED_CLOSING) {
+        while self.open_connections()
+            >= self.max_connections + self.closing_count.get().min(MAX_UNCOUNTED_CLOSING)
+        {
             let connections = self.connections.borrow().values().cloned().collect::<Vec<_>>();
             // While many are closing, this waits for them: another one would only join them.
             let may_evict = self.closing_count.get() < MAX_UNCOUNTED_CLOSING;
@@ -197,7 +199,7 @@
 
     /// Closes each connection as soon as it is idle. Packets that clients still submit on the others get
     /// their replies.
-    pub fn hang_up(&self) {
+    pub fn close_when_idle(&self) {
         self.stopping.set(true);
         self.connections.borrow().values().for_each(|connection| connection.close_requested.notify_one());
     }
@@ -360,7 +362,7 @@
     fn start_command(&self, command: &Command, connection: &Connection) -> PendingCommand {
         match command {
             Command::Ping(echo) => PendingCommand::Ready(resp::pong(*echo)),
-            Command::Put(put) => PendingCommand::Submitted(self.exchange.take(put)),
+            Command::Put(put) => PendingCommand::Submitted(self.exchange.submit(put)),
             Command::Unknown | Command::Faulty(_) => PendingCommand::Ready(reject("command", connection)),
         }
     }
@@ -371,7 +373,7 @@
     /// The reply is known.
     Ready(Vec<u8>),
     /// The packet was submitted to the exchange.
-    Submitted(tokio::sync::oneshot::Receiver<Answer>),
+    Submitted(tokio::sync::oneshot::Receiver<SubmitReply>),
 }
 
 impl PendingCommand {
@@ -383,10 +385,10 @@
             PendingCommand::Submitted(answer) => answer.await,
         };
         match answer {
-            Ok(Answer::Accepted) => resp::TAKEN.to_vec(),
-            Ok(Answer::Dismissed(wait)) => resp::busy(wait),
-            Ok(Answer::Scrapped) => resp::error("given up"),
-            Ok(Answer::Unknown(what)) => reject(what, connection),
+            Ok(SubmitReply::Accepted) => resp::TAKEN.to_vec(),
+            Ok(SubmitReply::Dismissed(wait)) => resp::busy(wait),
+            Ok(SubmitReply::Scrapped) => resp::error("given up"),
+            Ok(SubmitReply::Unknown(what)) => reject(what, connection),
             Err(_) => resp::busy(None),
         }
     }
--- a/crates/sailcart-sender/src/endpoints.rs
+++ b/crates/sailcart-sender/src/endpoints.rs
@@ -69,7 +69,7 @@
             },
         };
         match reusable {
-            Some(stream) if owner.lists(call.endpoint) => {
+            Some(stream) if owner.is_listed(call.endpoint) => {
                 self.pool.borrow_mut().put(call.endpoint, call.address, stream);
             }
             Some(_) => log_connection_end(call.address, "unlisted"),
--- a/crates/sailcart-sender/src/exchange/calls.rs
+++ b/crates/sailcart-sender/src/exchange/calls.rs
@@ -64,7 +64,7 @@
         permitted
     }
 
-    fn lists(&self, endpoint: EndpointId) -> bool {
+    fn is_listed(&self, endpoint: EndpointId) -> bool {
         self.inner.borrow().host.directory.contains(endpoint)
     }
 
@@ -100,7 +100,7 @@
 
 impl Exchange {
     /// Number of packets in flight.
-    pub fn calls_out(&self) -> usize {
+    pub fn packets_in_flight(&self) -> usize {
         self.inner.borrow().host.in_flight.len()
     }
 }
--- a/crates/sailcart-sender/src/exchange/host_state.rs
+++ b/crates/sailcart-sender/src/exchange/host_state.rs
@@ -11,7 +11,7 @@
 use super::clock::Clock;
 use super::directory::Directory;
 use super::invariants::{Invariant, Violations};
-use super::packets::{Answer, reply_all};
+use super::packets::{SubmitReply, reply_all};
 use crate::memory::Notice;
 use crate::memory::ledger::Ledger;
 use crate::memory::scheduled_rounds::ScheduledRounds;
@@ -35,10 +35,10 @@
     pub(super) has_current_list: bool,
     /// Clients that wait for the reply to a packet: the one that submitted it, and those with duplicate
     /// submissions.
-    pub(super) waiting_clients: BTreeMap<PacketId, Vec<oneshot::Sender<Answer>>>,
+    pub(super) waiting_clients: BTreeMap<PacketId, Vec<oneshot::Sender<SubmitReply>>>,
     /// Clients that receive a failure (dismissed or scrapped) in place of `+OK` once the records of this
     /// round are written.
-    pub(super) failure_replies: Vec<(Vec<oneshot::Sender<Answer>>, Notice)>,
+    pub(super) failure_replies: Vec<(Vec<oneshot::Sender<SubmitReply>>, Notice)>,
     /// Packets in flight, each with the signal that cancels its call.
     pub(super) in_flight: BTreeMap<PacketId, Rc<Notify>>,
     /// Dispatches of this round by endpoint, each with its timeout.
@@ -96,7 +96,7 @@
             // The journal holds the packet as accepted and cannot be changed now, so the reply says that it
             // was accepted, and a notice reports the failure.
             log::warn!("packet {}: failure reported as a notice, code=not_recorded", id.0);
-            reply_all(clients, Answer::Accepted);
+            reply_all(clients, SubmitReply::Accepted);
             self.queue_notice(id, notice);
         }
     }
@@ -107,7 +107,7 @@
             reply_all(clients, notice.into());
         }
         for (_, clients) in std::mem::take(&mut self.waiting_clients) {
-            reply_all(clients, Answer::Accepted);
+            reply_all(clients, SubmitReply::Accepted);
         }
     }
 
--- a/crates/sailcart-sender/src/exchange/lists.rs
+++ b/crates/sailcart-sender/src/exchange/lists.rs
@@ -26,7 +26,7 @@
     /// Fails as soon as the list itself names more live endpoints than are allowed. Whether the endpoints
     /// that an incremental list adds fit together with those already in the directory is known only at its
     /// end, from [`fits`](Self::fits).
-    pub fn add(&self, staged: &mut StagedList, entries: Vec<Entry>) -> Result<(), ListTooLarge> {
+    pub fn add_entries(&self, staged: &mut StagedList, entries: Vec<Entry>) -> Result<(), ListTooLarge> {
         entries.iter().try_for_each(|entry| self.add_entry(staged, entry))
     }
 
@@ -45,7 +45,7 @@
     /// The decision module receives only what differs, also from a full list. A list that does not
     /// [fit](Self::fits) is rejected with a log message. The future must not be dropped before it completes:
     /// the slices applied by then would stay in force.
-    pub async fn commit(&self, staged: StagedList, full: bool) {
+    pub async fn apply(&self, staged: StagedList, full: bool) {
         let Some(mut update) = self.begin_update(staged, full) else { return };
         while !self.apply_step(&mut update) {
             yield_now().await;
@@ -54,7 +54,7 @@
     }
 
     /// Applies, without yielding, the list that was known before this process started.
-    pub fn take_over<E: Borrow<Entry>>(&self, full: bool, entries: impl IntoIterator<Item = E>) {
+    pub fn apply_known_list<E: Borrow<Entry>>(&self, full: bool, entries: impl IntoIterator<Item = E>) {
         let mut staged = self.stage(usize::MAX);
         let added = entries.into_iter().try_for_each(|entry| self.add_entry(&mut staged, entry.borrow()));
         if let Err(error) = added {
@@ -65,8 +65,8 @@
     }
 
     /// Applies a list in the same way, and treats it as current: the list of the sender's own configuration.
-    pub fn take_over_as_told<E: Borrow<Entry>>(&self, full: bool, entries: impl IntoIterator<Item = E>) {
-        self.take_over(full, entries);
+    pub fn apply_current_list<E: Borrow<Entry>>(&self, full: bool, entries: impl IntoIterator<Item = E>) {
+        self.apply_known_list(full, entries);
         self.inner.borrow_mut().host.has_current_list = true;
     }
 
--- a/crates/sailcart-sender/src/exchange/mod.rs
+++ b/crates/sailcart-sender/src/exchange/mod.rs
@@ -23,7 +23,7 @@
 use tokio::time::sleep_until;
 
 use self::host_state::HostState;
-pub use self::packets::Answer;
+pub use self::packets::SubmitReply;
 pub use self::staged::{ListTooLarge, StagedList};
 use crate::endpoints::Endpoints;
 use crate::memory::Notice;
@@ -40,9 +40,9 @@
     /// Signalled on every input: a round is due.
     round_requested: Notify,
     /// Signalled when a notice is pending.
-    pub notices: Notify,
+    pub notice_queued: Notify,
     /// Signalled when a call that carries notices is sent.
-    pub notices_out: Notify,
+    pub notices_sent: Notify,
     /// Signalled when the platform has acknowledged notices.
     notices_acknowledged: Notify,
 }
@@ -60,18 +60,27 @@
         let host = HostState::new(&terms, names, ledger);
         let inner = Inner { sender: Sender::new(terms, seed), host, stopped: false };
         let (round_requested, notices_acknowledged) = (Notify::new(), Notify::new());
-        let (notices, notices_out) = (Notify::new(), Notify::new());
-        Exchange { inner: RefCell::new(inner), round_requested, notices, notices_out, notices_acknowledged }
+        let (notice_queued, notices_sent) = (Notify::new(), Notify::new());
+        Exchange {
+            inner: RefCell::new(inner),
+            round_requested,
+            notice_queued,
+            notices_sent,
+            notices_acknowledged,
+        }
     }
 
     /// Calls `read` with the pending notices: those that the platform has not acknowledged.
-    pub fn owed<T>(&self, read: impl FnOnce(&mut dyn Iterator<Item = (PacketId, &str, Notice)>) -> T) -> T {
+    pub fn pending_notices<T>(
+        &self,
+        read: impl FnOnce(&mut dyn Iterator<Item = (PacketId, &str, Notice)>) -> T,
+    ) -> T {
         read(&mut self.inner.borrow().host.ledger.pending_notices())
     }
 
     /// Calls `read` with the pending notices that may be sent now: those that this process or a later one can
     /// no longer contradict by delivering the packet.
-    pub fn tellable<T>(
+    pub fn sendable_notices<T>(
         &self,
         read: impl FnOnce(&mut dyn Iterator<Item = (PacketId, &str, Notice)>) -> T,
     ) -> T {
@@ -84,13 +93,13 @@
         self.inner.borrow().host.violations.total()
     }
 
-    /// Number of changes that are not yet written to the state folder.
-    pub fn behind(&self) -> usize {
+    /// Number of groups of changes that are not yet written to the state folder.
+    pub fn unwritten_groups(&self) -> usize {
         self.inner.borrow().host.ledger.unwritten_groups()
     }
 
     /// Removes notices that the platform has acknowledged.
-    pub fn told(&self, ids: &[PacketId]) {
+    pub fn acknowledge_notices(&self, ids: &[PacketId]) {
         log::debug!("notices: told {:?}", ids.iter().map(|id| id.0).collect::<Vec<_>>());
         let host = &mut self.inner.borrow_mut().host;
         host.ledger.acknowledge_notices(ids);
@@ -99,7 +108,7 @@
     }
 
     /// Stops accepting packets. Calls in flight may still complete.
-    pub fn stop(&self) {
+    pub fn stop_accepting_packets(&self) {
         self.inner.borrow_mut().stopped = true;
         self.round_requested.notify_one();
     }
@@ -107,7 +116,7 @@
     /// At the end of a stop, replies also to clients whose packets are on disk but might not survive a power
     /// loss yet. Without a reply the clients would have to treat them as lost, although the next process
     /// dispatches whatever is on disk.
-    pub fn answer_unsynced(&self) {
+    pub fn reply_unsynced(&self) {
         let host = &mut self.inner.borrow_mut().host;
         if !host.waiting_clients.is_empty() || !host.failure_replies.is_empty() {
             log::warn!(
@@ -120,7 +129,7 @@
 
     /// Runs a round after each input and at each time that the sender requested, but at most one per
     /// `min_interval`.
-    pub async fn rounds(self: Rc<Self>, min_interval: Duration, endpoints: Rc<Endpoints>) {
+    pub async fn run_rounds(self: Rc<Self>, min_interval: Duration, endpoints: Rc<Endpoints>) {
         loop {
             let (scheduled, recorded) = {
                 let host = &self.inner.borrow().host;
@@ -155,7 +164,7 @@
             tokio::task::spawn_local(endpoints.clone().execute(call, self.clone()));
         }
         if host.ledger.pending_notices().next().is_some() {
-            self.notices.notify_one();
+            self.notice_queued.notify_one();
         }
     }
 }
--- a/crates/sailcart-sender/src/exchange/packets.rs
+++ b/crates/sailcart-sender/src/exchange/packets.rs
@@ -14,7 +14,7 @@
 
 /// The reply to the submission of a packet.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Answer {
+pub enum SubmitReply {
     /// The packet is in the journal and will be dispatched.
     Accepted,
     /// Rejected; it may be submitted again, after this wait if one is given.
@@ -25,17 +25,17 @@
     Unknown(&'static str),
 }
 
-impl From<Notice> for Answer {
+impl From<Notice> for SubmitReply {
     fn from(notice: Notice) -> Self {
         match notice {
-            Notice::Dismissed(wait) => Answer::Dismissed(wait),
-            Notice::Scrapped => Answer::Scrapped,
+            Notice::Dismissed(wait) => SubmitReply::Dismissed(wait),
+            Notice::Scrapped => SubmitReply::Scrapped,
         }
     }
 }
 
 /// Sends a reply to all clients that wait for it. Those that have disconnected meanwhile are ignored.
-pub(super) fn reply_all(clients: Vec<oneshot::Sender<Answer>>, reply: Answer) {
+pub(super) fn reply_all(clients: Vec<oneshot::Sender<SubmitReply>>, reply: SubmitReply) {
     for client in clients {
         let _ = client.send(reply);
     }
@@ -51,13 +51,13 @@
 
 impl Exchange {
     /// Packets that are not completed, in the order in which they were accepted.
-    pub fn unended(&self) -> Vec<Rc<Packet>> {
+    pub fn uncompleted_packets(&self) -> Vec<Rc<Packet>> {
         self.inner.borrow().host.ledger.uncompleted_packets()
     }
 
     /// Passes a packet that a previous process accepted to the sender again. One with names that are no
     /// longer in the settings is scrapped.
-    pub fn take_back(&self, packet: &Packet) {
+    pub fn restore(&self, packet: &Packet) {
         let Inner { sender, host, .. } = &mut *self.inner.borrow_mut();
         match host.sender_packet(packet) {
             Ok(restored) => {
@@ -77,7 +77,7 @@
     }
 
     /// Submits a packet. The reply arrives with the next round whose records are written.
-    pub fn take(&self, put: &Put) -> oneshot::Receiver<Answer> {
+    pub fn submit(&self, put: &Put) -> oneshot::Receiver<SubmitReply> {
         let (client, reply) = oneshot::channel();
         let inner = &mut *self.inner.borrow_mut();
         match inner.accept(put) {
@@ -94,36 +94,36 @@
 impl Inner {
     /// Returns the number of the packet whose reply the client waits for, or the reply if it is known at
     /// once.
-    fn accept(&mut self, put: &Put) -> Result<PacketId, Answer> {
+    fn accept(&mut self, put: &Put) -> Result<PacketId, SubmitReply> {
         let Inner { sender, host, stopped } = self;
         if let Some(number) = host.ledger.number_of(put.id) {
             // A duplicate submission on another connection gets the same reply as the first.
             return if host.waiting_clients.contains_key(&number) {
                 Ok(number)
             } else {
-                Err(Answer::Accepted)
+                Err(SubmitReply::Accepted)
             };
         }
         // A packet resubmitted after its completion must not be dispatched again under the same id.
         if let Some(failure) = host.ledger.completed(put.id) {
-            return Err(failure.map_or(Answer::Accepted, Answer::from));
+            return Err(failure.map_or(SubmitReply::Accepted, SubmitReply::from));
         }
         if *stopped {
-            return Err(Answer::Dismissed(host.retry_after));
+            return Err(SubmitReply::Dismissed(host.retry_after));
         }
         let now = host.clock.now();
         let packet = host.to_packet(put, now);
-        let accepted = host.sender_packet(&packet).map_err(Answer::Unknown)?;
+        let accepted = host.sender_packet(&packet).map_err(SubmitReply::Unknown)?;
         if host.has_current_list && !host.directory.knows(accepted.destination) {
-            return Err(Answer::Unknown("destination"));
+            return Err(SubmitReply::Unknown("destination"));
         }
         host.ledger.accept(packet).map_err(|error| {
             log::debug!("packet {} dismissed, code=journal {error}", put.id);
-            Answer::Dismissed(host.retry_after)
+            SubmitReply::Dismissed(host.retry_after)
         })?;
         let number = accepted.id;
         log::debug!(
-            "packet {}: taken as {}, about {:?}, for {:?}",
+            "packet {}: taken as {}, order key {:?}, patience {:?}",
             put.id,
             number.0,
             put.order_key,
--- a/crates/sailcart-sender/src/life/recovery.rs
+++ b/crates/sailcart-sender/src/life/recovery.rs
@@ -6,11 +6,11 @@
 /// Puts the last known list in force first, so that each packet finds its destination, then resumes the
 /// packets and pending notices of the journal.
 pub fn recover(exchange: &Exchange, known: &KnownList) {
-    exchange.take_over(known.summary().whole, known.entries());
-    let packets = exchange.unended();
+    exchange.apply_known_list(known.summary().whole, known.entries());
+    let packets = exchange.uncompleted_packets();
     for packet in &packets {
-        exchange.take_back(packet);
+        exchange.restore(packet);
     }
-    let notices = exchange.owed(|pending| pending.count());
+    let notices = exchange.pending_notices(|pending| pending.count());
     log::info!("recovery: {} packets, {notices} notices", packets.len());
 }
--- a/crates/sailcart-sender/src/life/start.rs
+++ b/crates/sailcart-sender/src/life/start.rs
@@ -80,7 +80,7 @@
             ReloadTarget::DiscoveryAddress(address_sender)
         }
         Source::Static => {
-            exchange.take_over_as_told(known.summary().whole, known.entries());
+            exchange.apply_current_list(known.summary().whole, known.entries());
             drop(known);
             spawn_local(platform::log_notices(exchange.clone()));
             ReloadTarget::EndpointList(exchange.clone())
@@ -88,7 +88,7 @@
     };
     spawn_local(reload(sighup, mandate.file, read, reload_target));
     spawn_local(endpoints.clone().sweep());
-    spawn_local(exchange.clone().rounds(mandate.carriage.round, endpoints.clone()));
+    spawn_local(exchange.clone().run_rounds(mandate.carriage.round, endpoints.clone()));
     let listener = bind(mandate.listen).await.map_err(|e| with_key("listen", e))?;
     log::info!("{} listens on {}", mandate.name, mandate.listen);
     let clients = Clients::new(exchange.clone(), bounds.clients);
--- a/crates/sailcart-sender/src/life/stop.rs
+++ b/crates/sailcart-sender/src/life/stop.rs
@@ -36,10 +36,10 @@
 impl Outstanding {
     fn now(exchange: &Exchange, clients: &Clients) -> Self {
         Outstanding {
-            calls: exchange.calls_out(),
-            connections: clients.open(),
-            notices: exchange.owed(|pending| pending.count()),
-            unwritten: exchange.behind(),
+            calls: exchange.packets_in_flight(),
+            connections: clients.open_connections(),
+            notices: exchange.pending_notices(|pending| pending.count()),
+            unwritten: exchange.unwritten_groups(),
         }
     }
 }
@@ -48,15 +48,15 @@
 /// the task that accepts connections.
 pub async fn stop(exchange: &Exchange, clients: &Rc<Clients>, accepting: JoinHandle<TcpListener>) {
     let start = Instant::now();
-    exchange.stop();
+    exchange.stop_accepting_packets();
     sleep(LATE_CONNECTIONS).await;
-    clients.hang_up();
+    clients.close_when_idle();
     while Outstanding::now(exchange, clients) != Outstanding::default()
         && start.elapsed() < MAX_STOP - ACCEPT_QUEUE_RESERVE
     {
         sleep(POLL_INTERVAL).await;
     }
-    exchange.answer_unsynced();
+    exchange.reply_unsynced();
     clients.stop_accepting();
     if let Err(error) = drain_accept_queue(clients, accepting, start).await {
         log::warn!("clients: code=not_accepted {error}");
@@ -78,7 +78,7 @@
     let Ok(listener) = accepting.await else { return Ok(()) };
     let listener = listener.into_std()?;
     while start.elapsed() < MAX_STOP {
-        if clients.empty_queue(&listener) && clients.open() == 0 {
+        if clients.accept_queued(&listener) && clients.open_connections() == 0 {
             break;
         }
         sleep(POLL_INTERVAL).await;
--- a/crates/sailcart-sender/src/outgoing.rs
+++ b/crates/sailcart-sender/src/outgoing.rs
@@ -39,7 +39,7 @@
     fn permit(&self, call: &Call) -> Result<Permit, Refusal>;
 
     /// Whether an endpoint is still listed and live.
-    fn lists(&self, endpoint: EndpointId) -> bool;
+    fn is_listed(&self, endpoint: EndpointId) -> bool;
 
     /// Receives the outcome of each of the call's packets, and the head of the response, which may report a
     /// limit.
--- a/crates/sailcart-sender/src/platform/follower.rs
+++ b/crates/sailcart-sender/src/platform/follower.rs
@@ -101,7 +101,7 @@
             return if self.other_bytes > MOST_BODY { Err(ListError::Status(head.status)) } else { Ok(()) };
         }
         let entries = self.reader.push(piece)?;
-        Ok(self.exchange.add(&mut self.staged, entries)?)
+        Ok(self.exchange.add_entries(&mut self.staged, entries)?)
     }
 }
 
@@ -220,7 +220,7 @@
         check_not_older(&list, self.watch_from)?;
         exchange.fits(&intake.staged, list.whole)?;
         // Also without changes: a commit forgets endpoints that left the list long ago.
-        exchange.commit(intake.staged, list.whole).await;
+        exchange.apply(intake.staged, list.whole).await;
         let received = if list.read > 0 { Received::Entries } else { Received::Nothing };
         if list.whole || received == Received::Entries {
             log::info!("discovery: version {}, {} entries", list.version, list.read);
--- a/crates/sailcart-sender/src/platform/notices.rs
+++ b/crates/sailcart-sender/src/platform/notices.rs
@@ -58,19 +58,21 @@
 
     /// Whether a notice may be sent that is in no call in flight.
     fn has_free(&self, exchange: &Exchange) -> bool {
-        exchange.tellable(|all| all.filter(|(id, ..)| self.is_free(*id)).count() > 0)
+        exchange.sendable_notices(|all| all.filter(|(id, ..)| self.is_free(*id)).count() > 0)
     }
 
     /// Selects the notices of the next call, marks them as in flight, and returns them with the body of the
     /// call.
     fn take(&self, exchange: &Exchange) -> (Vec<PacketId>, String) {
         let mut refused = self.refused.borrow_mut();
-        let others_wait = exchange
-            .tellable(|all| all.filter(|(id, ..)| self.is_free(*id) && !refused.contains(*id)).count() > 0);
+        let others_wait = exchange.sendable_notices(|all| {
+            all.filter(|(id, ..)| self.is_free(*id) && !refused.contains(*id)).count() > 0
+        });
         let single = refused.next_single(others_wait);
         let is_selected =
             |id: PacketId| self.is_free(id) && single.map_or(!refused.contains(id), |single| single == id);
-        let (ids, body) = exchange.tellable(|all| encode_body(&mut all.filter(|(id, ..)| is_selected(*id))));
+        let (ids, body) =
+            exchange.sendable_notices(|all| encode_body(&mut all.filter(|(id, ..)| is_selected(*id))));
         self.in_flight.borrow_mut().extend(&ids);
         (ids, body)
     }
@@ -106,7 +108,7 @@
     loop {
         sleep(SECOND_CALL_DELAY).await;
         if shared.in_flight.borrow().is_empty() {
-            exchange.notices_out.notified().await;
+            exchange.notices_sent.notified().await;
         } else if shared.has_free(&exchange) {
             worker.call(&exchange, &shared).await;
         }
@@ -137,7 +139,7 @@
         if ids.is_empty() {
             return false;
         }
-        exchange.notices_out.notify_waiters();
+        exchange.notices_sent.notify_waiters();
         let call = http::post(&self.connection.address().to_string(), notice::PATH, "", body.as_bytes());
         let limits = AnswerLimits {
             base_time: polling::notice_timeout(self.consecutive_losses),
@@ -149,7 +151,7 @@
         let status = response.map(|response| response.head.map_or(0, |head| head.status));
         if matches!(status, Ok(204)) {
             shared.refused.borrow_mut().remove(&ids);
-            exchange.told(&ids);
+            exchange.acknowledge_notices(&ids);
         }
         let needs_delay = self.handle_status(status, &ids, &body, exchange, shared);
         shared.release(&ids);
@@ -182,7 +184,7 @@
                         "notices: code=unreadable abandoned after repeated answers 400: {}",
                         body.trim_end()
                     );
-                    exchange.told(&abandoned);
+                    exchange.acknowledge_notices(&abandoned);
                 }
             }
             Ok(status) => log::warn!("notices: code=answer_{status}"),
@@ -200,10 +202,10 @@
 /// Waits until there may be a notice to send. While one waits for its record to be written, this returns
 /// after a short delay, since the packet's deadline may pass first.
 async fn wait_for_notices(exchange: &Exchange) {
-    let any_pending = exchange.owed(|pending| pending.next().is_some());
+    let any_pending = exchange.pending_notices(|pending| pending.next().is_some());
     let max_wait = if any_pending { RETRY_DELAY } else { MAX_IDLE_WAIT };
     tokio::select! {
-        () = exchange.notices.notified() => {}
+        () = exchange.notice_queued.notified() => {}
         () = sleep(max_wait) => {}
     }
 }
@@ -212,7 +214,7 @@
 /// the process.
 pub async fn log_notices(exchange: Rc<Exchange>) {
     loop {
-        let pending = exchange.tellable(|all| {
+        let pending = exchange.sendable_notices(|all| {
             all.map(|(number, id, notice)| (number, id.to_owned(), notice)).collect::<Vec<_>>()
         });
         for (_, id, notice) in &pending {
@@ -222,7 +224,7 @@
             }
         }
         let numbers: Vec<PacketId> = pending.into_iter().map(|(number, ..)| number).collect();
-        exchange.told(&numbers);
+        exchange.acknowledge_notices(&numbers);
         wait_for_notices(&exchange).await;
     }
 }
--- a/crates/sailcart-sender/tests/clock_steps.rs
+++ b/crates/sailcart-sender/tests/clock_steps.rs
@@ -8,7 +8,7 @@
 mod peer;
 
 use peer::world::World;
-use peer::{Answer, Call, answer, put};
+use peer::{Call, SubmitReply, answer, put};
 use sailcart_shim::{Page, Word};
 
 /// Seconds by which the clock is stepped.
@@ -22,7 +22,7 @@
 }
 
 /// An endpoint that reads its first call and never answers it.
-fn hangs_once(number: usize, _: &Call) -> Answer {
+fn hangs_once(number: usize, _: &Call) -> SubmitReply {
     if number == 0 {
         thread::park_timeout(Duration::from_secs(60));
     }
--- a/crates/sailcart-sender/tests/directory.rs
+++ b/crates/sailcart-sender/tests/directory.rs
@@ -13,7 +13,7 @@
 use sailcart_sender::exchange::directory::{Directory, Line, Place, SLOT_BYTES};
 use sailcart_sender::exchange::staged::{ListTooLarge, SLICE, StagedList};
 use sailcart_sender::exchange::update::{Step, Update};
-use sailcart_sender::exchange::{Answer, Exchange};
+use sailcart_sender::exchange::{Exchange, SubmitReply};
 use sailcart_sender::memory::ledger::Ledger;
 use sailcart_sender::wire::Put;
 use sailcart_sender::wire::discovery::Entry;
@@ -566,7 +566,7 @@
         order_key: None,
         body: b"hello",
     };
-    exchange.take(&put).try_recv() == Ok(Answer::Unknown("destination"))
+    exchange.submit(&put).try_recv() == Ok(SubmitReply::Unknown("destination"))
 }
 
 #[test]
@@ -574,9 +574,9 @@
     let folder = tempfile::tempdir().expect("a folder");
     let exchange = exchange(folder.path());
     let mut staged = exchange.stage(100_000);
-    exchange.add(&mut staged, entries(0..10_000)).expect("room");
-    assert!(!exchange.lists(EndpointId(0)), "nothing counts yet");
-    let mut commit = pin!(exchange.commit(staged, true));
+    exchange.add_entries(&mut staged, entries(0..10_000)).expect("room");
+    assert!(!exchange.is_listed(EndpointId(0)), "nothing counts yet");
+    let mut commit = pin!(exchange.apply(staged, true));
     let mut context = Context::from_waker(Waker::noop());
     let mut yields = 0;
     while commit.as_mut().poll(&mut context) == Poll::Pending {
@@ -584,14 +584,14 @@
         assert!(!unknown(&exchange, 1_000_000 + yields), "not told yet, so nothing is unknown");
     }
     assert_eq!(yields, 9, "ten chunks");
-    assert!(exchange.lists(EndpointId(9_999)) && !exchange.lists(EndpointId(10_000)));
+    assert!(exchange.is_listed(EndpointId(9_999)) && !exchange.is_listed(EndpointId(10_000)));
     assert!(unknown(&exchange, 2_000_000) && !unknown(&exchange, 1));
 
     let mut small = exchange.stage(100_000);
-    exchange.add(&mut small, entries(10_000..12_000)).expect("room");
-    let mut commit = pin!(exchange.commit(small, false));
+    exchange.add_entries(&mut small, entries(10_000..12_000)).expect("room");
+    let mut commit = pin!(exchange.apply(small, false));
     assert_eq!(commit.as_mut().poll(&mut context), Poll::Ready(()), "at once");
-    assert!(exchange.lists(EndpointId(11_999)));
+    assert!(exchange.is_listed(EndpointId(11_999)));
 }
 
 #[test]
@@ -600,21 +600,21 @@
     let exchange = exchange(folder.path());
     let mut context = Context::from_waker(Waker::noop());
     let mut staged = exchange.stage(10);
-    exchange.add(&mut staged, entries(0..8)).expect("room");
-    assert!(pin!(exchange.commit(staged, true)).poll(&mut context).is_ready());
+    exchange.add_entries(&mut staged, entries(0..8)).expect("room");
+    assert!(pin!(exchange.apply(staged, true)).poll(&mut context).is_ready());
 
     let mut dropped = exchange.stage(10);
-    exchange.add(&mut dropped, entries(7..9)).expect("room");
+    exchange.add_entries(&mut dropped, entries(7..9)).expect("room");
     drop(dropped);
     let mut large = exchange.stage(10);
-    let refused = exchange.add(&mut large, entries(0..11));
+    let refused = exchange.add_entries(&mut large, entries(0..11));
     assert_eq!(refused, Err(ListTooLarge { most: 10 }));
     drop(large);
     let mut beside = exchange.stage(10);
-    exchange.add(&mut beside, entries(8..11)).expect("three");
+    exchange.add_entries(&mut beside, entries(8..11)).expect("three");
     assert_eq!(exchange.fits(&beside, false), Err(ListTooLarge { most: 10 }));
-    assert!(pin!(exchange.commit(beside, false)).poll(&mut context).is_ready());
-    let listed: Vec<u32> = (0..20).filter(|id| exchange.lists(EndpointId(*id))).collect();
+    assert!(pin!(exchange.apply(beside, false)).poll(&mut context).is_ready());
+    let listed: Vec<u32> = (0..20).filter(|id| exchange.is_listed(EndpointId(*id))).collect();
     assert_eq!(listed, (0..8).collect::<Vec<_>>());
     assert!(unknown(&exchange, 8) && !unknown(&exchange, 7));
 }
--- a/crates/sailcart-sender/tests/failing_folder.rs
+++ b/crates/sailcart-sender/tests/failing_folder.rs
@@ -9,11 +9,14 @@
 mod peer;
 
 use peer::world::World;
-use peer::{Answer, Call, answer, entry, put};
+use peer::{Call, SubmitReply, answer, entry, put};
 use sailcart_shim::{Count, EIO, ENOSPC, Page, Word};
 
 /// A sender that runs under a page of faults.
-fn world(story: &str, reply: impl Fn(usize, &Call) -> Answer + Send + Sync + 'static) -> (World, Arc<Page>) {
+fn world(
+    story: &str,
+    reply: impl Fn(usize, &Call) -> SubmitReply + Send + Sync + 'static,
+) -> (World, Arc<Page>) {
     let mut world = World::new(story, reply);
     let page = world.with_faults();
     world.restart_with(&[(r#""aim_ms": 3000"#, r#""aim_ms": 1000"#)]);
--- a/crates/sailcart-sender/tests/kill_points.rs
+++ b/crates/sailcart-sender/tests/kill_points.rs
@@ -14,7 +14,7 @@
 
 use peer::late::Late;
 use peer::world::World;
-use peer::{Answer, Call, answer, command, entry, put};
+use peer::{Call, SubmitReply, answer, command, entry, put};
 
 /// A category of packets that may be repeated, in the example's configuration.
 const REPEATABLE: &str = "notice";
@@ -37,7 +37,7 @@
 const LARGE: usize = 40_000;
 
 /// A sender that knows both categories, and one endpoint.
-fn world(story: &str, reply: impl Fn(usize, &Call) -> Answer + Send + Sync + 'static) -> World {
+fn world(story: &str, reply: impl Fn(usize, &Call) -> SubmitReply + Send + Sync + 'static) -> World {
     let mut world = World::new(story, reply);
     world.kill();
     change(&mut world, LANES);
@@ -73,7 +73,7 @@
 }
 
 /// A peer that answers only from the moment on that this is set, and never what came before.
-fn once_told(answers: &Arc<AtomicBool>) -> impl Fn(usize, &Call) -> Answer + Send + Sync + 'static {
+fn once_told(answers: &Arc<AtomicBool>) -> impl Fn(usize, &Call) -> SubmitReply + Send + Sync + 'static {
     let answers = answers.clone();
     move |_, _| {
         while !answers.load(Ordering::SeqCst) {
--- a/crates/sailcart-sender/tests/peer/mod.rs
+++ b/crates/sailcart-sender/tests/peer/mod.rs
@@ -41,14 +41,14 @@
 }
 
 /// What a peer writes; without one it closes the connection.
-pub type Answer = Option<String>;
+pub type SubmitReply = Option<String>;
 
-pub fn answer(status: &str, headers: &str, body: &str) -> Answer {
+pub fn answer(status: &str, headers: &str, body: &str) -> SubmitReply {
     Some(format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len()))
 }
 
 /// Listens, one thread a connection, and answers each call with what `reply` makes of it.
-pub fn listen(address: &str, reply: impl Fn(&Call) -> Answer + Send + Sync + 'static) -> SocketAddr {
+pub fn listen(address: &str, reply: impl Fn(&Call) -> SubmitReply + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind(address).expect("a free address");
     let address = listener.local_addr().expect("an address");
     let reply = Arc::new(reply);
@@ -61,7 +61,7 @@
     address
 }
 
-fn converse(mut stream: TcpStream, reply: &dyn Fn(&Call) -> Answer) {
+fn converse(mut stream: TcpStream, reply: &dyn Fn(&Call) -> SubmitReply) {
     let Ok(reading) = stream.try_clone() else { return };
     let mut reading = BufReader::new(reading);
     while let Some(call) = Call::read(&mut reading) {
@@ -131,7 +131,7 @@
         }
     }
 
-    fn reply(&self, call: &Call) -> Answer {
+    fn reply(&self, call: &Call) -> SubmitReply {
         if call.start.starts_with("POST /status ") {
             if self.deaf.load(Ordering::Relaxed) {
                 return None;
--- a/crates/sailcart-sender/tests/peer/world.rs
+++ b/crates/sailcart-sender/tests/peer/world.rs
@@ -11,7 +11,7 @@
 
 use sailcart_shim::Page;
 
-use super::{Answer, Call, Platform, entry, listen, put, say};
+use super::{Call, Platform, SubmitReply, entry, listen, put, say};
 
 pub const CONFIG: &str = include_str!("../../../../examples/config.json");
 
@@ -34,7 +34,7 @@
 
 impl World {
     /// The one endpoint answers the n-th call, from 0, with what `reply` makes of it.
-    pub fn new(story: &str, reply: impl Fn(usize, &Call) -> Answer + Send + Sync + 'static) -> World {
+    pub fn new(story: &str, reply: impl Fn(usize, &Call) -> SubmitReply + Send + Sync + 'static) -> World {
         let folder = std::env::temp_dir().join(format!("sailcart-{}-{story}", std::process::id()));
         let _ = fs::remove_dir_all(&folder);
         fs::create_dir_all(&folder).expect("a folder");
@@ -84,7 +84,7 @@
     /// The same with a sender that runs under a page of faults, and knows the list.
     pub fn under_faults(
         story: &str,
-        reply: impl Fn(usize, &Call) -> Answer + Send + Sync + 'static,
+        reply: impl Fn(usize, &Call) -> SubmitReply + Send + Sync + 'static,
     ) -> (World, Arc<Page>) {
         let mut world = World::new(story, reply);
         let page = world.with_faults();
