--- a/crates/sailcart-sender/examples/directory.rs
+++ b/crates/sailcart-sender/examples/directory.rs
@@ -9,7 +9,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use sailcart::DestinationId;
-use sailcart_sender::exchange::directory::{Directory, Line, Place};
+use sailcart_sender::exchange::directory::{Directory, EndpointEntry, EndpointSpec};
 use sailcart_sender::exchange::staged::StagedList;
 use sailcart_sender::exchange::update::{Step, Update};
 
@@ -30,9 +30,9 @@
 fn add(directory: &mut Directory, staged: &mut StagedList, number: u32, version: u32, live: bool) {
     let [_, a, b, c] = number.to_be_bytes();
     let address = SocketAddr::from(([10, a, b, c], 1024 + (version % 60_000) as u16));
-    let place = Place { address, destination: DestinationId(u64::from(number)), kind: 0 };
+    let spec = EndpointSpec { address, destination: DestinationId(u64::from(number)), kind: 0 };
     let name = format!("endpoint-{number:08}");
-    staged.add(directory, &Line { name: &name, place, live, rate: 50.0 }).expect("the list fits");
+    staged.add(directory, &EndpointEntry { name: &name, spec, live, rate: 50.0 }).expect("the list fits");
 }
 
 /// Puts a list in force. Returns the duration of each step.
--- a/crates/sailcart-sender/src/exchange/calls.rs
+++ b/crates/sailcart-sender/src/exchange/calls.rs
@@ -9,7 +9,7 @@
 use tokio::sync::Notify;
 use tokio::time::sleep_until;
 
-use super::directory::Place;
+use super::directory::EndpointSpec;
 use super::host_state::HostState;
 use super::invariants::{Invariant, Permit, Refusal, SendPreconditions};
 use super::packets::key_id;
@@ -115,7 +115,7 @@
     pub(super) fn take_calls(&mut self) -> Vec<Call> {
         let mut calls = Vec::new();
         for (endpoint, dispatches) in std::mem::take(&mut self.dispatches) {
-            let Some(Place { address, kind, .. }) = self.directory.place(endpoint) else { continue };
+            let Some(EndpointSpec { address, kind, .. }) = self.directory.spec(endpoint) else { continue };
             let batch = self.batch_by_kind[usize::from(kind)];
             for chunk in dispatches.chunks(batch) {
                 let cancelled = Rc::new(Notify::new());
--- a/crates/sailcart-sender/src/exchange/directory/mod.rs
+++ b/crates/sailcart-sender/src/exchange/directory/mod.rs
@@ -29,7 +29,7 @@
 
 /// What identifies an endpoint besides its name. If any of this changes, the name belongs to a new endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Place {
+pub struct EndpointSpec {
     pub address: SocketAddr,
     pub destination: DestinationId,
     /// Position in [`sailcart::Terms::kinds`].
@@ -38,9 +38,9 @@
 
 /// An entry of a destination list.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Line<'a> {
+pub struct EndpointEntry<'a> {
     pub name: &'a str,
-    pub place: Place,
+    pub spec: EndpointSpec,
     /// False for an endpoint that drains.
     pub live: bool,
     /// Calls per second from all senders.
@@ -53,7 +53,7 @@
     /// The entry changes nothing.
     pub(super) unchanged: bool,
     /// The entry names the same endpoint, perhaps with another rate.
-    pub(super) same_place: bool,
+    pub(super) same_spec: bool,
     /// An earlier entry of the same list has this name.
     pub(super) named: bool,
     /// An earlier entry of the same list changed nothing.
@@ -97,8 +97,8 @@
     }
 
     /// Address, destination and kind of a live endpoint.
-    pub fn place(&self, endpoint: EndpointId) -> Option<Place> {
-        self.slots.get(self.find_endpoint(endpoint)?).map(Slot::place)
+    pub fn spec(&self, endpoint: EndpointId) -> Option<EndpointSpec> {
+        self.slots.get(self.find_endpoint(endpoint)?).map(Slot::spec)
     }
 
     /// Id of the live endpoint with this name.
@@ -151,14 +151,14 @@
 
     /// Compares an entry of the list that is being staged with the endpoint of the same name, if there is
     /// one, and marks that endpoint as named by the list.
-    pub(super) fn compare(&mut self, generation: u32, listed: &Line) -> Option<Current> {
+    pub(super) fn compare(&mut self, generation: u32, listed: &EndpointEntry) -> Option<Current> {
         let position = self.find_name(listed.name)?;
         let slot = self.slots.get_mut(position)?;
-        let same_place = slot.place() == listed.place;
+        let same_spec = slot.spec() == listed.spec;
         let current = Current {
             destination: slot.destination,
-            unchanged: same_place && listed.live && slot.rate == listed.rate,
-            same_place,
+            unchanged: same_spec && listed.live && slot.rate == listed.rate,
+            same_spec,
             named: slot.mark.is_from(generation),
             was_unchanged: slot.mark == ListMark::unchanged(generation),
         };
@@ -193,9 +193,15 @@
 
     /// Adds a listed endpoint, or updates its rate. If the name was listed with another address, destination
     /// or kind, that endpoint is removed and a new one added.
-    pub(super) fn put(&mut self, name: CompactString, place: Place, rate: f64, listings: &mut Vec<Listing>) {
+    pub(super) fn put(
+        &mut self,
+        name: CompactString,
+        spec: EndpointSpec,
+        rate: f64,
+        listings: &mut Vec<Listing>,
+    ) {
         let current = self.find_name(&name);
-        let same = current.and_then(|at| self.slots.get_mut(at)).filter(|slot| slot.place() == place);
+        let same = current.and_then(|at| self.slots.get_mut(at)).filter(|slot| slot.spec() == spec);
         if let Some(slot) = same {
             if slot.rate != rate {
                 slot.rate = rate;
@@ -208,9 +214,9 @@
         }
         let endpoint = EndpointId(self.next_endpoint);
         self.next_endpoint = self.next_endpoint.wrapping_add(1);
-        let target = Target::new(place.address, place.kind);
+        let target = Target::new(spec.address, spec.kind);
         let mark = ListMark::named(self.generation);
-        let slot = Slot { name, destination: place.destination, rate, target, endpoint, mark };
+        let slot = Slot { name, destination: spec.destination, rate, target, endpoint, mark };
         listings.push(slot.listing());
         self.insert(slot);
     }
--- a/crates/sailcart-sender/src/exchange/directory/slots.rs
+++ b/crates/sailcart-sender/src/exchange/directory/slots.rs
@@ -7,7 +7,7 @@
 use compact_str::CompactString;
 use sailcart::{DestinationId, EndpointId, KindId, Listing};
 
-use super::Place;
+use super::EndpointSpec;
 
 /// Number of slots that are allocated together.
 const CHUNK_SLOTS: usize = 512;
@@ -54,8 +54,12 @@
 }
 
 impl Slot {
-    pub(super) fn place(&self) -> Place {
-        Place { address: self.target.address(), destination: self.destination, kind: self.target.kind() }
+    pub(super) fn spec(&self) -> EndpointSpec {
+        EndpointSpec {
+            address: self.target.address(),
+            destination: self.destination,
+            kind: self.target.kind(),
+        }
     }
 
     /// The endpoint as the decision module receives it.
--- a/crates/sailcart-sender/src/exchange/lists.rs
+++ b/crates/sailcart-sender/src/exchange/lists.rs
@@ -1,12 +1,12 @@
 //! Receives destination lists: stages a list while it is read, and applies it to the directory and the sender
-//! in slices.
+//! in steps.
 
 use std::borrow::Borrow;
 
 use sailcart::DestinationId;
 use tokio::task::yield_now;
 
-use super::directory::{Line, Place};
+use super::directory::{EndpointEntry, EndpointSpec};
 use super::staged::{ListTooLarge, StagedList};
 use super::update::{Step, Update};
 use super::{Exchange, Inner};
@@ -39,12 +39,12 @@
         staged.fits(&self.inner.borrow().host.directory, full)
     }
 
-    /// Applies a list; a `full` one replaces all earlier lists. A large list is applied in slices, and the
+    /// Applies a list; a `full` one replaces all earlier lists. A large list is applied in steps, and the
     /// task yields between them.
     ///
     /// The decision module receives only what differs, also from a full list. A list that does not
     /// [fit](Self::fits) is rejected with a log message. The future must not be dropped before it completes:
-    /// the slices applied by then would stay in force.
+    /// the steps applied by then would stay in force.
     pub async fn apply(&self, staged: StagedList, full: bool) {
         let Some(mut update) = self.begin_update(staged, full) else { return };
         while !self.apply_step(&mut update) {
@@ -75,10 +75,11 @@
         let kind = host.names.kinds.get(&entry.kind).and_then(|kind| u16::try_from(*kind).ok());
         let Some(kind) = kind else {
             staged.log_unknown_kind(&entry.name, &entry.kind);
-            return staged.keep(&mut host.directory, &entry.name);
+            return staged.skip_entry(&mut host.directory, &entry.name);
         };
-        let place = Place { address: entry.address, destination: DestinationId(entry.destination), kind };
-        let listed = Line { name: &entry.name, place, live: entry.live, rate: entry.rate };
+        let spec =
+            EndpointSpec { address: entry.address, destination: DestinationId(entry.destination), kind };
+        let listed = EndpointEntry { name: &entry.name, spec, live: entry.live, rate: entry.rate };
         staged.add(&mut host.directory, &listed)
     }
 
@@ -102,7 +103,7 @@
         let Inner { sender, host, .. } = &mut *self.inner.borrow_mut();
         let (listings, last) = match update.step(&mut host.directory) {
             Step::Searched => return false,
-            Step::Lines(listings) => (listings, false),
+            Step::Changes(listings) => (listings, false),
             Step::Last(listings) => (listings, true),
         };
         let removed = listings.iter().filter(|listing| !listing.live);
--- a/crates/sailcart-sender/src/exchange/staged.rs
+++ b/crates/sailcart-sender/src/exchange/staged.rs
@@ -8,24 +8,24 @@
 use compact_str::CompactString;
 use sailcart::DestinationId;
 
-use super::directory::{Directory, Index, Line, Place, Target};
+use super::directory::{Directory, EndpointEntry, EndpointSpec, Index, Target};
 
 /// Largest number of listings passed to the decision module at once.
-pub const SLICE: usize = 2048;
+pub const MAX_CHANGES_PER_STEP: usize = 2048;
 /// Number of staged entries that are allocated, applied and freed together. Each leads to at most two
 /// listings: the removal of its previous endpoint and the addition of the new one.
-pub(super) const CHUNK_ENTRIES: usize = SLICE / 2;
+pub(super) const CHUNK_ENTRIES: usize = MAX_CHANGES_PER_STEP / 2;
 
 /// The list would leave more live endpoints than are allowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListTooLarge {
     /// Largest number of endpoints allowed.
-    pub most: usize,
+    pub max_endpoints: usize,
 }
 
 impl fmt::Display for ListTooLarge {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "more than {} endpoints", self.most)
+        write!(f, "more than {} endpoints", self.max_endpoints)
     }
 }
 
@@ -45,19 +45,23 @@
 }
 
 impl StagedEntry {
-    fn new(listed: &Line) -> Self {
+    fn new(listed: &EndpointEntry) -> Self {
         StagedEntry {
             name: CompactString::new(listed.name),
-            destination: listed.place.destination,
+            destination: listed.spec.destination,
             rate: listed.rate,
-            target: Target::new(listed.place.address, listed.place.kind),
+            target: Target::new(listed.spec.address, listed.spec.kind),
             live: listed.live,
             overridden: false,
         }
     }
 
-    pub(super) fn place(&self) -> Place {
-        Place { address: self.target.address(), destination: self.destination, kind: self.target.kind() }
+    pub(super) fn spec(&self) -> EndpointSpec {
+        EndpointSpec {
+            address: self.target.address(),
+            destination: self.destination,
+            kind: self.target.kind(),
+        }
     }
 }
 
@@ -143,7 +147,7 @@
     ///
     /// # Errors
     /// Fails as soon as the list names more live endpoints, or stores more entries, than are allowed.
-    pub fn add(&mut self, directory: &mut Directory, listed: &Line) -> Result<(), ListTooLarge> {
+    pub fn add(&mut self, directory: &mut Directory, listed: &EndpointEntry) -> Result<(), ListTooLarge> {
         if !self.is_latest(directory) {
             return Ok(());
         }
@@ -165,7 +169,7 @@
         }
         self.added_endpoints += usize::from(listed.live && !was_live);
         self.removed_endpoints += usize::from(!listed.live && was_live);
-        let stays = listed.live && current.is_some_and(|current| current.same_place);
+        let stays = listed.live && current.is_some_and(|current| current.same_spec);
         self.max_listings += usize::from(listed.live) + usize::from(was_live && !stays);
         self.push(listed);
         self.check_limits()
@@ -176,7 +180,7 @@
     ///
     /// # Errors
     /// As for [`add`](Self::add).
-    pub fn keep(&mut self, directory: &mut Directory, name: &str) -> Result<(), ListTooLarge> {
+    pub fn skip_entry(&mut self, directory: &mut Directory, name: &str) -> Result<(), ListTooLarge> {
         if self.is_latest(directory) && directory.mark_named(self.generation, name) {
             self.named_endpoints += 1;
             self.live_names += 1;
@@ -191,7 +195,11 @@
     pub fn fits(&self, directory: &Directory, full: bool) -> Result<(), ListTooLarge> {
         let before = if full { self.named_endpoints } else { directory.len() };
         let after = (before + self.added_endpoints).saturating_sub(self.removed_endpoints);
-        if after > self.max_endpoints { Err(ListTooLarge { most: self.max_endpoints }) } else { Ok(()) }
+        if after > self.max_endpoints {
+            Err(ListTooLarge { max_endpoints: self.max_endpoints })
+        } else {
+            Ok(())
+        }
     }
 
     /// Whether no list was begun after this one.
@@ -208,9 +216,9 @@
     /// endless list of draining endpoints that are not in the directory. Twice `max_endpoints` suffices for
     /// any valid list: each endpoint in the directory may be removed and another one added.
     fn check_limits(&self) -> Result<(), ListTooLarge> {
-        let max_staged = self.max_endpoints.saturating_mul(2).saturating_add(SLICE);
+        let max_staged = self.max_endpoints.saturating_mul(2).saturating_add(MAX_CHANGES_PER_STEP);
         if self.live_names > self.max_endpoints || self.staged_count > max_staged {
-            return Err(ListTooLarge { most: self.max_endpoints });
+            return Err(ListTooLarge { max_endpoints: self.max_endpoints });
         }
         Ok(())
     }
@@ -222,7 +230,7 @@
         self.entry(*position).map(|entry| entry.live)
     }
 
-    fn push(&mut self, listed: &Line) {
+    fn push(&mut self, listed: &EndpointEntry) {
         let hash = self.hasher.hash_one(listed.name);
         let position = self.staged_count as u32;
         if let Some(earlier) =
--- a/crates/sailcart-sender/src/exchange/update.rs
+++ b/crates/sailcart-sender/src/exchange/update.rs
@@ -6,7 +6,7 @@
 use sailcart::Listing;
 
 use super::directory::Directory;
-use super::staged::{SLICE, StagedEntry, StagedList};
+use super::staged::{MAX_CHANGES_PER_STEP, StagedEntry, StagedList};
 
 /// Number of directory slots that one step searches for endpoints that a full list does not name.
 const SEARCH_SLOTS: u32 = 16 * 1024;
@@ -17,14 +17,14 @@
     /// The step searched for endpoints to remove. Nothing has changed yet.
     Searched,
     /// Changes for the decision module; more steps follow.
-    Lines(Vec<Listing>),
+    Changes(Vec<Listing>),
     /// The last changes for the decision module, possibly none. The list is in force.
     Last(Vec<Listing>),
 }
 
 /// A staged list that is being applied. Endpoints that it no longer names are removed first; then its entries
-/// are applied in order. If there may be more than [`SLICE`] changes, they are spread over several steps, and
-/// all draining endpoints are removed before live ones are added.
+/// are applied in order. If there may be more than [`MAX_CHANGES_PER_STEP`] changes, they are
+/// spread over several steps, and all draining endpoints are removed before live ones are added.
 pub struct Update {
     staged: StagedList,
     now: Duration,
@@ -32,7 +32,7 @@
     /// Slots of endpoints that a full list does not name.
     unlisted: Vec<u32>,
     /// The changes are spread over several steps.
-    sliced: bool,
+    in_steps: bool,
 }
 
 enum Phase {
@@ -50,7 +50,7 @@
         staged.finish_reading();
         let all_named = directory.len() == staged.named_endpoints;
         let start = if full && !all_named { 0 } else { directory.end() };
-        Update { staged, now, phase: Phase::Search(start), unlisted: Vec::new(), sliced: false }
+        Update { staged, now, phase: Phase::Search(start), unlisted: Vec::new(), in_steps: false }
     }
 
     /// Performs the next step. Ends the update early if another list was begun meanwhile.
@@ -70,19 +70,19 @@
                     }
                 }
                 Phase::Search(_) => {
-                    self.sliced = self.unlisted.len() + self.staged.max_listings > SLICE;
+                    self.in_steps = self.unlisted.len() + self.staged.max_listings > MAX_CHANGES_PER_STEP;
                     self.phase = Phase::RemoveUnlisted;
-                    if !self.sliced {
+                    if !self.in_steps {
                         return self.apply_all(directory);
                     }
                 }
                 Phase::RemoveUnlisted if self.unlisted.is_empty() => self.phase = Phase::RemoveDraining(0),
-                Phase::RemoveUnlisted => return Step::Lines(self.remove_unlisted(directory)),
+                Phase::RemoveUnlisted => return Step::Changes(self.remove_unlisted(directory)),
                 Phase::RemoveDraining(chunk) if chunk < self.staged.chunks.len() => {
                     self.phase = Phase::RemoveDraining(chunk + 1);
                     let listings = self.remove_draining(chunk, directory);
                     if !listings.is_empty() {
-                        return Step::Lines(listings);
+                        return Step::Changes(listings);
                     }
                 }
                 Phase::RemoveDraining(_) => self.phase = Phase::ApplyLive,
@@ -107,10 +107,10 @@
         self.finish(directory, listings)
     }
 
-    /// Removes up to [`SLICE`] unlisted endpoints.
+    /// Removes up to [`MAX_CHANGES_PER_STEP`] unlisted endpoints.
     fn remove_unlisted(&mut self, directory: &mut Directory) -> Vec<Listing> {
         let mut listings = Vec::new();
-        let rest = self.unlisted.split_off(self.unlisted.len().min(SLICE));
+        let rest = self.unlisted.split_off(self.unlisted.len().min(MAX_CHANGES_PER_STEP));
         for slot in mem::replace(&mut self.unlisted, rest) {
             directory.remove(slot, &mut listings);
         }
@@ -139,7 +139,7 @@
                 put(entry, directory, &mut listings);
             }
         }
-        if self.staged.chunks.is_empty() { self.finish(directory, listings) } else { Step::Lines(listings) }
+        if self.staged.chunks.is_empty() { self.finish(directory, listings) } else { Step::Changes(listings) }
     }
 
     fn finish(&mut self, directory: &mut Directory, listings: Vec<Listing>) -> Step {
@@ -152,7 +152,7 @@
 }
 
 fn put(entry: StagedEntry, directory: &mut Directory, listings: &mut Vec<Listing>) {
-    let (place, rate) = (entry.place(), entry.rate);
-    log::debug!("list: {} serves destination {}, {rate} calls/s", place.address, place.destination.0);
-    directory.put(entry.name, place, rate, listings);
+    let (spec, rate) = (entry.spec(), entry.rate);
+    log::debug!("list: {} serves destination {}, {rate} calls/s", spec.address, spec.destination.0);
+    directory.put(entry.name, spec, rate, listings);
 }
--- a/crates/sailcart-sender/tests/directory.rs
+++ b/crates/sailcart-sender/tests/directory.rs
@@ -10,8 +10,8 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use sailcart::{DestinationId, EndpointId, Listing};
-use sailcart_sender::exchange::directory::{Directory, Line, Place, SLOT_BYTES};
-use sailcart_sender::exchange::staged::{ListTooLarge, SLICE, StagedList};
+use sailcart_sender::exchange::directory::{Directory, EndpointEntry, EndpointSpec, SLOT_BYTES};
+use sailcart_sender::exchange::staged::{ListTooLarge, MAX_CHANGES_PER_STEP, StagedList};
 use sailcart_sender::exchange::update::{Step, Update};
 use sailcart_sender::exchange::{Exchange, SubmitReply};
 use sailcart_sender::memory::ledger::Ledger;
@@ -47,16 +47,16 @@
         }
     }
 
-    fn place(&self, kind: u16) -> Place {
-        Place { address: self.address, destination: DestinationId(self.destination), kind }
+    fn spec(&self, kind: u16) -> EndpointSpec {
+        EndpointSpec { address: self.address, destination: DestinationId(self.destination), kind }
     }
 
     fn add(&self, staged: &mut StagedList, directory: &mut Directory) -> Result<(), ListTooLarge> {
         match self.kind {
-            None => staged.keep(directory, &self.name),
+            None => staged.skip_entry(directory, &self.name),
             Some(kind) => {
-                let (place, live, rate) = (self.place(kind), self.live, self.rate);
-                staged.add(directory, &Line { name: &self.name, place, live, rate })
+                let (spec, live, rate) = (self.spec(kind), self.live, self.rate);
+                staged.add(directory, &EndpointEntry { name: &self.name, spec, live, rate })
             }
         }
     }
@@ -73,7 +73,7 @@
 #[derive(Default)]
 struct Model {
     endpoints: HashMap<String, u32>,
-    places: HashMap<u32, (Place, f64)>,
+    specs: HashMap<u32, (EndpointSpec, f64)>,
     next_endpoint: u32,
     destinations: HashMap<u64, Duration>,
 }
@@ -92,17 +92,17 @@
         for line in lines {
             self.read(now, line, &mut told);
         }
-        self.destinations.extend(self.places.values().map(|(place, _)| (place.destination.0, now)));
+        self.destinations.extend(self.specs.values().map(|(spec, _)| (spec.destination.0, now)));
         self.destinations.retain(|_, listed| now.saturating_sub(*listed) < HOUR);
         (gone, told)
     }
 
     fn read(&mut self, now: Duration, line: &Written, told: &mut Vec<Told>) {
         let Some(kind) = line.kind else { return };
-        let place = line.place(kind);
-        self.destinations.insert(place.destination.0, now);
+        let spec = line.spec(kind);
+        self.destinations.insert(spec.destination.0, now);
         let old = self.endpoints.get(&line.name).copied();
-        let same = old.filter(|id| self.places.get(id).is_some_and(|(other, _)| *other == place));
+        let same = old.filter(|id| self.specs.get(id).is_some_and(|(other, _)| *other == spec));
         if !line.live || same.is_none() {
             self.forget(&line.name, told);
         }
@@ -110,7 +110,7 @@
             let endpoint = same.unwrap_or(self.next_endpoint);
             self.next_endpoint += u32::from(same.is_none());
             self.endpoints.insert(line.name.clone(), endpoint);
-            let before = self.places.insert(endpoint, (place, line.rate));
+            let before = self.specs.insert(endpoint, (spec, line.rate));
             if before.is_none_or(|(_, rate)| rate != line.rate) {
                 told.push((endpoint, line.destination, usize::from(kind), true, line.rate.to_bits()));
             }
@@ -119,8 +119,8 @@
 
     fn forget(&mut self, name: &str, told: &mut Vec<Told>) {
         let Some(endpoint) = self.endpoints.remove(name) else { return };
-        if let Some((place, _)) = self.places.remove(&endpoint) {
-            told.push((endpoint, place.destination.0, usize::from(place.kind), false, 0));
+        if let Some((spec, _)) = self.specs.remove(&endpoint) {
+            told.push((endpoint, spec.destination.0, usize::from(spec.kind), false, 0));
         }
     }
 
@@ -133,9 +133,9 @@
     }
 
     fn written(&self, name: &str, id: u32) -> Written {
-        let (place, rate) = self.places[&id];
-        let (address, destination) = (place.address, place.destination.0);
-        Written { name: name.to_owned(), address, destination, kind: Some(place.kind), live: true, rate }
+        let (spec, rate) = self.specs[&id];
+        let (address, destination) = (spec.address, spec.destination.0);
+        Written { name: name.to_owned(), address, destination, kind: Some(spec.kind), live: true, rate }
     }
 }
 
@@ -152,7 +152,7 @@
     loop {
         match update.step(directory) {
             Step::Searched => {}
-            Step::Lines(lines) => slices.push(lines),
+            Step::Changes(lines) => slices.push(lines),
             Step::Last(lines) => {
                 slices.push(lines);
                 return slices;
@@ -171,7 +171,7 @@
     assert_eq!(directory.len(), model.endpoints.len(), "{what}");
     for (name, id) in &model.endpoints {
         assert_eq!(directory.endpoint(name), Some(EndpointId(*id)), "{what}: {name}");
-        assert_eq!(directory.place(EndpointId(*id)), Some(model.places[id].0), "{what}: {name}");
+        assert_eq!(directory.spec(EndpointId(*id)), Some(model.specs[id].0), "{what}: {name}");
     }
     for destination in destinations {
         let known = model.destinations.contains_key(&destination);
@@ -283,7 +283,7 @@
             .collect();
         model.list(now, whole, &lines);
         let slices = list(&mut directory, whole, now, &lines);
-        assert!(slices.len() > 1 && slices.iter().all(|slice| slice.len() <= SLICE), "{what}");
+        assert!(slices.len() > 1 && slices.iter().all(|slice| slice.len() <= MAX_CHANGES_PER_STEP), "{what}");
         let all: Vec<&Listing> = slices.iter().flatten().collect();
         let first_live = all.iter().position(|line| line.live).expect("some are live");
         let before: HashSet<EndpointId> = all[..first_live].iter().map(|line| line.endpoint).collect();
@@ -300,7 +300,7 @@
         assert_eq!(directory.len(), model.endpoints.len(), "{what}");
         for (name, id) in &model.endpoints {
             let endpoint = directory.endpoint(name).expect("the model has it");
-            assert_eq!(directory.place(endpoint), Some(model.places[id].0), "{what}: {name}");
+            assert_eq!(directory.spec(endpoint), Some(model.specs[id].0), "{what}: {name}");
         }
         for destination in 0..u64::from(NAMES) {
             let known = model.destinations.contains_key(&destination);
@@ -316,7 +316,7 @@
     let held = Written::new(1);
     let moved = Written { address: "10.9.9.9:1".parse().expect("an address"), ..held.clone() };
     let drains = Written { live: false, ..held.clone() };
-    let many: Vec<Written> = (10..10 + SLICE as u32).map(Written::new).collect();
+    let many: Vec<Written> = (10..10 + MAX_CHANGES_PER_STEP as u32).map(Written::new).collect();
     let cases: [(&[&Written], Option<&Written>); 5] = [
         (&[&moved, &held], Some(&held)),
         (&[&held, &moved], Some(&moved)),
@@ -329,8 +329,8 @@
         let mut lines: Vec<Written> = lines.iter().copied().cloned().collect();
         lines.extend_from_slice(&many);
         assert!(list(&mut directory, false, HOUR, &lines).len() > 1, "case {number}");
-        let place = directory.endpoint(&held.name).and_then(|endpoint| directory.place(endpoint));
-        assert_eq!(place, left.map(|line| line.place(0)), "case {number}");
+        let spec = directory.endpoint(&held.name).and_then(|endpoint| directory.spec(endpoint));
+        assert_eq!(spec, left.map(|line| line.spec(0)), "case {number}");
     }
 }
 
@@ -353,19 +353,19 @@
 #[test]
 fn a_difference_that_fits_one_slice_comes_at_once() {
     let mut directory = Directory::new();
-    let mut lines: Vec<Written> = (0..SLICE as u32).map(Written::new).collect();
+    let mut lines: Vec<Written> = (0..MAX_CHANGES_PER_STEP as u32).map(Written::new).collect();
     let mut slices = |lines: &[Written]| -> Vec<usize> {
         list(&mut directory, false, HOUR, lines).iter().map(Vec::len).collect()
     };
-    assert_eq!(slices(&lines), [SLICE]);
+    assert_eq!(slices(&lines), [MAX_CHANGES_PER_STEP]);
     lines.iter_mut().for_each(|line| line.rate += 1.0);
-    assert_eq!(slices(&lines), [SLICE]);
-    lines[..SLICE / 2].iter_mut().for_each(|line| line.address.set_port(9));
-    assert_eq!(slices(&lines), [SLICE]);
+    assert_eq!(slices(&lines), [MAX_CHANGES_PER_STEP]);
+    lines[..MAX_CHANGES_PER_STEP / 2].iter_mut().for_each(|line| line.address.set_port(9));
+    assert_eq!(slices(&lines), [MAX_CHANGES_PER_STEP]);
     lines.iter_mut().for_each(|line| line.address.set_port(10));
-    assert_eq!(slices(&lines), [SLICE, SLICE]);
+    assert_eq!(slices(&lines), [MAX_CHANGES_PER_STEP, MAX_CHANGES_PER_STEP]);
     lines.iter_mut().for_each(|line| line.live = false);
-    assert_eq!(slices(&lines), [SLICE]);
+    assert_eq!(slices(&lines), [MAX_CHANGES_PER_STEP]);
 }
 
 /// What is gone is looked for in steps too, and nothing changes before all is found.
@@ -391,7 +391,7 @@
     let all: Vec<Written> = (0..10_000).map(Written::new).collect();
     let staged = stage(&mut directory, ANY, &all).expect("room");
     let mut update = Update::new(staged, false, &directory, HOUR);
-    let Step::Lines(first) = update.step(&mut directory) else { panic!("expected lines") };
+    let Step::Changes(first) = update.step(&mut directory) else { panic!("expected lines") };
     let newer = stage(&mut directory, ANY, &all[..10]).expect("room");
     assert!(matches!(update.step(&mut directory), Step::Last(lines) if lines.is_empty()));
     assert_eq!(directory.len(), first.len());
@@ -415,7 +415,7 @@
 #[test]
 fn a_list_that_names_too_many_is_refused_and_changes_nothing() {
     let mut directory = Directory::new();
-    let too_large = Err(ListTooLarge { most: 100 });
+    let too_large = Err(ListTooLarge { max_endpoints: 100 });
     let all: Vec<Written> = (0..300).map(Written::new).collect();
     let mut staged = StagedList::new(&mut directory, 100);
     let refused = all.iter().position(|line| line.add(&mut staged, &mut directory).is_err());
@@ -608,11 +608,11 @@
     drop(dropped);
     let mut large = exchange.stage(10);
     let refused = exchange.add_entries(&mut large, entries(0..11));
-    assert_eq!(refused, Err(ListTooLarge { most: 10 }));
+    assert_eq!(refused, Err(ListTooLarge { max_endpoints: 10 }));
     drop(large);
     let mut beside = exchange.stage(10);
     exchange.add_entries(&mut beside, entries(8..11)).expect("three");
-    assert_eq!(exchange.fits(&beside, false), Err(ListTooLarge { most: 10 }));
+    assert_eq!(exchange.fits(&beside, false), Err(ListTooLarge { max_endpoints: 10 }));
     assert!(pin!(exchange.apply(beside, false)).poll(&mut context).is_ready());
     let listed: Vec<u32> = (0..20).filter(|id| exchange.is_listed(EndpointId(*id))).collect();
     assert_eq!(listed, (0..8).collect::<Vec<_>>());
