--- a/crates/sailcart-sender/src/clients.rs
+++ b/crates/sailcart-sender/src/clients.rs
@@ -295,15 +295,15 @@
         pending: &mut VecDeque<PendingCommand>,
     ) -> Option<(&'static str, &'static str)> {
         while pending.len() < MAX_PENDING_COMMANDS {
-            match resp::command(buffer) {
-                Ok(Some((Command::Faulty(message), _))) => return Some((message, "malformed")),
+            match resp::parse_command(buffer) {
+                Ok(Some((Command::Malformed(message), _))) => return Some((message, "malformed")),
                 Ok(Some((command, used))) => {
                     connection.idle_since.set(None);
                     connection.command_started_at.set(None);
                     pending.push_back(self.start_command(&command, connection));
                     buffer.advance(used);
                 }
-                Ok(None) if buffer.len() <= resp::MOST_COMMAND => return None,
+                Ok(None) if buffer.len() <= resp::MAX_COMMAND_BYTES => return None,
                 Ok(None) | Err("too large") => return Some(("too large", "oversized")),
                 Err(message) => return Some((message, "malformed")),
             }
@@ -363,7 +363,7 @@
         match command {
             Command::Ping(echo) => PendingCommand::Ready(resp::pong(*echo)),
             Command::Put(put) => PendingCommand::Submitted(self.exchange.submit(put)),
-            Command::Unknown | Command::Faulty(_) => PendingCommand::Ready(reject("command", connection)),
+            Command::Unknown | Command::Malformed(_) => PendingCommand::Ready(reject("command", connection)),
         }
     }
 }
@@ -385,7 +385,7 @@
             PendingCommand::Submitted(answer) => answer.await,
         };
         match answer {
-            Ok(SubmitReply::Accepted) => resp::TAKEN.to_vec(),
+            Ok(SubmitReply::Accepted) => resp::ACCEPTED.to_vec(),
             Ok(SubmitReply::Dismissed(wait)) => resp::busy(wait),
             Ok(SubmitReply::Scrapped) => resp::error("given up"),
             Ok(SubmitReply::Unknown(what)) => reject(what, connection),
--- a/crates/sailcart-sender/src/config/mod.rs
+++ b/crates/sailcart-sender/src/config/mod.rs
@@ -18,7 +18,7 @@
 use serde_json::Value;
 
 use crate::config::known::KnownList;
-use crate::wire::resp::MOST_COMMAND;
+use crate::wire::resp::MAX_COMMAND_BYTES;
 
 /// The checked configuration of a sender.
 pub struct Mandate {
@@ -210,7 +210,7 @@
         .ok_or_else(|| format!("expected at least {} in sockets", RESERVED_DESCRIPTORS + slots + 8))?;
     // The buffer of each client may contain a command of the largest size. The buffers may use half of the
     // memory.
-    let max_buffers = (memory / 2.0 / MOST_COMMAND as f64) as usize;
+    let max_buffers = (memory / 2.0 / MAX_COMMAND_BYTES as f64) as usize;
     Ok(Bounds {
         clients: (available - available / 4).min(max_buffers).max(1),
         idle: available / 4,
--- a/crates/sailcart-sender/src/endpoints.rs
+++ b/crates/sailcart-sender/src/endpoints.rs
@@ -18,8 +18,8 @@
 use crate::outgoing::{Call, CallOwner};
 use crate::response::{self, Response};
 use crate::socket::Socket;
-use crate::wire::MOST_BODY;
-use crate::wire::call::{self, Ending, Parcel};
+use crate::wire::MAX_BODY_BYTES;
+use crate::wire::call::{self, CallPacket, PacketOutcome};
 use crate::wire::http::Head;
 
 /// Bounds the time from the first byte of a response to its last.
@@ -60,7 +60,7 @@
     /// Executes a call. When its owner receives the outcome, its connection is closed or idle again.
     pub async fn execute(self: Rc<Self>, call: Call, owner: Rc<impl CallOwner>) {
         owner.wait_for_key_order(&call).await;
-        let (endings, head, reusable) = match self.connect(&call).await {
+        let (outcomes, head, reusable) = match self.connect(&call).await {
             Err(outcome) => (same_for_all(&call, outcome), None, None),
             Ok(stream) => match owner.permit(&call) {
                 Ok(permit) => send(&call, stream, permit).await,
@@ -75,7 +75,7 @@
             Some(_) => log_connection_end(call.address, "unlisted"),
             None => {}
         }
-        owner.call_completed(&call, &endings, head.as_ref());
+        owner.call_completed(&call, &outcomes, head.as_ref());
     }
 
     /// Returns an idle or new connection for a call, or the outcome if there is none.
@@ -118,11 +118,11 @@
     call: &Call,
     mut stream: Socket,
     _permit: Permit,
-) -> (Vec<Ending>, Option<Head>, Option<Socket>) {
+) -> (Vec<PacketOutcome>, Option<Head>, Option<Socket>) {
     let deadline = call.started_at + call.timeout;
     let budget = deadline.saturating_duration_since(Instant::now());
-    let parcels: Vec<Parcel> = call.packets.iter().map(|packet| to_parcel(packet)).collect();
-    let request = call::write(&call.address.to_string(), &parcels, budget);
+    let call_packets: Vec<CallPacket> = call.packets.iter().map(|packet| to_call_packet(packet)).collect();
+    let request = call::write(&call.address.to_string(), &call_packets, budget);
     let (mut written, mut response) = (false, Response::default());
     let result = tokio::select! {
         result = timeout_at(deadline.into(), round_trip(&mut stream, &request, &mut written, &mut response)) => {
@@ -131,11 +131,11 @@
         () = call.cancelled.notified() => Err(io::ErrorKind::Interrupted.into()),
     };
     let ids: Vec<&str> = call.packets.iter().map(|packet| &*packet.id).collect();
-    let endings = match (&response.head, &result) {
+    let outcomes = match (&response.head, &result) {
         // The status alone completes the packet, so that it is not sent again if the rest of the response is
         // malformed.
-        _ if call::settled(response.status, ids.len()) => vec![(Outcome::Done, true)],
-        (Some(head), Ok(())) => call::endings(head, &response.body, &ids),
+        _ if call::proves_delivery(response.status, ids.len()) => vec![(Outcome::Done, true)],
+        (Some(head), Ok(())) => call::packet_outcomes(head, &response.body, &ids),
         (_, Err(error)) => same_for_all(call, failure(written || response.status.is_some(), error)),
         (None, Ok(())) => same_for_all(call, Outcome::Reset),
     };
@@ -143,12 +143,12 @@
         // A connection on which part of the request was not written cannot be reused.
         Ok(()) if written && response.is_reusable() => {
             stream.clear_read_readiness();
-            return (endings, response.head, Some(stream));
+            return (outcomes, response.head, Some(stream));
         }
         Ok(()) => log_connection_end(call.address, "answer_closes"),
         Err(error) => log_connection_end(call.address, log_code(&error)),
     }
-    (endings, response.head, None)
+    (outcomes, response.head, None)
 }
 
 /// Writes a request and reads its response; nothing is sent again. A response may arrive before the request
@@ -161,7 +161,8 @@
     response: &mut Response,
 ) -> io::Result<()> {
     let (mut reader, mut writer) = stream.split();
-    let mut reading = pin!(response::read_collected(&mut reader, MOST_BODY, RESPONSE_READ_TIMEOUT, response));
+    let mut reading =
+        pin!(response::read_collected(&mut reader, MAX_BODY_BYTES, RESPONSE_READ_TIMEOUT, response));
     *written = tokio::select! {
         biased;
         sent = writer.write_all(request) => sent.is_ok(),
@@ -192,10 +193,10 @@
     }
 }
 
-fn same_for_all(call: &Call, outcome: Outcome) -> Vec<Ending> {
+fn same_for_all(call: &Call, outcome: Outcome) -> Vec<PacketOutcome> {
     vec![(outcome, false); call.packets.len()]
 }
 
-fn to_parcel(packet: &crate::memory::Packet) -> Parcel<'_> {
-    Parcel { id: &packet.id, idempotency_key: packet.idempotency_key.as_deref(), body: &packet.body }
+fn to_call_packet(packet: &crate::memory::Packet) -> CallPacket<'_> {
+    CallPacket { id: &packet.id, idempotency_key: packet.idempotency_key.as_deref(), body: &packet.body }
 }
--- a/crates/sailcart-sender/src/exchange/calls.rs
+++ b/crates/sailcart-sender/src/exchange/calls.rs
@@ -16,7 +16,7 @@
 use super::{Exchange, Inner};
 use crate::memory::{Notice, Packet};
 use crate::outgoing::{Call, CallOwner};
-use crate::wire::call::{self, Ending};
+use crate::wire::call::{self, PacketOutcome};
 use crate::wire::http::Head;
 
 impl CallOwner for Exchange {
@@ -68,15 +68,19 @@
         self.inner.borrow().host.directory.contains(endpoint)
     }
 
-    fn call_completed(&self, call: &Call, endings: &[Ending], head: Option<&Head>) {
+    fn call_completed(&self, call: &Call, outcomes: &[PacketOutcome], head: Option<&Head>) {
         let Inner { sender, host, .. } = &mut *self.inner.borrow_mut();
         let (now, elapsed) = (host.clock.now(), call.sent_at.get().unwrap_or(call.started_at).elapsed());
-        let report =
-            host.names.reports.as_ref().zip(head).and_then(|(reports, head)| call::report(head, reports));
+        let report = host
+            .names
+            .reports
+            .as_ref()
+            .zip(head)
+            .and_then(|(reports, head)| call::limit_report(head, reports));
         if let Some((report, first)) = report.zip(call.packets.first()) {
             sender.report(first.number, report);
         }
-        for (packet, (outcome, completed)) in call.packets.iter().zip(endings) {
+        for (packet, (outcome, completed)) in call.packets.iter().zip(outcomes) {
             let id = packet.number;
             if host.in_flight.remove(&id).is_none() {
                 host.violations.count(Invariant::OutcomeWithoutCall, &id.0);
--- a/crates/sailcart-sender/src/life/recovery.rs
+++ b/crates/sailcart-sender/src/life/recovery.rs
@@ -6,7 +6,7 @@
 /// Puts the last known list in force first, so that each packet finds its destination, then resumes the
 /// packets and pending notices of the journal.
 pub fn recover(exchange: &Exchange, known: &KnownList) {
-    exchange.apply_known_list(known.summary().whole, known.entries());
+    exchange.apply_known_list(known.summary().full, known.entries());
     let packets = exchange.uncompleted_packets();
     for packet in &packets {
         exchange.restore(packet);
--- a/crates/sailcart-sender/src/life/reload.rs
+++ b/crates/sailcart-sender/src/life/reload.rs
@@ -43,7 +43,7 @@
             }
             (Ok((Source::Static, Some(known))), ReloadTarget::EndpointList(exchange)) => {
                 let list = known.summary();
-                exchange.apply_current_list(list.whole, known.entries());
+                exchange.apply_current_list(list.full, known.entries());
                 log::info!("reload: {} endpoints listed, code=listed", list.read);
             }
             (Ok(_), _) => log::warn!("reload: the kind of source has changed, code=next_start"),
--- a/crates/sailcart-sender/src/life/start.rs
+++ b/crates/sailcart-sender/src/life/start.rs
@@ -80,7 +80,7 @@
             ReloadTarget::DiscoveryAddress(address_sender)
         }
         Source::Static => {
-            exchange.apply_current_list(known.summary().whole, known.entries());
+            exchange.apply_current_list(known.summary().full, known.entries());
             drop(known);
             spawn_local(platform::log_notices(exchange.clone()));
             ReloadTarget::EndpointList(exchange.clone())
--- a/crates/sailcart-sender/src/outgoing.rs
+++ b/crates/sailcart-sender/src/outgoing.rs
@@ -10,7 +10,7 @@
 
 use crate::exchange::invariants::{Permit, Refusal};
 use crate::memory::Packet;
-use crate::wire::call::Ending;
+use crate::wire::call::PacketOutcome;
 use crate::wire::http::Head;
 
 /// A call on its way to an endpoint.
@@ -43,5 +43,5 @@
 
     /// Receives the outcome of each of the call's packets, and the head of the response, which may report a
     /// limit.
-    fn call_completed(&self, call: &Call, endings: &[Ending], head: Option<&Head>);
+    fn call_completed(&self, call: &Call, outcomes: &[PacketOutcome], head: Option<&Head>);
 }
--- a/crates/sailcart-sender/src/platform/follower.rs
+++ b/crates/sailcart-sender/src/platform/follower.rs
@@ -15,8 +15,8 @@
 use crate::polling::{self, Failure, PollingSchedule};
 use crate::response::{BodySink, TooLarge};
 use crate::wire::http::Head;
-use crate::wire::list_reader::{ListReader, MOST_ENTRY, Summary};
-use crate::wire::{MOST_BODY, discovery, http};
+use crate::wire::list_reader::{ListReader, MAX_ENTRY_BYTES, Summary};
+use crate::wire::{MAX_BODY_BYTES, discovery, http};
 
 /// A list that is received more slowly than this is abandoned.
 const MIN_LIST_BYTES_PER_SECOND: u32 = 4_000_000;
@@ -98,7 +98,11 @@
     fn receive(&mut self, head: &Head, piece: &[u8]) -> Result<(), ListError> {
         if head.status != 200 {
             self.other_bytes += piece.len();
-            return if self.other_bytes > MOST_BODY { Err(ListError::Status(head.status)) } else { Ok(()) };
+            return if self.other_bytes > MAX_BODY_BYTES {
+                Err(ListError::Status(head.status))
+            } else {
+                Ok(())
+            };
         }
         let entries = self.reader.push(piece)?;
         Ok(self.exchange.add_entries(&mut self.staged, entries)?)
@@ -115,7 +119,7 @@
 /// valid.
 ///
 /// A call has the time that its polling schedule gives, and a large list more in proportion to the bytes
-/// received (`MIN_LIST_BYTES_PER_SECOND`). A list of `n` endpoints has at most `n` times [`MOST_ENTRY`]
+/// received (`MIN_LIST_BYTES_PER_SECOND`). A list of `n` endpoints has at most `n` times [`MAX_ENTRY_BYTES`]
 /// bytes. So it is complete or abandoned within the time of its call (0.75 s with an agent, 2.25 s without;
 /// for a watch also its wait) plus `n` times 1.024 ms: 384 s for the 375,000 endpoints that fit into 192
 /// MB. With entries of the usual 165 bytes it takes 16 s. This holds as long as this thread reads as fast
@@ -204,7 +208,7 @@
     async fn poll(&mut self) -> Result<Received, ListError> {
         let (path, base_time) = self.next_call();
         let call = http::get(&self.connection.address().to_string(), &path);
-        let max_body_bytes = self.max_endpoints.saturating_mul(MOST_ENTRY);
+        let max_body_bytes = self.max_endpoints.saturating_mul(MAX_ENTRY_BYTES);
         let limits =
             AnswerLimits { base_time, min_bytes_per_second: Some(MIN_LIST_BYTES_PER_SECOND), max_body_bytes };
         let exchange = self.exchange.clone();
@@ -218,11 +222,11 @@
         }
         let list = intake.reader.finish()?;
         check_not_older(&list, self.watch_from)?;
-        exchange.fits(&intake.staged, list.whole)?;
+        exchange.fits(&intake.staged, list.full)?;
         // Also without changes: a commit forgets endpoints that left the list long ago.
-        exchange.apply(intake.staged, list.whole).await;
+        exchange.apply(intake.staged, list.full).await;
         let received = if list.read > 0 { Received::Entries } else { Received::Nothing };
-        if list.whole || received == Received::Entries {
+        if list.full || received == Received::Entries {
             log::info!("discovery: version {}, {} entries", list.version, list.read);
         }
         self.note_in_force(&list);
@@ -232,12 +236,12 @@
     /// The path of the next call, and the time within which its answer must arrive.
     fn next_call(&self) -> (String, Duration) {
         let Some(from) = self.watch_from else {
-            return (discovery::WHOLE.to_owned(), self.schedule.call_timeout());
+            return (discovery::FULL_LIST_PATH.to_owned(), self.schedule.call_timeout());
         };
         let (hold, base_time) = self.schedule.watch_timing();
         let until_full_list = self.full_list_at.map(|at| at.saturating_duration_since(Instant::now()));
         let shortened = until_full_list.map_or(hold, |until_full_list| until_full_list.min(hold));
-        (discovery::watch(from, shortened), base_time - (hold - shortened))
+        (discovery::watch_path(from, shortened), base_time - (hold - shortened))
     }
 
     /// Updates the state after a list or update was put in force.
@@ -247,7 +251,7 @@
         self.watch_from = self.version_in_force;
         self.logged_error = None;
         self.schedule.list_in_force();
-        if self.full_list_at.is_none() || list.whole || asked_for_full {
+        if self.full_list_at.is_none() || list.full || asked_for_full {
             self.full_list_at = None;
             self.logged_too_large = false;
             self.schedule.list_fits();
@@ -287,7 +291,7 @@
         if !std::mem::replace(&mut self.logged_too_large, true) {
             let max_endpoints = self.max_endpoints;
             log::warn!(
-                "discovery: code=list_too_large the list exceeds {max_endpoints} endpoints or {MOST_ENTRY} bytes per endpoint"
+                "discovery: code=list_too_large the list exceeds {max_endpoints} endpoints or {MAX_ENTRY_BYTES} bytes per endpoint"
             );
         }
         log::debug!("discovery: the list was too large, it is requested again in {delay:?}");
--- a/crates/sailcart-sender/src/platform/notices.rs
+++ b/crates/sailcart-sender/src/platform/notices.rs
@@ -17,7 +17,7 @@
 use crate::polling;
 use crate::response::BodySink;
 use crate::wire::http::Head;
-use crate::wire::{MOST_BODY, http, notice};
+use crate::wire::{MAX_BODY_BYTES, http, notice};
 
 /// The delay before notices are sent again after a call that was not acknowledged, and between looks at
 /// notices that may not be sent yet.
@@ -144,7 +144,7 @@
         let limits = AnswerLimits {
             base_time: polling::notice_timeout(self.consecutive_losses),
             min_bytes_per_second: None,
-            max_body_bytes: MOST_BODY,
+            max_body_bytes: MAX_BODY_BYTES,
         };
         let response = self.connection.call(&call, limits, &mut DiscardBody).await;
         self.consecutive_losses = if response.is_ok() { 0 } else { self.consecutive_losses + 1 };
@@ -229,7 +229,7 @@
     }
 }
 
-/// Encodes one line for each notice, up to [`MOST_BODY`] bytes. Returns the notices that fit, and the body.
+/// Encodes one line for each notice, up to [`MAX_BODY_BYTES`] bytes. Returns the notices that fit, and the body.
 fn encode_body(pending: &mut dyn Iterator<Item = (PacketId, &str, Notice)>) -> (Vec<PacketId>, String) {
     let (mut ids, mut body) = (Vec::new(), String::new());
     for (number, id, notice) in pending {
@@ -237,7 +237,7 @@
             Notice::Dismissed(wait) => notice::dismissed(id, wait),
             Notice::Scrapped => notice::scrapped(id),
         };
-        if body.len() + line.len() > MOST_BODY {
+        if body.len() + line.len() > MAX_BODY_BYTES {
             break;
         }
         body.push_str(&line);
--- a/crates/sailcart-sender/src/response.rs
+++ b/crates/sailcart-sender/src/response.rs
@@ -9,8 +9,8 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, timeout, timeout_at};
 
-use crate::wire::http::{self, Extent, Head};
-use crate::wire::{Reading, chunked};
+use crate::wire::http::{self, BodyLength, Head};
+use crate::wire::{ParseResult, chunked};
 
 /// Largest number of body bytes passed on at once. The task yields after so many, to let other tasks on its
 /// thread run.
@@ -185,12 +185,12 @@
     ) -> Result<u16, S::Error> {
         let head = self.read_head(response).await?;
         self.body_bytes = 0;
-        match head.extent {
-            Extent::Unreadable => return Err(invalid_data("invalid Content-Length").into()),
-            Extent::Length(length) if length > self.max_body => return Err(TooLarge.into()),
-            Extent::Length(length) => self.read_exactly(head, length, sink).await?,
-            Extent::Chunks => self.read_chunks(head, sink).await?,
-            Extent::Rest => self.read_to_end(head, sink).await?,
+        match head.body_length {
+            BodyLength::Invalid => return Err(invalid_data("invalid Content-Length").into()),
+            BodyLength::Known(length) if length > self.max_body => return Err(TooLarge.into()),
+            BodyLength::Known(length) => self.read_exactly(head, length, sink).await?,
+            BodyLength::Chunked => self.read_chunks(head, sink).await?,
+            BodyLength::UntilClose => self.read_to_end(head, sink).await?,
         }
         Ok(head.status)
     }
@@ -281,7 +281,7 @@
         Ok(length)
     }
 
-    async fn read_value<T>(&mut self, parser: impl Fn(&[u8]) -> Reading<T>) -> io::Result<T> {
+    async fn read_value<T>(&mut self, parser: impl Fn(&[u8]) -> ParseResult<T>) -> io::Result<T> {
         loop {
             if let Some(value) = self.parse(&parser)? {
                 return Ok(value);
@@ -291,7 +291,7 @@
     }
 
     /// Parses a value at the start of the buffer and removes it; `None` if it needs more bytes.
-    fn parse<T>(&mut self, parser: impl Fn(&[u8]) -> Reading<T>) -> io::Result<Option<T>> {
+    fn parse<T>(&mut self, parser: impl Fn(&[u8]) -> ParseResult<T>) -> io::Result<Option<T>> {
         let Some((value, used)) = parser(&self.buffer).map_err(invalid_data)? else { return Ok(None) };
         self.buffer.advance(used);
         Ok(Some(value))
--- a/crates/sailcart-sender/src/wire/call.rs
+++ b/crates/sailcart-sender/src/wire/call.rs
@@ -9,10 +9,10 @@
 use sailcart_terms::Reports;
 use serde_json::{Value, json};
 
-use super::http::{self, Extent, Head};
+use super::http::{self, BodyLength, Head};
 
 /// What a call carries of one packet.
-pub struct Parcel<'a> {
+pub struct CallPacket<'a> {
     pub id: &'a str,
     /// Sent as the idempotency key.
     pub idempotency_key: Option<&'a str>,
@@ -21,26 +21,26 @@
 
 /// The outcome of a packet's dispatch, and whether the endpoint has settled the packet, so that no further
 /// dispatch of it is needed.
-pub type Ending = (Outcome, bool);
+pub type PacketOutcome = (Outcome, bool);
 
 /// Writes the request for a call. A single packet is sent as the plain body, several as a JSON array.
 ///
 /// `budget` is the time left for the call; it is sent in whole milliseconds, at least 1.
-pub fn write(host: &str, parcels: &[Parcel], budget: Duration) -> Vec<u8> {
+pub fn write(host: &str, packets: &[CallPacket], budget: Duration) -> Vec<u8> {
     let budget = format!("X-Budget: {}m\r\n", budget.as_millis().max(1));
-    if let [parcel] = parcels {
+    if let [packet] = packets {
         let idempotency_key =
-            parcel.idempotency_key.map(|key| format!("Idempotency-Key: {key}\r\n")).unwrap_or_default();
-        let headers = format!("X-Call-Id: {}\r\n{idempotency_key}{budget}", parcel.id);
-        return http::post(host, "/receive", &headers, parcel.body);
+            packet.idempotency_key.map(|key| format!("Idempotency-Key: {key}\r\n")).unwrap_or_default();
+        let headers = format!("X-Call-Id: {}\r\n{idempotency_key}{budget}", packet.id);
+        return http::post(host, "/receive", &headers, packet.body);
     }
-    let list: Vec<Value> = parcels.iter().map(list_entry).collect();
+    let list: Vec<Value> = packets.iter().map(list_entry).collect();
     http::post(host, "/receive-many", &budget, Value::Array(list).to_string().as_bytes())
 }
 
-fn list_entry(parcel: &Parcel) -> Value {
-    let mut entry = json!({"id": parcel.id, "body": STANDARD.encode(parcel.body)});
-    if let Some(key) = parcel.idempotency_key {
+fn list_entry(packet: &CallPacket) -> Value {
+    let mut entry = json!({"id": packet.id, "body": STANDARD.encode(packet.body)});
+    if let Some(key) = packet.idempotency_key {
         entry["key"] = key.into();
     }
     entry
@@ -48,12 +48,12 @@
 
 /// Whether the status line alone proves that the call's only packet was delivered. The rest of the answer may
 /// then be missing or malformed.
-pub fn settled(status: Option<u16>, packets: usize) -> bool {
+pub fn proves_delivery(status: Option<u16>, packets: usize) -> bool {
     status == Some(200) && packets == 1
 }
 
 /// The outcome of each of a call's packets, in the order of `ids`.
-pub fn endings(head: &Head, body: &[u8], ids: &[&str]) -> Vec<Ending> {
+pub fn packet_outcomes(head: &Head, body: &[u8], ids: &[&str]) -> Vec<PacketOutcome> {
     let has_states = head.status == 200 && ids.len() > 1;
     let states = if has_states { packet_states(body) } else { None };
     let outcome_of = |id: &&str| match &states {
@@ -69,20 +69,21 @@
 
 /// The endpoint's limit as reported in an answer's `X-Load-Report` header, such as `x0=0.4,x1=25`. The
 /// settings name the fields.
-pub fn report(head: &Head, reports: &Reports) -> Option<Report> {
-    let fields = || head.report.as_deref().unwrap_or_default().split(',').filter_map(|f| f.split_once('='));
+pub fn limit_report(head: &Head, reports: &Reports) -> Option<Report> {
+    let fields =
+        || head.load_report.as_deref().unwrap_or_default().split(',').filter_map(|f| f.split_once('='));
     reports.read(|(_, name)| fields().find(|(key, _)| key.trim() == name)?.1.trim().parse().ok())
 }
 
 /// The outcome that status and headers give to each packet of a call.
-fn outcome_of_answer(head: &Head) -> Ending {
+fn outcome_of_answer(head: &Head) -> PacketOutcome {
     match head.status {
         200 => (Outcome::Done, true),
         429 => (Outcome::Full(head.retry_after.filter(|wait| !wait.is_zero())), false),
         503 if head.line_busy => (Outcome::NoSlot, false),
         // The endpoint's connection limit is reached. An endpoint that is merely busy keeps its connections
         // open and states the length of its answer.
-        503 if head.close && head.extent != Extent::Rest => (Outcome::NoRoom, false),
+        503 if head.close && head.body_length != BodyLength::UntilClose => (Outcome::NoRoom, false),
         503 => (Outcome::Full(None), false),
         504 => (Outcome::Moot, false),
         410 => (Outcome::Moot, true),
@@ -91,7 +92,7 @@
 }
 
 /// The outcome of one packet of a call with several, from its state in the answer's list.
-fn outcome_of_state(state: Option<&str>, wait: Option<Duration>) -> Ending {
+fn outcome_of_state(state: Option<&str>, wait: Option<Duration>) -> PacketOutcome {
     match state {
         Some("accepted") => (Outcome::Done, true),
         Some("deferred") => (Outcome::Full(wait.filter(|wait| !wait.is_zero())), false),
--- a/crates/sailcart-sender/src/wire/discovery.rs
+++ b/crates/sailcart-sender/src/wire/discovery.rs
@@ -17,7 +17,7 @@
 pub struct List {
     pub version: u64,
     /// A full snapshot, which replaces everything that was listed before. Otherwise the list is incremental.
-    pub whole: bool,
+    pub full: bool,
     pub entries: Vec<Entry>,
 }
 
@@ -35,23 +35,23 @@
 }
 
 /// Path of the request that waits up to `hold` for a list newer than version `from`.
-pub fn watch(from: u64, hold: Duration) -> String {
+pub fn watch_path(from: u64, hold: Duration) -> String {
     format!("/v1/servers?from={from}&hold_ms={}", hold.as_millis())
 }
 
 /// Path of the request for the full list.
-pub const WHOLE: &str = "/v1/servers";
+pub const FULL_LIST_PATH: &str = "/v1/servers";
 
 /// Reads a list that is completely in memory. Malformed entries are skipped.
-pub fn read(body: &[u8]) -> Result<List, Fault> {
+pub fn read_list(body: &[u8]) -> Result<List, Fault> {
     let mut reader = ListReader::default();
     let entries = reader.push(body)?;
-    let Summary { version, whole, .. } = reader.finish()?;
-    Ok(List { version, whole, entries })
+    let Summary { version, full, .. } = reader.finish()?;
+    Ok(List { version, full, entries })
 }
 
 /// Reads one entry of a list. The error says which member is missing or malformed.
-pub fn entry(value: &Value) -> Result<Entry, Fault> {
+pub fn read_entry(value: &Value) -> Result<Entry, Fault> {
     let address = read_text(member(value, "hostPort")?, "hostPort")?;
     Ok(Entry {
         name: read_text(member(value, "instanceId")?, "instanceId")?.to_owned(),
--- a/crates/sailcart-sender/src/wire/http.rs
+++ b/crates/sailcart-sender/src/wire/http.rs
@@ -11,29 +11,29 @@
 use nom::sequence::{preceded, terminated};
 use nom::{IResult, Parser};
 
-use super::{Reading, reading};
+use super::{ParseResult, parse_result};
 
 /// The largest head of an answer, in bytes.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 
 /// How the length of an answer's body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Extent {
+pub enum BodyLength {
     /// By `Content-Length`, in bytes.
-    Length(usize),
+    Known(usize),
     /// By the chunked transfer coding.
-    Chunks,
+    Chunked,
     /// The body ends when the connection is closed.
-    Rest,
+    UntilClose,
     /// `Content-Length` is malformed, or occurs with different values.
-    Unreadable,
+    Invalid,
 }
 
 /// The head of an answer, reduced to what the sender uses.
 #[derive(Debug, PartialEq)]
 pub struct Head {
     pub status: u16,
-    pub extent: Extent,
+    pub body_length: BodyLength,
     /// The endpoint closes the connection after this answer.
     pub close: bool,
     /// Retry-After wait. Fractions of a second are accepted; a negative or malformed value counts as none.
@@ -41,7 +41,7 @@
     /// `X-Line-Busy: 1`: the endpoint had no free slot, so the call was not executed.
     pub line_busy: bool,
     /// The value of `X-Load-Report`.
-    pub report: Option<String>,
+    pub load_report: Option<String>,
 }
 
 /// A GET request without a body.
@@ -57,18 +57,18 @@
 }
 
 /// Parses the status line alone, as what follows it may be malformed. Returns the status.
-pub fn status(input: &[u8]) -> Reading<u16> {
+pub fn status(input: &[u8]) -> ParseResult<u16> {
     let end = (opt(preceded(char(' '), take_till(|b| b == b'\n'))), opt(char('\r')), char('\n'));
     let result = (version_and_status, end).map(|((_, status), _)| status).parse(input);
-    match reading(input, result, "expected an HTTP answer") {
+    match parse_result(input, result, "expected an HTTP answer") {
         Ok(None) if input.len() > MAX_HEAD_BYTES => Err("too large"),
         result => result,
     }
 }
 
 /// Parses the head of an answer, up to and including the empty line.
-pub fn head(input: &[u8]) -> Reading<Head> {
-    let result = reading(input, head_lines(input), "expected the head of an HTTP answer");
+pub fn head(input: &[u8]) -> ParseResult<Head> {
+    let result = parse_result(input, head_lines(input), "expected the head of an HTTP answer");
     match result {
         Ok(None) if input.len() > MAX_HEAD_BYTES => Err("too large"),
         result => result,
@@ -79,20 +79,20 @@
     let (mut rest, ((minor_version, status), _)) =
         (version_and_status, terminated(rest_of_line, crlf)).parse(input)?;
     let has_no_body = status == 204 || status == 304 || status < 200;
-    let extent = if has_no_body { Extent::Length(0) } else { Extent::Rest };
+    let body_length = if has_no_body { BodyLength::Known(0) } else { BodyLength::UntilClose };
     let mut head = Head {
         status,
-        extent,
+        body_length,
         close: minor_version == '0',
         retry_after: None,
         line_busy: false,
-        report: None,
+        load_report: None,
     };
     loop {
         // A CR at the end of the input may be the start of the empty line, so it asks for more input.
         match crlf::<_, Error<_>>(rest) {
             Ok((rest, _)) => {
-                head.close |= head.extent == Extent::Rest;
+                head.close |= head.body_length == BodyLength::UntilClose;
                 return Ok((rest, head));
             }
             Err(nom::Err::Incomplete(needed)) => return Err(nom::Err::Incomplete(needed)),
@@ -129,17 +129,18 @@
 
 fn apply_header(head: &mut Head, name: &[u8], value: &str, has_no_body: bool) {
     let is_header = |other: &str| name.eq_ignore_ascii_case(other.as_bytes());
-    if is_header("Content-Length") && !has_no_body && head.extent != Extent::Chunks {
+    if is_header("Content-Length") && !has_no_body && head.body_length != BodyLength::Chunked {
         let length = Some(value).filter(|value| value.bytes().all(|b| b.is_ascii_digit()));
         let length = length.and_then(|value| value.parse().ok());
         // Two lengths that differ count as no length (RFC 9112, section 6.3).
-        let consistent = |length: &usize| [Extent::Rest, Extent::Length(*length)].contains(&head.extent);
-        head.extent = length.filter(consistent).map_or(Extent::Unreadable, Extent::Length);
+        let consistent =
+            |length: &usize| [BodyLength::UntilClose, BodyLength::Known(*length)].contains(&head.body_length);
+        head.body_length = length.filter(consistent).map_or(BodyLength::Invalid, BodyLength::Known);
     } else if is_header("Transfer-Encoding")
         && !has_no_body
         && value.to_ascii_lowercase().ends_with("chunked")
     {
-        head.extent = Extent::Chunks;
+        head.body_length = BodyLength::Chunked;
     } else if is_header("Connection") {
         head.close |= value.split(',').any(|option| option.trim().eq_ignore_ascii_case("close"));
     } else if is_header("Retry-After") {
@@ -148,6 +149,6 @@
     } else if is_header("X-Line-Busy") {
         head.line_busy = value == "1";
     } else if is_header("X-Load-Report") {
-        head.report = Some(value.to_owned());
+        head.load_report = Some(value.to_owned());
     }
 }
--- a/crates/sailcart-sender/src/wire/list_reader.rs
+++ b/crates/sailcart-sender/src/wire/list_reader.rs
@@ -1,5 +1,5 @@
 //! A streaming reader of the destination list: bytes go in, in pieces of any size, and each entry comes out
-//! as soon as it is complete. Its memory use is bounded by [`MOST_ENTRY`], whatever the input.
+//! as soon as it is complete. Its memory use is bounded by [`MAX_ENTRY_BYTES`], whatever the input.
 
 use std::borrow::Cow;
 
@@ -11,7 +11,7 @@
 use super::json::{Event, JsonError, Scanner, Utf8Checker};
 
 /// The largest entry, in bytes as written. A larger one is skipped.
-pub const MOST_ENTRY: usize = 4096;
+pub const MAX_ENTRY_BYTES: usize = 4096;
 /// The largest member name or scalar value of the list's top-level object that is read, in bytes. Anything
 /// longer is not part of the format.
 const MAX_SCALAR_BYTES: usize = 64;
@@ -23,11 +23,11 @@
 pub struct Summary {
     pub version: u64,
     /// A full snapshot, which replaces everything that was listed before. Otherwise the list is incremental.
-    pub whole: bool,
+    pub full: bool,
     /// Number of entries that were read.
     pub read: usize,
     /// Number of entries that were skipped as malformed or too large.
-    pub passed_over: usize,
+    pub skipped: usize,
 }
 
 /// The members of the list's top-level object.
@@ -55,7 +55,7 @@
     scanner: Scanner,
     utf8: Utf8Checker,
     capture: Capture,
-    /// The bytes captured so far, at most [`MOST_ENTRY`].
+    /// The bytes captured so far, at most [`MAX_ENTRY_BYTES`].
     captured: Vec<u8>,
     /// The captured part exceeds its limit, so `captured` is incomplete.
     too_large: bool,
@@ -129,9 +129,9 @@
         }
         Ok(Summary {
             version: self.version.ok_or("expected generation")?,
-            whole: self.full.ok_or("expected reset")?,
+            full: self.full.ok_or("expected reset")?,
             read: self.read,
-            passed_over: self.skipped,
+            skipped: self.skipped,
         })
     }
 
@@ -168,7 +168,7 @@
         let max_bytes = match self.capture {
             Capture::None => return,
             Capture::Name | Capture::Scalar => MAX_SCALAR_BYTES,
-            Capture::Entry => MOST_ENTRY,
+            Capture::Entry => MAX_ENTRY_BYTES,
         };
         self.too_large |= self.captured.len() + bytes.len() > max_bytes;
         if !self.too_large {
@@ -215,11 +215,11 @@
     fn end_entry(&mut self) -> Option<Entry> {
         let log_if_skipped = self.skipped < self.max_warnings;
         let entry = match self.end_capture() {
-            Some(bytes) => read_entry(bytes, log_if_skipped),
+            Some(bytes) => read_entry_bytes(bytes, log_if_skipped),
             None => {
                 if log_if_skipped {
                     log::warn!(
-                        "discovery: code=entry_too_large skipped an entry of more than {MOST_ENTRY} bytes"
+                        "discovery: code=entry_too_large skipped an entry of more than {MAX_ENTRY_BYTES} bytes"
                     );
                 }
                 None
@@ -257,14 +257,14 @@
 /// Reads a typical entry directly, without building a JSON value for each member. Any other entry is read a
 /// second time through a JSON value: it may be unusual but valid, and otherwise the log says what is wrong
 /// with it.
-fn read_entry(bytes: &[u8], log_errors: bool) -> Option<Entry> {
+fn read_entry_bytes(bytes: &[u8], log_errors: bool) -> Option<Entry> {
     if let Some(entry) = serde_json::from_slice(bytes).ok().and_then(from_typical) {
         return Some(entry);
     }
     // Some escapes and numbers satisfy the grammar of JSON, but serde_json cannot represent them.
     let value = serde_json::from_slice(bytes).unwrap_or(Value::Null);
     let warn = |error: &Fault| log::warn!("discovery: code=entry {}: {value}", error.0);
-    discovery::entry(&value)
+    discovery::read_entry(&value)
         .inspect_err(|error| {
             if log_errors {
                 warn(error)
--- a/crates/sailcart-sender/src/wire/mod.rs
+++ b/crates/sailcart-sender/src/wire/mod.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 /// The largest body, in bytes, that is sent or accepted. Destination lists have a limit of their own.
-pub const MOST_BODY: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// A packet as submitted by a client, independent of the client protocol. All slices borrow from the read
 /// buffer.
@@ -39,9 +39,9 @@
 ///
 /// `Ok(None)`: the input is incomplete. `Ok(Some((value, length)))`: a value was read from the first `length`
 /// bytes. `Err`: the input is malformed; the text says why.
-pub type Reading<T> = Result<Option<(T, usize)>, &'static str>;
+pub type ParseResult<T> = Result<Option<(T, usize)>, &'static str>;
 
-fn reading<T>(input: &[u8], result: nom::IResult<&[u8], T>, error: &'static str) -> Reading<T> {
+fn parse_result<T>(input: &[u8], result: nom::IResult<&[u8], T>, error: &'static str) -> ParseResult<T> {
     match result {
         Ok((rest, value)) => Ok(Some((value, input.len() - rest.len()))),
         Err(nom::Err::Incomplete(_)) => Ok(None),
@@ -50,7 +50,7 @@
     }
 }
 
-/// Fails a parser with the error that [`reading`] reports as "too large".
+/// Fails a parser with the error that [`parse_result`] reports as "too large".
 fn too_large<T>(input: &[u8]) -> nom::IResult<&[u8], T> {
     Err(nom::Err::Failure(nom::error::Error::new(input, nom::error::ErrorKind::TooLarge)))
 }
--- a/crates/sailcart-sender/src/wire/resp.rs
+++ b/crates/sailcart-sender/src/wire/resp.rs
@@ -7,14 +7,14 @@
 use nom::sequence::{delimited, terminated};
 use nom::{IResult, Parser};
 
-use super::{MOST_BODY, Put, Reading, reading, too_large, unescaped_text};
+use super::{MAX_BODY_BYTES, ParseResult, Put, parse_result, too_large, unescaped_text};
 
 /// The most arguments that a command may have, its name included.
 const MAX_ARGUMENTS: usize = 8;
 /// The longest patience that a client may ask for; a longer one is rejected.
 const MAX_PATIENCE: Duration = Duration::from_secs(24 * 3600);
-/// The largest command, in bytes: a body of [`MOST_BODY`] and the arguments before it.
-pub const MOST_COMMAND: usize = MOST_BODY + 4096;
+/// The largest command, in bytes: a body of [`MAX_BODY_BYTES`] and the arguments before it.
+pub const MAX_COMMAND_BYTES: usize = MAX_BODY_BYTES + 4096;
 
 /// A complete command of a client.
 #[derive(Debug, PartialEq)]
@@ -24,16 +24,16 @@
     /// MSG.PUT: the submission of a packet.
     Put(Put<'a>),
     /// A complete command with malformed arguments; the text says what is wrong.
-    Faulty(&'static str),
+    Malformed(&'static str),
     /// A well-formed command that this server does not implement. Client libraries send some of these to
     /// every server.
     Unknown,
 }
 
 /// Parses one command: a RESP array of bulk strings.
-pub fn command(input: &[u8]) -> Reading<Command<'_>> {
-    reading(input, arguments(input), "expected an array of bulk strings")
-        .map(|read| read.map(|(arguments, used)| (parse_command(&arguments), used)))
+pub fn parse_command(input: &[u8]) -> ParseResult<Command<'_>> {
+    parse_result(input, arguments(input), "expected an array of bulk strings")
+        .map(|read| read.map(|(arguments, used)| (command_from_arguments(&arguments), used)))
 }
 
 fn arguments(input: &[u8]) -> IResult<&[u8], Vec<&[u8]>> {
@@ -44,7 +44,7 @@
     let mut arguments = Vec::with_capacity(count);
     for _ in 0..count {
         let (after, size) = length_line(rest, '$')?;
-        if size > MOST_BODY {
+        if size > MAX_BODY_BYTES {
             return too_large(rest);
         }
         let (after, argument) = terminated(take(size), crlf).parse(after)?;
@@ -61,14 +61,16 @@
     Ok((rest, digits.iter().fold(0, |sum, digit| sum * 10 + usize::from(digit - b'0'))))
 }
 
-fn parse_command<'a>(arguments: &[&'a [u8]]) -> Command<'a> {
+fn command_from_arguments<'a>(arguments: &[&'a [u8]]) -> Command<'a> {
     match arguments {
         [name] if name.eq_ignore_ascii_case(b"PING") => Command::Ping(None),
         [name, echo] if name.eq_ignore_ascii_case(b"PING") => Command::Ping(Some(echo)),
         [name, key, id, fields, body] if name.eq_ignore_ascii_case(b"MSG.PUT") => {
-            parse_put(key, id, fields, body).map_or_else(Command::Faulty, Command::Put)
+            parse_put(key, id, fields, body).map_or_else(Command::Malformed, Command::Put)
+        }
+        [name, ..] if name.eq_ignore_ascii_case(b"MSG.PUT") => {
+            Command::Malformed("wrong number of arguments")
         }
-        [name, ..] if name.eq_ignore_ascii_case(b"MSG.PUT") => Command::Faulty("wrong number of arguments"),
         _ => Command::Unknown,
     }
 }
@@ -114,7 +116,7 @@
 }
 
 /// The reply to an accepted packet.
-pub const TAKEN: &[u8] = b"+OK\r\n";
+pub const ACCEPTED: &[u8] = b"+OK\r\n";
 
 /// The reply to PING.
 pub fn pong(echo: Option<&[u8]>) -> Vec<u8> {
--- a/crates/sailcart-sender/tests/list_reader.rs
+++ b/crates/sailcart-sender/tests/list_reader.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use sailcart_sender::wire::discovery::{self, Entry};
-use sailcart_sender::wire::list_reader::{ListReader, MOST_ENTRY, Summary};
+use sailcart_sender::wire::list_reader::{ListReader, MAX_ENTRY_BYTES, Summary};
 use sailcart_terms::{Fault, member};
 use serde_json::Value;
 
@@ -60,9 +60,9 @@
 fn of_value(value: &Value) -> Result<discovery::List, Fault> {
     let entries = member(value, "instances")?.as_array().ok_or("expected an array in instances")?;
     let version = member(value, "generation")?.as_u64().ok_or("expected a whole number in generation")?;
-    let whole = member(value, "reset")?.as_bool().ok_or("expected true or false in reset")?;
-    let readable = entries.iter().filter_map(|value| discovery::entry(value).ok());
-    Ok(discovery::List { version, whole, entries: readable.collect() })
+    let full = member(value, "reset")?.as_bool().ok_or("expected true or false in reset")?;
+    let readable = entries.iter().filter_map(|value| discovery::read_entry(value).ok());
+    Ok(discovery::List { version, full, entries: readable.collect() })
 }
 
 fn read_at_once(text: &str) -> Option<discovery::List> {
@@ -72,7 +72,7 @@
 #[test]
 fn a_sample_is_read_to_its_last_member() {
     let (summary, entries) = read_whole(SAMPLE).expect("a list");
-    assert_eq!(summary, Summary { version: 43, whole: true, read: 3, passed_over: 6 });
+    assert_eq!(summary, Summary { version: 43, full: true, read: 3, skipped: 6 });
     let names: Vec<&str> = entries.iter().map(|entry| &*entry.name).collect();
     assert_eq!(names, ["a-1", "b-2 \"\\ é 😀 ☃", "c"]);
     let second = &entries[1];
@@ -218,10 +218,10 @@
     for pieces in [1, 100, 4096, 1 << 20] {
         let text = list(&[entry("a"), large.clone(), entry("b")].join(" , "));
         let (summary, entries) = read(text.as_bytes().chunks(pieces)).expect("a list");
-        assert_eq!((summary.read, summary.passed_over), (2, 1));
+        assert_eq!((summary.read, summary.skipped), (2, 1));
         assert_eq!((&*entries[0].name, &*entries[1].name), ("a", "b"));
     }
-    let fitting = MOST_ENTRY - entry("").len();
+    let fitting = MAX_ENTRY_BYTES - entry("").len();
     assert_eq!(read_whole(&list(&entry(&"n".repeat(fitting)))).expect("a list").0.read, 1);
     assert_eq!(read_whole(&list(&entry(&"n".repeat(fitting + 1)))).expect("a list").0.read, 0);
 }
@@ -230,7 +230,7 @@
 fn nesting_is_bounded() {
     for (open, close) in [("[", "]"), (r#"{"x":"#, "}")] {
         let nested = |depth: usize| format!("{}1{}", open.repeat(depth), close.repeat(depth));
-        assert_eq!(read_whole(&list(&nested(125))).expect("a list").0.passed_over, 1);
+        assert_eq!(read_whole(&list(&nested(125))).expect("a list").0.skipped, 1);
         assert!(fault(&list(&nested(126))).contains("nested too deeply"));
         assert!(fault(&list(&open.repeat(1_000_000))).contains("nested too deeply"));
     }
@@ -246,7 +246,7 @@
     for spoilt in [r#""weight":null"#, r#""weight":"1""#, r#""cell":1.0"#, r#""cell":-1"#, r#""hostPort":7"#]
     {
         let text = list(&entry("d").replace('}', &format!(",{spoilt}}}")));
-        assert_eq!(read_whole(&text).expect("a list").0.passed_over, 1, "{spoilt}");
+        assert_eq!(read_whole(&text).expect("a list").0.skipped, 1, "{spoilt}");
     }
 }
 
@@ -311,7 +311,7 @@
         }
         let (summary, streamed) = read(pieces).expect("a list");
         let at_once = read_at_once(&text).expect("a list");
-        prop_assert_eq!((summary.version, summary.whole), (at_once.version, at_once.whole));
+        prop_assert_eq!((summary.version, summary.full), (at_once.version, at_once.full));
         prop_assert_eq!(format!("{streamed:?}"), format!("{:?}", at_once.entries));
     }
 }
--- a/crates/sailcart-sender/tests/wire.rs
+++ b/crates/sailcart-sender/tests/wire.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use sailcart::Outcome;
-use sailcart_sender::wire::call::{self, Parcel};
+use sailcart_sender::wire::call::{self, CallPacket};
 use sailcart_sender::wire::resp::{self, Command};
 use sailcart_sender::wire::{chunked, discovery, http, notice};
 use sailcart_terms::Reports;
@@ -14,14 +14,16 @@
 #[test]
 fn a_command_is_whole_only_with_its_last_byte() {
     for cut in 0..PUT.len() {
-        assert_eq!(resp::command(&PUT[..cut]), Ok(None), "{cut} bytes");
+        assert_eq!(resp::parse_command(&PUT[..cut]), Ok(None), "{cut} bytes");
     }
     let both = [PUT, b"*1\r\n$4\r\nPING\r\n"].concat();
-    let Ok(Some((Command::Put(put), used))) = resp::command(&both) else { panic!("a packet handed in") };
+    let Ok(Some((Command::Put(put), used))) = resp::parse_command(&both) else {
+        panic!("a packet handed in")
+    };
     assert_eq!((put.id, put.category, put.customer, put.idempotency_key), ("ab", "n", Some("a"), Some("5c")));
     assert_eq!((put.destination, put.patience, put.order_key), (7, Duration::from_secs(8), None));
     assert_eq!(put.body, b"b\r\n*1\r");
-    assert_eq!(resp::command(&both[used..]), Ok(Some((Command::Ping(None), 14))));
+    assert_eq!(resp::parse_command(&both[used..]), Ok(Some((Command::Ping(None), 14))));
 }
 
 /// lisboa-logs: the word before the id is the key of order, and zeros are none. It was passed over, and packets
@@ -31,20 +33,22 @@
     for (word, order_key) in [("000fbfff30a2d3e3", Some("000fbfff30a2d3e3")), ("0000000000000000", None)] {
         let input =
             format!("*5\r\n$7\r\nMSG.PUT\r\n$16\r\n{word}\r\n$1\r\na\r\n$14\r\nc=n,d=1,dest=7\r\n$0\r\n\r\n");
-        let Ok(Some((Command::Put(put), _))) = resp::command(input.as_bytes()) else { panic!("{word}") };
+        let Ok(Some((Command::Put(put), _))) = resp::parse_command(input.as_bytes()) else {
+            panic!("{word}")
+        };
         assert_eq!(put.order_key, order_key);
     }
 }
 
 #[test]
 fn bad_commands_are_told_apart() {
-    assert!(resp::command(b"GET / HTTP/1.1\r\n").is_err());
-    assert!(resp::command(b"*1\r\n$-1\r\n").is_err());
-    assert!(resp::command(b"*1\r\n$4\r\nPINGPONG\r\n").is_err(), "longer than it says");
-    assert_eq!(resp::command(b"*1\r\n$70000\r\n"), Err("too large"));
-    assert_eq!(resp::command(b"*999\r\n"), Err("too large"));
-    let faulty = |input| matches!(resp::command(input), Ok(Some((Command::Faulty(_), _))));
-    assert_eq!(resp::command(b"*1\r\n$5\r\nHELLO\r\n"), Ok(Some((Command::Unknown, 15))));
+    assert!(resp::parse_command(b"GET / HTTP/1.1\r\n").is_err());
+    assert!(resp::parse_command(b"*1\r\n$-1\r\n").is_err());
+    assert!(resp::parse_command(b"*1\r\n$4\r\nPINGPONG\r\n").is_err(), "longer than it says");
+    assert_eq!(resp::parse_command(b"*1\r\n$70000\r\n"), Err("too large"));
+    assert_eq!(resp::parse_command(b"*999\r\n"), Err("too large"));
+    let faulty = |input| matches!(resp::parse_command(input), Ok(Some((Command::Malformed(_), _))));
+    assert_eq!(resp::parse_command(b"*1\r\n$5\r\nHELLO\r\n"), Ok(Some((Command::Unknown, 15))));
     assert!(faulty(b"*2\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n"));
 }
 
@@ -57,14 +61,14 @@
         let bulk = |word: &str| format!("${}\r\n{word}\r\n", word.len());
         let words = ["MSG.PUT", "0", id, fields, ""].map(bulk).concat();
         let input = format!("*5\r\n{words}");
-        let read = resp::command(input.as_bytes());
-        assert!(matches!(read, Ok(Some((Command::Faulty(_), _)))), "{id:?} {fields:?}");
+        let read = resp::parse_command(input.as_bytes());
+        assert!(matches!(read, Ok(Some((Command::Malformed(_), _)))), "{id:?} {fields:?}");
     }
 }
 
-fn endings(answer: &str, body: &str, ids: &[&str]) -> Vec<call::Ending> {
+fn outcomes(answer: &str, body: &str, ids: &[&str]) -> Vec<call::PacketOutcome> {
     let (head, _) = http::head(answer.as_bytes()).expect("a good head").expect("a whole head");
-    call::endings(&head, body.as_bytes(), ids)
+    call::packet_outcomes(&head, body.as_bytes(), ids)
 }
 
 #[test]
@@ -85,7 +89,7 @@
         ("410 Gone\r\n", (Outcome::Moot, true)),
         ("418 Something else\r\n", (Outcome::Error, false)),
     ] {
-        assert_eq!(endings(&format!("HTTP/1.1 {answer}\r\n"), "", &["a"]), [expected], "{answer}");
+        assert_eq!(outcomes(&format!("HTTP/1.1 {answer}\r\n"), "", &["a"]), [expected], "{answer}");
     }
 }
 
@@ -96,7 +100,7 @@
     let told = |value: &str| {
         let answer = format!("HTTP/1.1 200 OK\r\nx-load-report: {value}\r\n\r\n");
         let (head, _) = http::head(answer.as_bytes()).expect("a good head").expect("a whole head");
-        call::report(&head, &reports).map(|report| (report.left, report.limit))
+        call::limit_report(&head, &reports).map(|report| (report.left, report.limit))
     };
     assert_eq!(told("x0=0.4,x1=25"), Some((0.4, 25.0)));
     assert_eq!(told("other=3, x1 = 25.5 , x0=0"), Some((0.0, 25.5)));
@@ -111,20 +115,20 @@
 fn a_call_with_several_packets_tells_of_each() {
     let body = r#"[{"id":"c","state":"deferred"},{"id":"a","state":"accepted"},{"id":"b","state":"expired"},
         {"id":"d","state":"no_more"},{"id":"e","state":"fault"}]"#;
-    let told = endings("HTTP/1.1 200 OK\r\nRetry-After: 2\r\n\r\n", body, &["a", "b", "c", "d", "e", "f"]);
+    let told = outcomes("HTTP/1.1 200 OK\r\nRetry-After: 2\r\n\r\n", body, &["a", "b", "c", "d", "e", "f"]);
     let full = Outcome::Full(Some(Duration::from_secs(2)));
     let expected = [(Outcome::Done, true), (Outcome::Moot, true), (full, false), (Outcome::Moot, false)];
     assert_eq!(told[..4], expected);
     assert_eq!(told[4..], [(Outcome::Error, false); 2], "a fault, and one that is left out");
-    let busy = endings("HTTP/1.1 503 No\r\n\r\n", "", &["a", "b"]);
+    let busy = outcomes("HTTP/1.1 503 No\r\n\r\n", "", &["a", "b"]);
     assert_eq!(busy, [(Outcome::Full(None), false); 2]);
-    let unread = endings("HTTP/1.1 200 OK\r\n\r\n", "<html>", &["a", "b"]);
+    let unread = outcomes("HTTP/1.1 200 OK\r\n\r\n", "<html>", &["a", "b"]);
     assert_eq!(unread, [(Outcome::Error, false); 2], "they may have run");
 }
 
 #[test]
 fn several_packets_travel_as_a_list() {
-    let one = Parcel { id: "a", idempotency_key: Some("5c"), body: b"x\0y" };
+    let one = CallPacket { id: "a", idempotency_key: Some("5c"), body: b"x\0y" };
     let single = String::from_utf8_lossy(&call::write("h", &[one], Duration::from_millis(1500))).into_owned();
     assert!(single.starts_with("POST /receive HTTP/1.1\r\n") && single.ends_with("\r\n\r\nx\0y"));
     for line in
@@ -133,8 +137,8 @@
         assert!(single.contains(line), "{line}");
     }
     let two = [
-        Parcel { id: "a", idempotency_key: Some("5c"), body: b"hello" },
-        Parcel { id: "b", idempotency_key: None, body: b"" },
+        CallPacket { id: "a", idempotency_key: Some("5c"), body: b"hello" },
+        CallPacket { id: "b", idempotency_key: None, body: b"" },
     ];
     let list = String::from_utf8_lossy(&call::write("h", &two, Duration::ZERO)).into_owned();
     assert!(list.starts_with("POST /receive-many HTTP/1.1\r\n"));
@@ -148,7 +152,7 @@
         assert_eq!(http::head(&whole[..cut]), Ok(None), "{cut} bytes");
     }
     let (head, used) = http::head(whole).expect("a good head").expect("a whole head");
-    assert_eq!((head.extent, head.close, used), (http::Extent::Chunks, true, whole.len()));
+    assert_eq!((head.body_length, head.close, used), (http::BodyLength::Chunked, true, whole.len()));
     assert_eq!(chunked::size(b"5;x=y\r\nhello\r\n0\r\n"), Ok(Some((5, 7))));
     assert_eq!(chunked::end(b"\r\n0\r\n"), Ok(Some(((), 2))));
     assert_eq!(chunked::size(b"5\r"), Ok(None));
@@ -162,14 +166,14 @@
 fn lists_and_notices() {
     let list = r#"{"generation":43,"reset":false,"instances":[{"instanceId":"s","hostPort":"127.0.0.1:1","zone":"a",
         "machineType":"m","cell":3,"lifecycle":"Terminating","weight":1.5,"startedAtMs":0}]}"#;
-    let list = discovery::read(list.as_bytes()).expect("a good list");
-    assert_eq!((list.version, list.whole, list.entries.len()), (43, false, 1));
+    let list = discovery::read_list(list.as_bytes()).expect("a good list");
+    assert_eq!((list.version, list.full, list.entries.len()), (43, false, 1));
     let entry = &list.entries[0];
     assert_eq!((entry.destination, entry.live, entry.rate), (3, false, 1.5));
     let holed = br#"{"generation":1,"reset":true,"instances":[{"hostPort":"x"},{"instanceId":"s",
         "hostPort":"[::1]:1","machineType":"m","cell":3,"lifecycle":"Ready"}]}"#;
-    assert_eq!(discovery::read(holed).expect("a list").entries.len(), 1, "one line hides no other");
-    let fault = discovery::read(br#"{"generation":1,"instances":[]}"#);
+    assert_eq!(discovery::read_list(holed).expect("a list").entries.len(), 1, "one line hides no other");
+    let fault = discovery::read_list(br#"{"generation":1,"instances":[]}"#);
     assert_eq!(fault.expect_err("no list").0, "expected reset");
     let wait = Some(Duration::from_millis(500));
     assert_eq!(
@@ -193,12 +197,12 @@
         for byte in 0..=255 {
             let mut input = good.to_vec();
             input[at] = byte;
-            used(resp::command(&input).ok().flatten().map(|(_, used)| used), &input);
+            used(resp::parse_command(&input).ok().flatten().map(|(_, used)| used), &input);
             used(http::head(&input).ok().flatten().map(|(_, used)| used), &input);
             used(chunked::size(&input).ok().flatten().map(|(_, used)| used), &input);
             used(chunked::end(&input).ok().flatten().map(|(_, used)| used), &input);
             used(chunked::trailer(&input).ok().flatten().map(|(_, used)| used), &input);
-            let _ = discovery::read(&input);
+            let _ = discovery::read_list(&input);
         }
     }
 }
@@ -219,6 +223,6 @@
     for lengths in ["-1", "+5", "12x", "99999999999999999999999", "5\r\nContent-Length: 6", ""] {
         let input = format!("HTTP/1.1 503 No\r\nContent-Length: {lengths}\r\n\r\n");
         let Ok(Some((head, _))) = http::head(input.as_bytes()) else { panic!("{lengths}") };
-        assert_eq!(head.extent, http::Extent::Unreadable, "{lengths}");
+        assert_eq!(head.body_length, http::BodyLength::Invalid, "{lengths}");
     }
 }
