--- a/crates/sailcart-sender/src/config/document.rs
+++ b/crates/sailcart-sender/src/config/document.rs
@@ -132,27 +132,27 @@
 #[serde(deny_unknown_fields)]
 pub struct Senders {
     /// Number of senders that share the destinations, this one included.
-    #[serde(default = "one")]
+    #[serde(default = "default_one")]
     pub count: u64,
     /// Maximum number of calls in flight.
     pub slots: u64,
     /// Maximum number of packets held, whether in flight or not.
     pub hold: u64,
     /// Maximum number of dispatches of one packet.
-    #[serde(default = "six")]
+    #[serde(default = "default_dispatches")]
     pub dispatches: u64,
     /// Whether calls in flight may be cancelled.
-    #[serde(default = "yes")]
+    #[serde(default = "default_true")]
     pub cancel: bool,
     /// Minimum time from one round of decisions to the next.
-    #[serde(default = "round")]
+    #[serde(default = "default_round")]
     pub round: HumanDuration,
     /// Timeout for connecting to an endpoint. A connection that takes longer counts as failed.
-    #[serde(default = "second")]
+    #[serde(default = "default_connect_timeout")]
     pub connect_time_out: HumanDuration,
     /// How long a connection may be idle before its endpoint closes it. The sender closes idle connections
     /// earlier.
-    #[serde(default = "idle")]
+    #[serde(default = "default_ten_seconds")]
     pub idle_close: HumanDuration,
     /// Longest wait that clients are asked for when a packet is dismissed. Without it, they are not asked to
     /// wait.
@@ -162,27 +162,27 @@
 
 // The defaults that the `serde` attributes above and below refer to.
 
-fn one() -> u64 {
+fn default_one() -> u64 {
     1
 }
 
-fn six() -> u64 {
+fn default_dispatches() -> u64 {
     6
 }
 
-fn yes() -> bool {
+fn default_true() -> bool {
     true
 }
 
-fn round() -> HumanDuration {
+fn default_round() -> HumanDuration {
     HumanDuration(Duration::from_millis(5))
 }
 
-fn second() -> HumanDuration {
+fn default_connect_timeout() -> HumanDuration {
     HumanDuration(Duration::from_secs(1))
 }
 
-fn idle() -> HumanDuration {
+fn default_ten_seconds() -> HumanDuration {
     HumanDuration(Duration::from_secs(10))
 }
 
@@ -218,7 +218,7 @@
     fn default() -> Self {
         Rules {
             cold_from: 0.3,
-            cold: idle(),
+            cold: default_ten_seconds(),
             fall_multiple: 1.5,
             settle: HumanDuration(Duration::ZERO),
             over_share: 1.0,
@@ -265,11 +265,11 @@
     /// Name of one of the `kinds`.
     pub kind: String,
     /// Calls per second that the destination takes from all senders together.
-    #[serde(default = "whole")]
+    #[serde(default = "default_one_f64")]
     pub rate: f64,
 }
 
-fn whole() -> f64 {
+fn default_one_f64() -> f64 {
     1.0
 }
 
@@ -301,7 +301,7 @@
     /// Time after which the client no longer waits for the packet.
     pub patience: HumanDuration,
     /// Credit for a packet that is answered within the soft limit.
-    #[serde(default = "whole")]
+    #[serde(default = "default_one_f64")]
     pub credit: f64,
     /// Minimum share of the credit that a packet keeps when it is answered late.
     #[serde(default)]
@@ -325,7 +325,7 @@
     /// Name of the kind, as used by endpoints.
     pub name: String,
     /// Maximum number of packets in one call.
-    #[serde(default = "one")]
+    #[serde(default = "default_one")]
     pub batch: u64,
     /// Whether each endpoint is a route with its own limit and its own outages. Otherwise these are common to
     /// the destination.
--- a/crates/sailcart-sender/src/config/mod.rs
+++ b/crates/sailcart-sender/src/config/mod.rs
@@ -4,7 +4,7 @@
 //! structure, which is checked here.
 
 pub mod document;
-pub mod known;
+pub mod known_list;
 pub mod show;
 mod validation;
 
@@ -17,24 +17,24 @@
 use sailcart_terms::{Fault, HostSettings, Names, member, read_number, read_text};
 use serde_json::Value;
 
-use crate::config::known::KnownList;
+use crate::config::known_list::KnownList;
 use crate::wire::resp::MAX_COMMAND_BYTES;
 
 /// The checked configuration of a sender.
-pub struct Mandate {
+pub struct SenderConfig {
     pub name: String,
     pub listen: SocketAddr,
     pub source: Source,
     /// The folder for data that must survive a restart.
-    pub state: PathBuf,
+    pub state_folder: PathBuf,
     /// Seed of the random number generator.
     pub seed: u64,
     /// The destination list in the configuration.
-    pub known: KnownList,
+    pub known_list: KnownList,
     pub terms: Terms,
     pub names: Names,
-    pub carriage: HostSettings,
-    pub bounds: Bounds,
+    pub host_settings: HostSettings,
+    pub limits: ResourceLimits,
     /// The file as written, without its list. A reload compares its keys with those of the new file.
     pub file: Value,
 }
@@ -50,17 +50,17 @@
 
 /// The shares of the process's resource limits.
 #[derive(Debug, PartialEq)]
-pub struct Bounds {
+pub struct ResourceLimits {
     /// Maximum number of connections from clients.
-    pub clients: usize,
+    pub max_clients: usize,
     /// Maximum number of idle connections to endpoints.
-    pub idle: usize,
+    pub max_idle_connections: usize,
     /// Maximum size of the state folder, in bytes.
-    pub journal: u64,
+    pub max_journal_bytes: u64,
     /// Number of completed packets whose ids are remembered.
-    pub ended: usize,
+    pub max_completed_ids: usize,
     /// Maximum number of endpoints in a list from discovery. A list with more is rejected.
-    pub listed: usize,
+    pub max_listed_endpoints: usize,
     /// When the journal is synced to disk, so that it survives a power loss.
     pub sync: Sync,
 }
@@ -84,18 +84,18 @@
 
 /// Reads the configuration from `file`, or else from the file named by `ROUTER_CONFIG`. Environment variables
 /// override its values.
-pub fn read(file: Option<PathBuf>, environment: Environment) -> Result<Mandate, Fault> {
+pub fn read(file: Option<PathBuf>, environment: Environment) -> Result<SenderConfig, Fault> {
     let path = file.or_else(|| environment("ROUTER_CONFIG").map(PathBuf::from));
     let path = path.ok_or("ROUTER_CONFIG: expected the path of a configuration file")?;
     let text =
         std::fs::read_to_string(&path).map_err(|e| format!("configuration {}: {e}", path.display()))?;
     if path.extension().is_some_and(|extension| extension == "toml") {
-        let (file, known) = known::split_value(read_document(&path, &text)?.to_platform_json())?;
-        return build_config(file, known, environment);
+        let (file, known_list) = known_list::split_value(read_document(&path, &text)?.to_platform_json())?;
+        return build_config(file, known_list, environment);
     }
-    let (file, known) =
-        known::split(text).map_err(|error| with_context(&path.display().to_string(), error))?;
-    build_config(file, known, environment)
+    let (file, known_list) =
+        known_list::split(text).map_err(|error| with_context(&path.display().to_string(), error))?;
+    build_config(file, known_list, environment)
 }
 
 /// Reads a `sailcart.toml`. The error contains all errors of the file, one per line.
@@ -118,7 +118,7 @@
 }
 
 /// Checks a configuration in the structure of the platform's JSON and adds the defaults.
-fn build_config(file: Value, known: KnownList, environment: Environment) -> Result<Mandate, Fault> {
+fn build_config(file: Value, known_list: KnownList, environment: Environment) -> Result<SenderConfig, Fault> {
     let value_of = |variable: &str, key: &str| -> Result<String, Fault> {
         match environment(variable) {
             Some(text) => Ok(text),
@@ -129,22 +129,22 @@
     let (terms, names) = sailcart_terms::read(settings).map_err(|error| with_context("settings", error))?;
     let host_settings =
         sailcart_terms::read_host_settings(settings).map_err(|error| with_context("settings", error))?;
-    let bounds =
-        read_bounds(file.get("limits"), terms.slots).map_err(|error| with_context("limits", error))?;
-    Ok(Mandate {
+    let limits =
+        read_limits(file.get("limits"), terms.slots).map_err(|error| with_context("limits", error))?;
+    Ok(SenderConfig {
         name: value_of("ROUTER_NAME", "name")?,
         listen: parse_address("listen", &value_of("ROUTER_LISTEN", "listen")?)?,
         source: match file.get("static") {
             Some(Value::Bool(true)) => Source::Static,
             _ => Source::Platform(parse_address("discovery", &value_of("ROUTER_DISCOVERY", "discovery")?)?),
         },
-        state: existing_folder(&value_of("ROUTER_STATE", "state")?)?,
+        state_folder: existing_folder(&value_of("ROUTER_STATE", "state")?)?,
         seed: read_seed(file.get("seed"))?,
-        known,
+        known_list,
         terms,
         names,
-        carriage: host_settings,
-        bounds,
+        host_settings,
+        limits,
         file,
     })
 }
@@ -152,7 +152,7 @@
 /// The part of a newer configuration that a running sender applies: the source of the destination list. A
 /// changed address of discovery in the file overrides the environment variable, which is as old as the
 /// process. Other changes are logged and take effect at the next start.
-pub fn moved(old: &Value, new: &Mandate) -> Result<Source, Fault> {
+pub fn reloaded_source(old: &Value, new: &SenderConfig) -> Result<Source, Fault> {
     let file = &new.file;
     let needs_restart = |key: &&String| !["discovery", "seed"].contains(&key.as_str());
     for key in file.as_object().into_iter().flat_map(|file| file.keys()).filter(needs_restart) {
@@ -197,7 +197,7 @@
         .map_err(|_| format!("seed: expected up to 16 hex digits, not {text}").into())
 }
 
-fn read_bounds(limits: Option<&Value>, slots: usize) -> Result<Bounds, Fault> {
+fn read_limits(limits: Option<&Value>, slots: usize) -> Result<ResourceLimits, Fault> {
     let limit = |key: &str, default: f64| -> Result<f64, Fault> {
         let value = limits.and_then(|limits| limits.get(key));
         let value = value.map_or(Ok(default), |value| read_number(value, key))?;
@@ -211,13 +211,13 @@
     // The buffer of each client may contain a command of the largest size. The buffers may use half of the
     // memory.
     let max_buffers = (memory / 2.0 / MAX_COMMAND_BYTES as f64) as usize;
-    Ok(Bounds {
-        clients: (available - available / 4).min(max_buffers).max(1),
-        idle: available / 4,
+    Ok(ResourceLimits {
+        max_clients: (available - available / 4).min(max_buffers).max(1),
+        max_idle_connections: available / 4,
         // Files count towards the memory limit.
-        journal: disk.min(memory / 4.0) as u64,
-        ended: (memory / 64.0 / BYTES_PER_COMPLETED_ID) as usize,
-        listed: (memory * LISTED_MEMORY_SHARE / BYTES_PER_LISTED_ENDPOINT) as usize,
+        max_journal_bytes: disk.min(memory / 4.0) as u64,
+        max_completed_ids: (memory / 64.0 / BYTES_PER_COMPLETED_ID) as usize,
+        max_listed_endpoints: (memory * LISTED_MEMORY_SHARE / BYTES_PER_LISTED_ENDPOINT) as usize,
         sync: read_sync(limits.and_then(|limits| limits.get("sync")))?,
     })
 }
@@ -234,9 +234,10 @@
 }
 
 /// A summary of the configuration for people, as printed by `sailcart check`.
-pub fn summary(config: &Mandate) -> String {
-    let Mandate { name, listen, source, state, terms, bounds, known, .. } = config;
-    let Bounds { clients, idle, journal, listed, .. } = bounds;
+pub fn summary(config: &SenderConfig) -> String {
+    let SenderConfig { name, listen, source, state_folder, terms, limits, known_list, .. } = config;
+    let ResourceLimits { max_clients, max_idle_connections, max_journal_bytes, max_listed_endpoints, .. } =
+        limits;
     let source = match source {
         Source::Platform(discovery) => format!("discovery at {discovery}"),
         Source::Static => "destinations listed in the configuration".to_owned(),
@@ -244,13 +245,13 @@
     format!(
         "{name}: listens on {listen}, {source}, state in {}\n\
          {} slots, {} packets held, {} categories, {} kinds, {} endpoints known\n\
-         {clients} client connections, {idle} idle connections to endpoints, {journal} bytes of journal at most\n\
-         {listed} endpoints listed by discovery at most",
-        state.display(),
+         {max_clients} client connections, {max_idle_connections} idle connections to endpoints, {max_journal_bytes} bytes of journal at most\n\
+         {max_listed_endpoints} endpoints listed by discovery at most",
+        state_folder.display(),
         terms.slots,
         terms.hold,
         terms.categories.len(),
         terms.kinds.len(),
-        known.summary().read,
+        known_list.summary().read,
     )
 }
--- a/crates/sailcart-sender/src/life/recovery.rs
+++ b/crates/sailcart-sender/src/life/recovery.rs
@@ -1,12 +1,12 @@
 //! Recovery: restores what the previous process left unfinished, before any client is accepted.
 
-use crate::config::known::KnownList;
+use crate::config::known_list::KnownList;
 use crate::exchange::Exchange;
 
 /// Puts the last known list in force first, so that each packet finds its destination, then resumes the
 /// packets and pending notices of the journal.
-pub fn recover(exchange: &Exchange, known: &KnownList) {
-    exchange.apply_known_list(known.summary().full, known.entries());
+pub fn recover(exchange: &Exchange, known_list: &KnownList) {
+    exchange.apply_known_list(known_list.summary().full, known_list.entries());
     let packets = exchange.uncompleted_packets();
     for packet in &packets {
         exchange.restore(packet);
--- a/crates/sailcart-sender/src/life/reload.rs
+++ b/crates/sailcart-sender/src/life/reload.rs
@@ -11,12 +11,12 @@
 use tokio::sync::watch;
 use tokio::task::spawn_blocking;
 
-use crate::config::known::KnownList;
-use crate::config::{self, Mandate, Source};
+use crate::config::known_list::KnownList;
+use crate::config::{self, SenderConfig, Source};
 use crate::exchange::Exchange;
 
 /// Reads the configuration from the file and environment that were used at the start.
-pub type ReadConfig = Arc<dyn Fn() -> Result<Mandate, Fault> + Send + Sync>;
+pub type ReadConfig = Arc<dyn Fn() -> Result<SenderConfig, Fault> + Send + Sync>;
 
 /// The part of a new configuration that takes effect without a restart.
 pub enum ReloadTarget {
@@ -41,9 +41,9 @@
                     .send_if_modified(|address| std::mem::replace(address, discovery) != discovery);
                 log::info!("reload: discovery at {discovery}, code={}", if moved { "moved" } else { "kept" });
             }
-            (Ok((Source::Static, Some(known))), ReloadTarget::EndpointList(exchange)) => {
-                let list = known.summary();
-                exchange.apply_current_list(list.full, known.entries());
+            (Ok((Source::Static, Some(known_list))), ReloadTarget::EndpointList(exchange)) => {
+                let list = known_list.summary();
+                exchange.apply_current_list(list.full, known_list.entries());
                 log::info!("reload: {} endpoints listed, code=listed", list.read);
             }
             (Ok(_), _) => log::warn!("reload: the kind of source has changed, code=next_start"),
@@ -60,11 +60,11 @@
 /// Reads the new configuration. Returns the source of lists and, if wanted, the list in the file; the rest
 /// of the configuration is dropped here, on the thread that read it.
 fn read_new_config(
-    read: &dyn Fn() -> Result<Mandate, Fault>,
+    read: &dyn Fn() -> Result<SenderConfig, Fault>,
     initial_config: &Value,
     wants_list: bool,
 ) -> Result<(Source, Option<KnownList>), Fault> {
     let new = read()?;
-    let source = config::moved(initial_config, &new)?;
-    Ok((source, wants_list.then_some(new.known)))
+    let source = config::reloaded_source(initial_config, &new)?;
+    Ok((source, wants_list.then_some(new.known_list)))
 }
--- a/crates/sailcart-sender/src/life/start.rs
+++ b/crates/sailcart-sender/src/life/start.rs
@@ -12,7 +12,7 @@
 use tokio::time::sleep;
 
 use crate::clients::Clients;
-use crate::config::{Mandate, Source};
+use crate::config::{SenderConfig, Source};
 use crate::endpoints::Endpoints;
 use crate::exchange::Exchange;
 use crate::life::reload::{ReadConfig, ReloadTarget, reload};
@@ -34,39 +34,44 @@
 ///
 /// # Errors
 /// The start failed: the state folder cannot be opened, or the listening socket cannot be bound.
-pub fn serve(mandate: Mandate, read: ReadConfig) -> io::Result<()> {
+pub fn serve(config: SenderConfig, read: ReadConfig) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let result = LocalSet::new().block_on(&runtime, run(mandate, read));
+    let result = LocalSet::new().block_on(&runtime, run(config, read));
     runtime.shutdown_background(); // does not wait for a reload that is still reading the configuration
     result
 }
 
-async fn run(mandate: Mandate, read: ReadConfig) -> io::Result<()> {
+async fn run(config: SenderConfig, read: ReadConfig) -> io::Result<()> {
     let mut sigterm = signal(SignalKind::terminate())?;
     let mut sigint = signal(SignalKind::interrupt())?;
     let sighup = signal(SignalKind::hangup())?; // from here on it no longer terminates the process
-    let ledger =
-        Ledger::open(&mandate.state, mandate.bounds.journal, mandate.bounds.ended, mandate.bounds.sync);
+    let ledger = Ledger::open(
+        &config.state_folder,
+        config.limits.max_journal_bytes,
+        config.limits.max_completed_ids,
+        config.limits.sync,
+    );
     let ledger = ledger.map_err(|e| with_key("state", e))?;
-    let (terms, known, bounds) = (mandate.terms, mandate.known, mandate.bounds);
+    let (terms, known_list, limits) = (config.terms, config.known_list, config.limits);
     // An eighth before the endpoint closes the connection, which is longer than a call takes to reach it: a
     // call that crosses the endpoint's close is lost.
-    let pool = Pool::new(mandate.carriage.idle_close * 7 / 8, bounds.idle);
+    let pool = Pool::new(config.host_settings.idle_close * 7 / 8, limits.max_idle_connections);
     let endpoints = Rc::new(Endpoints::new(pool, terms.connect_time_out));
     let asked = terms.list_asked;
-    let exchange = Rc::new(Exchange::new(terms, mandate.seed, mandate.names, ledger));
-    recovery::recover(&exchange, &known);
-    let reload_target = match mandate.source {
+    let exchange = Rc::new(Exchange::new(terms, config.seed, config.names, ledger));
+    recovery::recover(&exchange, &known_list);
+    let reload_target = match config.source {
         Source::Platform(discovery) => {
             let (address_sender, address_receiver) = watch::channel(discovery);
             let (first_call_completed, first_call) = oneshot::channel();
-            let (version, schedule) = (known.summary().version, PollingSchedule::new(asked, mandate.seed));
-            drop(known); // it may be large
+            let (version, schedule) =
+                (known_list.summary().version, PollingSchedule::new(asked, config.seed));
+            drop(known_list); // it may be large
             let follower = platform::Follower::new(
                 address_receiver.clone(),
                 version,
                 schedule,
-                bounds.listed,
+                limits.max_listed_endpoints,
                 exchange.clone(),
             );
             spawn_local(follower.follow(first_call_completed));
@@ -80,26 +85,26 @@
             ReloadTarget::DiscoveryAddress(address_sender)
         }
         Source::Static => {
-            exchange.apply_current_list(known.summary().full, known.entries());
-            drop(known);
+            exchange.apply_current_list(known_list.summary().full, known_list.entries());
+            drop(known_list);
             spawn_local(platform::log_notices(exchange.clone()));
             ReloadTarget::EndpointList(exchange.clone())
         }
     };
-    spawn_local(reload(sighup, mandate.file, read, reload_target));
+    spawn_local(reload(sighup, config.file, read, reload_target));
     spawn_local(endpoints.clone().sweep());
-    spawn_local(exchange.clone().run_rounds(mandate.carriage.round, endpoints.clone()));
-    let listener = bind(mandate.listen).await.map_err(|e| with_key("listen", e))?;
-    log::info!("{} listens on {}", mandate.name, mandate.listen);
-    let clients = Clients::new(exchange.clone(), bounds.clients);
+    spawn_local(exchange.clone().run_rounds(config.host_settings.round, endpoints.clone()));
+    let listener = bind(config.listen).await.map_err(|e| with_key("listen", e))?;
+    log::info!("{} listens on {}", config.name, config.listen);
+    let clients = Clients::new(exchange.clone(), limits.max_clients);
     let accepting = spawn_local(clients.clone().accept(listener));
     tokio::select! {
-        _ = sigterm.recv() => log::info!("{} stops, code=sigterm", mandate.name),
-        _ = sigint.recv() => log::info!("{} stops, code=sigint", mandate.name),
+        _ = sigterm.recv() => log::info!("{} stops, code=sigterm", config.name),
+        _ = sigint.recv() => log::info!("{} stops, code=sigint", config.name),
     }
     stop::stop(&exchange, &clients, accepting).await;
     endpoints.close_all("stopping");
-    log::info!("{} ends", mandate.name);
+    log::info!("{} ends", config.name);
     Ok(())
 }
 
