--- a/crates/sailcart-sender/src/config/mod.rs
+++ b/crates/sailcart-sender/src/config/mod.rs
@@ -245,7 +245,8 @@
     format!(
         "{name}: listens on {listen}, {source}, state in {}\n\
          {} slots, {} packets held, {} categories, {} kinds, {} endpoints known\n\
-         {max_clients} client connections, {max_idle_connections} idle connections to endpoints, {max_journal_bytes} bytes of journal at most\n\
+         {max_clients} client connections, {max_idle_connections} idle connections to endpoints, \
+         {max_journal_bytes} bytes of journal at most\n\
          {max_listed_endpoints} endpoints listed by discovery at most",
         state_folder.display(),
         terms.slots,
--- a/crates/sailcart-sender/src/endpoints.rs
+++ b/crates/sailcart-sender/src/endpoints.rs
@@ -125,7 +125,10 @@
     let request = call::write(&call.address.to_string(), &call_packets, budget);
     let (mut written, mut response) = (false, Response::default());
     let result = tokio::select! {
-        result = timeout_at(deadline.into(), round_trip(&mut stream, &request, &mut written, &mut response)) => {
+        result = timeout_at(
+            deadline.into(),
+            round_trip(&mut stream, &request, &mut written, &mut response)
+        ) => {
             result.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
         }
         () = call.cancelled.notified() => Err(io::ErrorKind::Interrupted.into()),
--- a/crates/sailcart-sender/src/platform/follower.rs
+++ b/crates/sailcart-sender/src/platform/follower.rs
@@ -115,8 +115,8 @@
 /// # Large lists
 ///
 /// A list is parsed as it is received, and this thread yields to other tasks after each
-/// [`response::MAX_PIECE_BYTES`]. No part of the list takes effect before all of it has been received and found
-/// valid.
+/// [`response::MAX_PIECE_BYTES`]. No part of the list takes effect before all of it has been received and
+/// found valid.
 ///
 /// A call has the time that its polling schedule gives, and a large list more in proportion to the bytes
 /// received (`MIN_LIST_BYTES_PER_SECOND`). A list of `n` endpoints has at most `n` times [`MAX_ENTRY_BYTES`]
@@ -223,7 +223,7 @@
         let list = intake.reader.finish()?;
         check_not_older(&list, self.watch_from)?;
         exchange.fits(&intake.staged, list.full)?;
-        // Also without changes: a commit forgets endpoints that left the list long ago.
+        // Also without changes: applying a list forgets endpoints that left the list long ago.
         exchange.apply(intake.staged, list.full).await;
         let received = if list.read > 0 { Received::Entries } else { Received::Nothing };
         if list.full || received == Received::Entries {
--- a/crates/sailcart-sender/src/platform/notices.rs
+++ b/crates/sailcart-sender/src/platform/notices.rs
@@ -229,7 +229,8 @@
     }
 }
 
-/// Encodes one line for each notice, up to [`MAX_BODY_BYTES`] bytes. Returns the notices that fit, and the body.
+/// Encodes one line for each notice, up to [`MAX_BODY_BYTES`] bytes. Returns the notices that fit, and the
+/// body.
 fn encode_body(pending: &mut dyn Iterator<Item = (PacketId, &str, Notice)>) -> (Vec<PacketId>, String) {
     let (mut ids, mut body) = (Vec::new(), String::new());
     for (number, id, notice) in pending {
--- a/crates/sailcart-sender/src/polling.rs
+++ b/crates/sailcart-sender/src/polling.rs
@@ -1,10 +1,10 @@
 //! The polling schedule of discovery: when the sender calls it, and how long it waits for the answer. Pure:
 //! this module neither sleeps nor reads a clock.
 //!
-//! The protocol expects a sender to know of an update [`MAX_UPDATE_DELAY`] after discovery had it and could be reached,
-//! even if calls in between failed, were refused or were abandoned. So the longest sequence of delays and
-//! timeouts from there to the list in hand has to be shorter than that. `docs/notes/told.md` has the
-//! calculation, and what it costs discovery.
+//! The protocol expects a sender to know of an update [`MAX_UPDATE_DELAY`] after discovery had it and could
+//! be reached, even if calls in between failed, were refused or were abandoned. So the longest sequence of
+//! delays and timeouts from there to the list in hand has to be shorter than that. `docs/notes/told.md` has
+//! the calculation, and what it costs discovery.
 
 use std::time::Duration;
 
@@ -114,13 +114,14 @@
         }
     }
 
-    /// The delay before a list that was too large is requested again. This delay alone may exceed [`MAX_UPDATE_DELAY`]:
-    /// nothing is promised about such a list, and reading it takes time.
+    /// The delay before a list that was too large is requested again. This delay alone may exceed
+    /// [`MAX_UPDATE_DELAY`]: nothing is promised about such a list, and reading it takes time.
     pub fn too_large_delay(&mut self) -> Duration {
         self.too_large_delays.next_delay(MIN_TOO_LARGE_DELAY * 2, MAX_TOO_LARGE_DELAY)
     }
 
-    /// Records that the list fits again: the next delay of [`too_large_delay`](Self::too_large_delay) starts anew.
+    /// Records that the list fits again: the next delay of [`too_large_delay`](Self::too_large_delay) starts
+    /// anew.
     pub fn list_fits(&mut self) {
         self.too_large_delays.reset();
     }
--- a/crates/sailcart-sender/src/response.rs
+++ b/crates/sailcart-sender/src/response.rs
@@ -99,8 +99,8 @@
 }
 
 /// Reads one response and collects its body of at most `max_body` bytes. Waits without limit for its first
-/// byte; from then on it must be complete within `read_timeout`. `response` holds what was received so far, also
-/// after a failure and if the future is dropped.
+/// byte; from then on it must be complete within `read_timeout`. `response` holds what was received so far,
+/// also after a failure and if the future is dropped.
 ///
 /// # Errors
 /// Those of the stream, and [`InvalidData`](io::ErrorKind::InvalidData) for a response that is malformed, too
@@ -133,8 +133,8 @@
 /// sink.
 ///
 /// # Errors
-/// Those of [`read_collected`], [`TimedOut`](io::ErrorKind::TimedOut) at the end of the time limit, and those of the
-/// sink.
+/// Those of [`read_collected`], [`TimedOut`](io::ErrorKind::TimedOut) at the end of the time limit, and those
+/// of the sink.
 pub async fn read_to_sink<S: BodySink>(
     stream: &mut (impl AsyncRead + Unpin),
     max_body: usize,
