--- a/crates/sailcart-sender/src/inspect.rs
+++ b/crates/sailcart-sender/src/inspect.rs
@@ -42,7 +42,7 @@
     let (summary, records, unknown) = read_records(folder)?;
     let count = |matches: fn(&Record) -> bool| records.iter().filter(|record| matches(record)).count();
     let mut line = format!(
-        "{}: sound; {} packets not over, {} notices owed, {} ids remembered; {} segments, {} bytes, {} records",
+        "{}: sound; {} packets not completed, {} pending notices, {} ids remembered; {} segments, {} bytes, {} records",
         folder.display(),
         count(|record| matches!(record, Record::Packet(_))),
         count(|record| matches!(record, Record::PendingNotice(..))),
@@ -99,16 +99,16 @@
                 let state = state.copied().unwrap_or_default();
                 let _ = write!(text, ", {} dispatches", state.dispatches);
                 if state.in_flight_since.is_some() {
-                    text.push_str(", one is out");
+                    text.push_str(", one in flight");
                 }
                 text.push_str(if state.doubt.or(state.in_flight_since).is_some() {
-                    ", may have run\n"
+                    ", possibly executed\n"
                 } else {
                     "\n"
                 });
             }
             Record::PendingNotice(_, id, notice) => {
-                let _ = writeln!(text, "notice owed for {id}: {}", describe(notice));
+                let _ = writeln!(text, "pending notice for {id}: {}", describe(notice));
             }
             Record::DispatchState(..) | Record::Completed(..) => {}
         }
--- a/crates/sailcart-sender/src/life/reload.rs
+++ b/crates/sailcart-sender/src/life/reload.rs
@@ -49,7 +49,7 @@
             (Ok(_), _) => log::warn!("reload: the kind of source has changed, code=next_start"),
             (Err(error), _) => {
                 log::error!(
-                    "reload: the old configuration stays, code=faulty {}",
+                    "reload: the old configuration stays in force, code=faulty {}",
                     error.0.replace('\n', "; ")
                 );
             }
--- a/crates/sailcart-sender/src/memory/ledger.rs
+++ b/crates/sailcart-sender/src/memory/ledger.rs
@@ -507,7 +507,7 @@
         match written {
             Err(error) if !std::mem::replace(&mut self.write_failure_logged, true) => {
                 log::error!(
-                    "journal: code={} {error}; nothing is taken until it is written again",
+                    "journal: code={} {error}; no packet is accepted until a write succeeds",
                     error.code()
                 );
             }
--- a/crates/sailcart-sender/src/wire/list_reader.rs
+++ b/crates/sailcart-sender/src/wire/list_reader.rs
@@ -122,7 +122,7 @@
             return Err("expected JSON: it ends too early".into());
         }
         if self.max_warnings > 0 && self.skipped > self.max_warnings {
-            log::warn!("discovery: code=entry {} entries passed over", self.skipped);
+            log::warn!("discovery: code=entry {} entries skipped", self.skipped);
         }
         if !self.instances_seen {
             return Err("expected instances".into());
--- a/crates/sailcart-sender/tests/clock_steps.rs
+++ b/crates/sailcart-sender/tests/clock_steps.rs
@@ -167,7 +167,7 @@
     for_each_step("ids", false, |story, step| {
         let (mut world, page) = World::under_faults(story, |_, _| answer("200 OK", "", ""));
         assert_eq!(put_for(&world, "a1", 20_000), "+OK");
-        world.until("its end", |world| world.folder_shows().contains("0 packets not over"));
+        world.until("its end", |world| world.folder_shows().contains("0 packets not completed"));
         world.kill();
         step(&page, false);
         world.start();
--- a/crates/sailcart-sender/tests/crossed_calls.rs
+++ b/crates/sailcart-sender/tests/crossed_calls.rs
@@ -73,7 +73,7 @@
             }
         });
         assert_eq!(world.put("a0"), "+OK");
-        world.until_folder_shows("0 packets not over");
+        world.until_folder_shows("0 packets not completed");
         assert_eq!(world.put("a1"), "+OK");
         calls.join().expect("two calls on one connection");
         world.until("its outcome", |world| world.log().contains("Reset after"));
--- a/crates/sailcart-sender/tests/crossed_ends.rs
+++ b/crates/sailcart-sender/tests/crossed_ends.rs
@@ -98,7 +98,7 @@
     late.write_all(PING.as_bytes()).expect("room");
     assert_eq!(said(&mut late), "+PONG\r\n");
     world.until("its call", |world| world.came() == ["a1"]);
-    world.until_folder_shows("0 packets not over, 0 notices owed");
+    world.until_folder_shows("0 packets not completed, 0 pending notices");
     assert_eq!((world.came().len(), world.notices().len()), (1, 0));
     world.kill();
 }
@@ -156,14 +156,14 @@
         let mut world = delivers(story);
         world.restart_with(&[SLOW_PACE]);
         assert_eq!(world.put("a0"), "+OK"); // a round has just been
-        world.until_folder_shows("0 packets not over");
+        world.until_folder_shows("0 packets not completed");
         world.platform.list(&[entry("e", world.endpoint, 7, "Terminating")]);
         world.until("the news", |world| world.log().contains("discovery: version 2"));
         hand_in_and_leave(&world, "a1", SHORT, how);
         let heard = put(world.listen, "a1", &fields("a1", SHORT), "hello").expect("an answer");
         assert!(heard.starts_with("-BUSY"), "{heard}");
         assert_eq!(world.put("a1"), heard, "once it is over");
-        world.until_folder_shows("0 packets not over, 0 notices owed");
+        world.until_folder_shows("0 packets not completed, 0 pending notices");
         world.platform.list(&[entry("e", world.endpoint, 7, "Ready")]);
         world.until("the news", |world| world.log().contains("discovery: version 3"));
         usual_pace(&mut world);
@@ -220,7 +220,11 @@
     };
     let all = 2 * (1..words.len()).step_by(3).count();
     world.until("all connections have ended", |world| ended(world) >= all);
-    assert!(world.folder_shows().contains("0 packets not over, 0 notices owed"), "{}", world.folder_shows());
+    assert!(
+        world.folder_shows().contains("0 packets not completed, 0 pending notices"),
+        "{}",
+        world.folder_shows()
+    );
     assert_eq!(world.came(), [""; 0]);
     assert_eq!(put(world.listen, "a1", &fields("a1", USUAL), "hello").expect("an answer"), "+OK");
     world.until("its call", |world| world.came() == ["a1"]);
--- a/crates/sailcart-sender/tests/early_answers.rs
+++ b/crates/sailcart-sender/tests/early_answers.rs
@@ -112,7 +112,7 @@
         put(world.listen, "a1", "c=notice,t=acme,d=8000,k=a1,dest=7", &body).expect("an answer"),
         "+OK"
     );
-    world.until_folder_shows("0 packets not over");
+    world.until_folder_shows("0 packets not completed");
     assert!(
         start.elapsed() < Duration::from_secs(3),
         "the answer is not waited for: {:?}\n{}",
@@ -120,7 +120,7 @@
         world.log()
     );
     let calls = endpoint.calls.join().expect("a bounded number of calls");
-    world.until_folder_shows("0 packets not over, 0 notices owed");
+    world.until_folder_shows("0 packets not completed, 0 pending notices");
     (world, calls)
 }
 
--- a/crates/sailcart-sender/tests/failing_folder.rs
+++ b/crates/sailcart-sender/tests/failing_folder.rs
@@ -127,7 +127,7 @@
     world.until("all notices", |world| {
         (0..KEPT).all(|number| notices_of(world, &format!("kept-{number}-")) == 1)
     });
-    world.until_folder_shows("0 packets not over, 0 notices owed");
+    world.until_folder_shows("0 packets not completed, 0 pending notices");
     assert_eq!(log.matches("code=disk_full").count(), 1, "one line an outage");
     world.kill();
     world.start();
@@ -194,7 +194,7 @@
         world.until("its call", |world| world.came().contains(&"c3".to_owned()));
         world.until("b2", |world| said != "+OK" || world.came().contains(&"b2".to_owned()));
         assert!(!world.log().contains("the sender ends"), "{}", world.log());
-        world.until_folder_shows("0 packets not over, 0 notices owed");
+        world.until_folder_shows("0 packets not completed, 0 pending notices");
         world.kill();
         world.start();
         assert_eq!(world.came().iter().filter(|id| *id == "b2").count(), usize::from(said == "+OK"));
@@ -228,7 +228,7 @@
     let (mut world, page) = world("ok-unsynced", |_, _| answer("200 OK", "", ""));
     world.restart_with(&[SLOW_PACE, EACH, (r#""max_open": 100"#, r#""max_open": 2"#)]);
     assert_eq!(put_for(&world, "a1", 20_000), "+OK");
-    world.until("its delivery", |world| world.folder_shows().contains("0 packets not over")); // a round has just been
+    world.until("its delivery", |world| world.folder_shows().contains("0 packets not completed")); // a round has just been
     let listen = world.listen;
     let clients: Vec<_> = (0..6)
         .map(|number| {
--- a/crates/sailcart-sender/tests/kill_points.rs
+++ b/crates/sailcart-sender/tests/kill_points.rs
@@ -176,7 +176,7 @@
         let mut heard = Vec::new();
         let _ = call.read_to_end(&mut heard);
         assert_eq!(heard, b"", "no byte went");
-        assert!(world.folder_shows().contains("1 dispatches, one is out"), "{}", world.folder_shows());
+        assert!(world.folder_shows().contains("1 dispatches, one in flight"), "{}", world.folder_shows());
         world.platform.list(&[entry("e", world.endpoint, 7, "Ready")]);
         ends_once_in_doubt(&mut world, category, &[]);
     }
@@ -210,13 +210,13 @@
         });
         take(&world, category, "a1", &"x".repeat(LARGE));
         world.until("the whole call", |world| world.came() == ["a1"]);
-        world.until_folder_shows("1 dispatches, one is out");
+        world.until_folder_shows("1 dispatches, one in flight");
         assert!(world.log_bytes() < LARGE as u64);
         world.end_at_write_beyond(world.segment_bytes());
         answers.store(true, Ordering::SeqCst);
         world.ended_at_write();
         assert!(world.log().contains("Done after"), "the outcome was understood");
-        assert!(world.folder_shows().contains("one is out"), "{}", world.folder_shows());
+        assert!(world.folder_shows().contains("one in flight"), "{}", world.folder_shows());
         ends_once_in_doubt(&mut world, category, &["a1"]);
     }
 }
@@ -227,7 +227,7 @@
     let mut world = world("end-notice", |_, _| None);
     world.platform.deaf.store(true, Ordering::SeqCst);
     take(&world, UNREPEATABLE, "a1", "");
-    world.until_folder_shows("notice owed for a1: scrapped");
+    world.until_folder_shows("pending notice for a1: scrapped");
     world.kill();
     assert_eq!(world.notices(), [""; 0]);
     world.platform.deaf.store(false, Ordering::SeqCst);
@@ -273,7 +273,7 @@
     world.until("the news", |world| world.log().contains("discovery: version 2"));
     world.platform.deaf.store(true, Ordering::SeqCst);
     take(&world, UNREPEATABLE, "reset", "");
-    world.until_folder_shows("notice owed for reset: scrapped");
+    world.until_folder_shows("pending notice for reset: scrapped");
     take(&world, REPEATABLE, "doubt", "");
     take(&world, UNREPEATABLE, "scrap", "");
     let untried = put(world.listen, "untried", &fields(REPEATABLE, "untried", 8), "");
@@ -281,7 +281,7 @@
     world.until("the calls", |world| world.came().len() == 3);
     world.kill();
     let stands = world.folder_shows();
-    assert!(stands.contains("3 packets not over, 1 notices owed"), "{stands}");
+    assert!(stands.contains("3 packets not completed, 1 pending notices"), "{stands}");
 
     // Killed while the list is waited for.
     let lets_in = world.log().matches(" listens on ").count();
@@ -291,7 +291,11 @@
     world.until("recovery", |world| world.log().matches("recovery: 3 packets, 1 notices").count() == 1);
     world.until("a call for the list", |world| world.platform.asked.load(Ordering::SeqCst) > asked);
     world.kill();
-    assert!(world.folder_shows().contains("3 packets not over, 1 notices owed"), "{}", world.folder_shows());
+    assert!(
+        world.folder_shows().contains("3 packets not completed, 1 pending notices"),
+        "{}",
+        world.folder_shows()
+    );
 
     // Killed while its port is in use, its calls are out, and an end is decided.
     let port = TcpListener::bind(world.listen).expect("the port");
@@ -300,7 +304,7 @@
     world.launch(None);
     world.until("recovery", |world| world.log().matches("recovery: 3 packets, 1 notices").count() == 2);
     world.until("the calls", |world| world.came().len() == 5);
-    world.until_folder_shows("notice owed for scrap: scrapped");
+    world.until_folder_shows("pending notice for scrap: scrapped");
     world.kill();
     assert_eq!(world.log().matches(" listens on ").count(), lets_in, "no client was let in");
     drop(port);
--- a/crates/sailcart-sender/tests/list_intake.rs
+++ b/crates/sailcart-sender/tests/list_intake.rs
@@ -405,7 +405,7 @@
     entries.push(entry("e", world.endpoint, 7, "Ready"));
     world.platform.list(&entries);
     world.until("the list", |world| world.log().contains("discovery: version 2, 1 entries"));
-    assert!(world.log().contains("discovery: code=entry 1000 entries passed over"));
+    assert!(world.log().contains("discovery: code=entry 1000 entries skipped"));
     assert_eq!(count(&world, "code=entry"), 4);
     delivers(&world, "a1", 7);
 }
--- a/crates/sailcart-sender/tests/listed.rs
+++ b/crates/sailcart-sender/tests/listed.rs
@@ -131,7 +131,9 @@
 fn a_file_half_written_changes_nothing() {
     let world = World::new();
     world.reload(&world.text[..world.text.len() / 2]);
-    world.until("it is refused", |world| world.log().contains("the old configuration stays, code=faulty"));
+    world.until("it is refused", |world| {
+        world.log().contains("the old configuration stays in force, code=faulty")
+    });
     assert_eq!(world.put("c1", 7), "+OK");
     world.until("it is delivered", |world| world.came() == ["c1"]);
 }
@@ -161,6 +163,6 @@
     world.until("others go on", |world| world.came().last().is_some_and(|id| id == "d5"));
     assert_eq!(world.came().len(), before.len() + 1, "what was turned away never went");
     let log = world.log();
-    assert_eq!(log.matches("nothing is taken until it is written again").count(), 1, "{log}");
+    assert_eq!(log.matches("no packet is accepted until a write succeeds").count(), 1, "{log}");
     assert_eq!(log.matches("code=written_again").count(), 1, "{log}");
 }
--- a/crates/sailcart-sender/tests/notices.rs
+++ b/crates/sailcart-sender/tests/notices.rs
@@ -50,7 +50,7 @@
         world.until("its notice", |_| heard(id) == 1);
     }
     assert_eq!(*refused.lock().expect("no panic"), 3);
-    world.until_folder_shows("0 packets not over, 0 notices owed");
+    world.until_folder_shows("0 packets not completed, 0 pending notices");
 }
 
 /// A peer that writes answers below 200 without end is given up in the time of its call.
--- a/crates/sailcart-sender/tests/peer/moments.rs
+++ b/crates/sailcart-sender/tests/peer/moments.rs
@@ -11,7 +11,7 @@
 /// The signal that ends a process at its first write beyond the limit of a file's size, as suddenly as SIGKILL.
 const SIGXFSZ: i32 = 25;
 /// What is taken on and not over, where that is nothing.
-const NOTHING_OWED: &str = "0 packets not over, 0 notices owed";
+const NOTHING_OWED: &str = "0 packets not completed, 0 pending notices";
 
 impl World {
     /// What stands in the state folder, in words.
--- a/crates/sailcart-sender/tests/store.rs
+++ b/crates/sailcart-sender/tests/store.rs
@@ -54,9 +54,9 @@
     let (well, said) = say(&["show"], &[folder.path()]);
     assert!(well, "{said}");
     assert!(said.contains("packet aa: category order, destination 7, 300 bytes"), "{said}");
-    assert!(said.contains("1 dispatches, one is out, may have run"), "{said}");
-    assert!(said.contains("notice owed for bb: scrapped"), "{said}");
-    assert!(said.contains("1 packets not over, 1 notices owed, 1 ids remembered"), "{said}");
+    assert!(said.contains("1 dispatches, one in flight, possibly executed"), "{said}");
+    assert!(said.contains("pending notice for bb: scrapped"), "{said}");
+    assert!(said.contains("1 packets not completed, 1 pending notices, 1 ids remembered"), "{said}");
 }
 
 #[test]
--- a/crates/sailcart-sender/tests/stories.rs
+++ b/crates/sailcart-sender/tests/stories.rs
@@ -292,7 +292,8 @@
     let (place, platform) = Platform::start("127.0.0.1:0");
     (0..2).for_each(|_| platform.list(&[entry("f", world.endpoint, 8, "Ready")]));
     world.reload(&world.config.replace(r#""call_slots": 8"#, r#""call_slots": 0"#));
-    let kept = "the old configuration stays, code=faulty settings: expected more than 0 in call_slots";
+    let kept =
+        "the old configuration stays in force, code=faulty settings: expected more than 0 in call_slots";
     world.until("the fault", |world| world.log().contains(kept));
     world.config = world.config.replace(&world.discovery.to_string(), &place.to_string());
     world.platform.deaf.store(true, Ordering::Relaxed);
