--- a/crates/sailcart-sender/tests/directory.rs
+++ b/crates/sailcart-sender/tests/directory.rs
@@ -537,9 +537,10 @@
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/config.json");
     let state = folder.to_str().expect("a plain path");
     let environment = |name: &str| (name == "ROUTER_STATE").then(|| state.to_owned());
-    let mandate = config::read(Some(file.into()), &environment).unwrap_or_else(|fault| panic!("{}", fault.0));
+    let sender_config =
+        config::read(Some(file.into()), &environment).unwrap_or_else(|fault| panic!("{}", fault.0));
     let ledger = Ledger::open(folder, 1_000_000, 100, sailcart_store::Sync::None).expect("a ledger");
-    Exchange::new(mandate.terms, 1, mandate.names, ledger)
+    Exchange::new(sender_config.terms, 1, sender_config.names, ledger)
 }
 
 fn entries(numbers: std::ops::Range<u32>) -> Vec<Entry> {
