--- a/crates/sailcart-sender/src/exchange/calls.rs
+++ b/crates/sailcart-sender/src/exchange/calls.rs
@@ -9,14 +9,14 @@
 use tokio::sync::Notify;
 use tokio::time::sleep_until;
 
-use super::directory::Place;
+use super::directory::EndpointSpec;
 use super::host_state::HostState;
 use super::invariants::{Invariant, Permit, Refusal, SendPreconditions};
 use super::packets::key_id;
 use super::{Exchange, Inner};
 use crate::memory::{Notice, Packet};
 use crate::outgoing::{Call, CallOwner};
-use crate::wire::call::{self, Ending};
+use crate::wire::call::{self, PacketOutcome};
 use crate::wire::http::Head;
 
 impl CallOwner for Exchange {
@@ -51,7 +51,7 @@
         let preconditions = SendPreconditions { all_tracked: completed.is_none(), allowed };
         // One record for the whole call: if separate records failed half-way, packets that were never sent
         // would count as possibly executed.
-        let permitted = preconditions.permit(|| host.ledger.sends(&ids, host.clock.to_moment(now)));
+        let permitted = preconditions.permit(|| host.ledger.record_dispatch(&ids, host.clock.to_moment(now)));
         match &permitted {
             Ok(_) => call.sent_at.set(Some(Instant::now())),
             Err(refusal) => {
@@ -65,11 +65,11 @@
         permitted
     }
 
-    fn lists(&self, endpoint: EndpointId) -> bool {
+    fn is_listed(&self, endpoint: EndpointId) -> bool {
         self.inner.borrow().host.directory.contains(endpoint)
     }
 
-    fn call_completed(&self, call: &Call, endings: &[Ending], head: Option<&Head>) {
+    fn call_completed(&self, call: &Call, outcomes: &[PacketOutcome], head: Option<&Head>) {
         let Inner { sender, host, .. } = &mut *self.inner.borrow_mut();
         let (now, elapsed) = (host.clock.now(), call.sent_at.get().unwrap_or(call.started_at).elapsed());
         let report = host
@@ -77,11 +77,11 @@
             .report_fields
             .as_ref()
             .zip(head)
-            .and_then(|(report_fields, head)| call::report(head, report_fields));
+            .and_then(|(report_fields, head)| call::limit_report(head, report_fields));
         if let Some((report, first)) = report.zip(call.packets.first()) {
             sender.record_report(first.number, report);
         }
-        for (packet, (outcome, completed)) in call.packets.iter().zip(endings) {
+        for (packet, (outcome, completed)) in call.packets.iter().zip(outcomes) {
             let id = packet.number;
             if host.in_flight.remove(&id).is_none() {
                 host.violations.count(Invariant::OutcomeWithoutCall, &id.0);
@@ -94,9 +94,9 @@
                 // completed.
                 host.queue_notice(id, Notice::Scrapped);
             } else if *completed || *outcome == Outcome::Done {
-                host.ledger.over(id);
+                host.ledger.complete(id);
             } else {
-                host.ledger.came_back(id, may_have_executed(*outcome));
+                host.ledger.record_outcome(id, may_have_executed(*outcome));
             }
         }
         self.round_requested.notify_one();
@@ -105,7 +105,7 @@
 
 impl Exchange {
     /// Number of packets in flight.
-    pub fn calls_out(&self) -> usize {
+    pub fn packets_in_flight(&self) -> usize {
         self.inner.borrow().host.in_flight.len()
     }
 }
@@ -120,7 +120,7 @@
     pub(super) fn take_calls(&mut self) -> Vec<Call> {
         let mut calls = Vec::new();
         for (endpoint, dispatches) in std::mem::take(&mut self.dispatches) {
-            let Some(Place { address, kind, .. }) = self.directory.place(endpoint) else { continue };
+            let Some(EndpointSpec { address, kind, .. }) = self.directory.spec(endpoint) else { continue };
             let batch = self.max_batch_by_kind[usize::from(kind)];
             for chunk in dispatches.chunks(batch) {
                 let cancelled = Rc::new(Notify::new());
@@ -143,12 +143,12 @@
     /// The key in whose order a packet is sent, or `None` if its category is not ordered or it has no key.
     pub(super) fn order_key(&self, packet: &Packet) -> Option<KeyId> {
         let category = *self.names.categories.get(&*packet.category)?;
-        packet.about.as_deref().filter(|_| self.in_order_by_category[category]).map(key_id)
+        packet.order_key.as_deref().filter(|_| self.in_order_by_category[category]).map(key_id)
     }
 
     fn waits_for_notice(&self, call: &Call) -> bool {
         let mut keys =
             call.packets.iter().filter_map(|packet| Some((packet.number, self.order_key(packet)?)));
-        !self.unacknowledged.is_empty() && keys.any(|(id, key)| self.unacknowledged.before(id, key))
+        !self.unacknowledged.is_empty() && keys.any(|(id, key)| self.unacknowledged.any_before(id, key))
     }
 }
--- a/crates/sailcart-sender/src/exchange/host_state.rs
+++ b/crates/sailcart-sender/src/exchange/host_state.rs
@@ -11,11 +11,11 @@
 use super::clock::Clock;
 use super::directory::Directory;
 use super::invariants::{Invariant, Violations};
-use super::packets::{Answer, reply_all};
+use super::packets::{SubmitReply, reply_all};
 use crate::memory::Notice;
 use crate::memory::ledger::Ledger;
-use crate::memory::untold::Untold;
-use crate::memory::wakes::Wakes;
+use crate::memory::scheduled_rounds::ScheduledRounds;
+use crate::memory::unacknowledged::UnacknowledgedNotices;
 
 /// The sender's host: carries out the decisions of the sender at the end of each round.
 pub(super) struct HostState {
@@ -35,10 +35,10 @@
     pub(super) has_current_list: bool,
     /// Clients that wait for the reply to a packet: the one that submitted it, and those with duplicate
     /// submissions.
-    pub(super) waiting_clients: BTreeMap<PacketId, Vec<oneshot::Sender<Answer>>>,
+    pub(super) waiting_clients: BTreeMap<PacketId, Vec<oneshot::Sender<SubmitReply>>>,
     /// Clients that receive a failure (dismissed or scrapped) in place of `+OK` once the records of this
     /// round are written.
-    pub(super) failure_replies: Vec<(Vec<oneshot::Sender<Answer>>, Notice)>,
+    pub(super) failure_replies: Vec<(Vec<oneshot::Sender<SubmitReply>>, Notice)>,
     /// Packets in flight, each with the signal that cancels its call.
     pub(super) in_flight: BTreeMap<PacketId, Rc<Notify>>,
     /// Dispatches of this round by endpoint, each with its timeout.
@@ -46,9 +46,9 @@
     /// Endpoints whose idle connections are to be closed, with the code for the log.
     pub(super) endpoints_to_close: Vec<(EndpointId, &'static str)>,
     /// Times of the rounds that the sender requested.
-    pub(super) wakes: Wakes,
+    pub(super) scheduled_rounds: ScheduledRounds,
     /// Packets whose notice the platform has not acknowledged: later packets with the same key wait for them.
-    pub(super) unacknowledged: Untold,
+    pub(super) unacknowledged: UnacknowledgedNotices,
     /// By category, whether its packets are sent in the order of their keys.
     pub(super) in_order_by_category: Vec<bool>,
     pub(super) violations: Violations,
@@ -56,9 +56,11 @@
 
 impl HostState {
     pub(super) fn new(settings: &sailcart::Settings, names: Names, ledger: Ledger) -> Self {
-        let states = ledger.unended().into_iter().map(|packet| ledger.stand(packet.number));
-        let clock = Clock::new(states.filter_map(|state| state.possibly_executed_at.or(state.out)));
-        let unacknowledged = Untold::new(ledger.owed().map(|(id, ..)| id));
+        let states =
+            ledger.uncompleted_packets().into_iter().map(|packet| ledger.dispatch_state(packet.number));
+        let clock =
+            Clock::new(states.filter_map(|state| state.possibly_executed_at.or(state.in_flight_since)));
+        let unacknowledged = UnacknowledgedNotices::new(ledger.pending_notices().map(|(id, ..)| id));
         HostState {
             clock,
             names,
@@ -73,7 +75,7 @@
             in_flight: BTreeMap::new(),
             dispatches: Vec::new(),
             endpoints_to_close: Vec::new(),
-            wakes: Wakes::default(),
+            scheduled_rounds: ScheduledRounds::default(),
             unacknowledged,
             violations: Violations::default(),
             in_order_by_category: settings.categories.iter().map(|category| category.in_order).collect(),
@@ -84,18 +86,18 @@
     /// one to its submission, otherwise the platform is notified.
     pub(super) fn complete_undelivered(&mut self, id: PacketId, notice: Notice) {
         let (deadline, dispatches) =
-            (self.ledger.packet(id).map(|packet| packet.deadline), self.ledger.stand(id).dispatches);
+            (self.ledger.packet(id).map(|packet| packet.deadline), self.ledger.dispatch_state(id).dispatches);
         if let Some(left) = deadline.map(|at| self.clock.deadline(at).saturating_sub(self.clock.now())) {
             log::debug!("packet {}: ends {notice:?}, {dispatches} dispatches, {left:?} left", id.0);
         }
         let Some(clients) = self.waiting_clients.remove(&id) else { return self.queue_notice(id, notice) };
-        if self.ledger.over_at_once(id, notice) {
+        if self.ledger.complete_rejected(id, notice) {
             self.failure_replies.push((clients, notice));
         } else {
             // The journal holds the packet as accepted and cannot be changed now, so the reply says that it
             // was accepted, and a notice reports the failure.
             log::warn!("packet {}: failure reported as a notice, code=not_recorded", id.0);
-            reply_all(clients, Answer::Accepted);
+            reply_all(clients, SubmitReply::Accepted);
             self.queue_notice(id, notice);
         }
     }
@@ -106,7 +108,7 @@
             reply_all(clients, notice.into());
         }
         for (_, clients) in std::mem::take(&mut self.waiting_clients) {
-            reply_all(clients, Answer::Accepted);
+            reply_all(clients, SubmitReply::Accepted);
         }
     }
 
@@ -116,8 +118,8 @@
             return self.violations.count(Invariant::SecondCompletion, &id.0);
         }
         if let Some(key) = self.ledger.packet(id).cloned().and_then(|packet| self.order_key(&packet)) {
-            self.unacknowledged.owe(id, key);
+            self.unacknowledged.insert(id, key);
         }
-        self.ledger.owe(id, notice);
+        self.ledger.complete_with_notice(id, notice);
     }
 }
--- a/crates/sailcart-sender/src/exchange/lists.rs
+++ b/crates/sailcart-sender/src/exchange/lists.rs
@@ -1,12 +1,12 @@
 //! Receives destination lists: stages a list while it is read, and applies it to the directory and the sender
-//! in slices.
+//! in steps.
 
 use std::borrow::Borrow;
 
 use sailcart::DestinationId;
 use tokio::task::yield_now;
 
-use super::directory::{Line, Place};
+use super::directory::{EndpointEntry, EndpointSpec};
 use super::staged::{ListTooLarge, StagedList};
 use super::update::{Step, Update};
 use super::{Exchange, Inner};
@@ -26,7 +26,7 @@
     /// Fails as soon as the list itself names more live endpoints than are allowed. Whether the endpoints
     /// that an incremental list adds fit together with those already in the directory is known only at its
     /// end, from [`fits`](Self::fits).
-    pub fn add(&self, staged: &mut StagedList, entries: Vec<Entry>) -> Result<(), ListTooLarge> {
+    pub fn add_entries(&self, staged: &mut StagedList, entries: Vec<Entry>) -> Result<(), ListTooLarge> {
         entries.iter().try_for_each(|entry| self.add_entry(staged, entry))
     }
 
@@ -39,13 +39,13 @@
         staged.fits(&self.inner.borrow().host.directory, full)
     }
 
-    /// Applies a list; a `full` one replaces all earlier lists. A large list is applied in slices, and the
+    /// Applies a list; a `full` one replaces all earlier lists. A large list is applied in steps, and the
     /// task yields between them.
     ///
     /// The decision module receives only what differs, also from a full list. A list that does not
     /// [fit](Self::fits) is rejected with a log message. The future must not be dropped before it completes:
-    /// the slices applied by then would stay in force.
-    pub async fn commit(&self, staged: StagedList, full: bool) {
+    /// the steps applied by then would stay in force.
+    pub async fn apply(&self, staged: StagedList, full: bool) {
         let Some(mut update) = self.begin_update(staged, full) else { return };
         while !self.apply_step(&mut update) {
             yield_now().await;
@@ -54,7 +54,7 @@
     }
 
     /// Applies, without yielding, the list that was known before this process started.
-    pub fn take_over<E: Borrow<Entry>>(&self, full: bool, entries: impl IntoIterator<Item = E>) {
+    pub fn apply_known_list<E: Borrow<Entry>>(&self, full: bool, entries: impl IntoIterator<Item = E>) {
         let mut staged = self.stage(usize::MAX);
         let added = entries.into_iter().try_for_each(|entry| self.add_entry(&mut staged, entry.borrow()));
         if let Err(error) = added {
@@ -65,8 +65,8 @@
     }
 
     /// Applies a list in the same way, and treats it as current: the list of the sender's own configuration.
-    pub fn take_over_as_told<E: Borrow<Entry>>(&self, full: bool, entries: impl IntoIterator<Item = E>) {
-        self.take_over(full, entries);
+    pub fn apply_current_list<E: Borrow<Entry>>(&self, full: bool, entries: impl IntoIterator<Item = E>) {
+        self.apply_known_list(full, entries);
         self.inner.borrow_mut().host.has_current_list = true;
     }
 
@@ -75,10 +75,11 @@
         let kind = host.names.kinds.get(&entry.kind).and_then(|kind| u16::try_from(*kind).ok());
         let Some(kind) = kind else {
             staged.log_unknown_kind(&entry.name, &entry.kind);
-            return staged.keep(&mut host.directory, &entry.name);
+            return staged.skip_entry(&mut host.directory, &entry.name);
         };
-        let place = Place { address: entry.address, destination: DestinationId(entry.destination), kind };
-        let listed = Line { name: &entry.name, place, live: entry.live, rate: entry.rate };
+        let spec =
+            EndpointSpec { address: entry.address, destination: DestinationId(entry.destination), kind };
+        let listed = EndpointEntry { name: &entry.name, spec, live: entry.live, rate: entry.rate };
         staged.add(&mut host.directory, &listed)
     }
 
@@ -102,7 +103,7 @@
         let Inner { sender, host, .. } = &mut *self.inner.borrow_mut();
         let (listings, last) = match update.step(&mut host.directory) {
             Step::Searched => return false,
-            Step::Lines(listings) => (listings, false),
+            Step::Changes(listings) => (listings, false),
             Step::Last(listings) => (listings, true),
         };
         let removed = listings.iter().filter(|listing| !listing.live);
--- a/crates/sailcart-sender/src/exchange/mod.rs
+++ b/crates/sailcart-sender/src/exchange/mod.rs
@@ -23,7 +23,7 @@
 use tokio::time::sleep_until;
 
 use self::host_state::HostState;
-pub use self::packets::Answer;
+pub use self::packets::SubmitReply;
 pub use self::staged::{ListTooLarge, StagedList};
 use crate::endpoints::Endpoints;
 use crate::memory::Notice;
@@ -40,9 +40,9 @@
     /// Signalled on every input: a round is due.
     round_requested: Notify,
     /// Signalled when a notice is pending.
-    pub notices: Notify,
+    pub notice_queued: Notify,
     /// Signalled when a call that carries notices is sent.
-    pub notices_out: Notify,
+    pub notices_sent: Notify,
     /// Signalled when the platform has acknowledged notices.
     notices_acknowledged: Notify,
 }
@@ -60,23 +60,32 @@
         let host = HostState::new(&settings, names, ledger);
         let inner = Inner { sender: Sender::new(settings, seed), host, stopped: false };
         let (round_requested, notices_acknowledged) = (Notify::new(), Notify::new());
-        let (notices, notices_out) = (Notify::new(), Notify::new());
-        Exchange { inner: RefCell::new(inner), round_requested, notices, notices_out, notices_acknowledged }
+        let (notice_queued, notices_sent) = (Notify::new(), Notify::new());
+        Exchange {
+            inner: RefCell::new(inner),
+            round_requested,
+            notice_queued,
+            notices_sent,
+            notices_acknowledged,
+        }
     }
 
     /// Calls `read` with the pending notices: those that the platform has not acknowledged.
-    pub fn owed<T>(&self, read: impl FnOnce(&mut dyn Iterator<Item = (PacketId, &str, Notice)>) -> T) -> T {
-        read(&mut self.inner.borrow().host.ledger.owed())
+    pub fn pending_notices<T>(
+        &self,
+        read: impl FnOnce(&mut dyn Iterator<Item = (PacketId, &str, Notice)>) -> T,
+    ) -> T {
+        read(&mut self.inner.borrow().host.ledger.pending_notices())
     }
 
     /// Calls `read` with the pending notices that may be sent now: those that this process or a later one can
     /// no longer contradict by delivering the packet.
-    pub fn tellable<T>(
+    pub fn sendable_notices<T>(
         &self,
         read: impl FnOnce(&mut dyn Iterator<Item = (PacketId, &str, Notice)>) -> T,
     ) -> T {
         let host = &self.inner.borrow().host;
-        read(&mut host.ledger.tellable(|deadline| host.clock.is_past(deadline)))
+        read(&mut host.ledger.sendable_notices(|deadline| host.clock.is_past(deadline)))
     }
 
     /// Number of invariant violations in this process.
@@ -84,22 +93,22 @@
         self.inner.borrow().host.violations.total()
     }
 
-    /// Number of changes that are not yet written to the state folder.
-    pub fn behind(&self) -> usize {
-        self.inner.borrow().host.ledger.behind()
+    /// Number of groups of changes that are not yet written to the state folder.
+    pub fn unwritten_groups(&self) -> usize {
+        self.inner.borrow().host.ledger.unwritten_groups()
     }
 
     /// Removes notices that the platform has acknowledged.
-    pub fn told(&self, ids: &[PacketId]) {
+    pub fn acknowledge_notices(&self, ids: &[PacketId]) {
         log::debug!("notices: told {:?}", ids.iter().map(|id| id.0).collect::<Vec<_>>());
         let host = &mut self.inner.borrow_mut().host;
-        host.ledger.told(ids);
-        host.unacknowledged.told(ids);
+        host.ledger.acknowledge_notices(ids);
+        host.unacknowledged.remove(ids);
         self.notices_acknowledged.notify_waiters();
     }
 
     /// Stops accepting packets. Calls in flight may still complete.
-    pub fn stop(&self) {
+    pub fn stop_accepting_packets(&self) {
         self.inner.borrow_mut().stopped = true;
         self.round_requested.notify_one();
     }
@@ -107,7 +116,7 @@
     /// At the end of a stop, replies also to clients whose packets are on disk but might not survive a power
     /// loss yet. Without a reply the clients would have to treat them as lost, although the next process
     /// dispatches whatever is on disk.
-    pub fn answer_unsynced(&self) {
+    pub fn reply_unsynced(&self) {
         let host = &mut self.inner.borrow_mut().host;
         if !host.waiting_clients.is_empty() || !host.failure_replies.is_empty() {
             log::warn!(
@@ -120,16 +129,16 @@
 
     /// Runs a round after each input and at each time that the sender requested, but at most one per
     /// `min_interval`.
-    pub async fn rounds(self: Rc<Self>, min_interval: Duration, endpoints: Rc<Endpoints>) {
+    pub async fn run_rounds(self: Rc<Self>, min_interval: Duration, endpoints: Rc<Endpoints>) {
         loop {
-            let (wake, recorded) = {
+            let (scheduled, recorded) = {
                 let host = &self.inner.borrow().host;
-                (host.wakes.next(), host.ledger.is_recorded())
+                (host.scheduled_rounds.next(), host.ledger.is_recorded())
             };
             let latest = Instant::now() + if recorded { MAX_ROUND_INTERVAL } else { WRITE_RETRY_INTERVAL };
             tokio::select! {
                 () = self.round_requested.notified() => {}
-                () = sleep_until(wake.map_or(latest, |wake| wake.min(latest)).into()) => {}
+                () = sleep_until(scheduled.map_or(latest, |scheduled| scheduled.min(latest)).into()) => {}
             }
             let start = Instant::now();
             self.run_round(&endpoints);
@@ -139,7 +148,7 @@
 
     fn run_round(self: &Rc<Self>, endpoints: &Rc<Endpoints>) {
         let Inner { sender, host, stopped } = &mut *self.inner.borrow_mut();
-        host.wakes.meet(Instant::now());
+        host.scheduled_rounds.remove_due(Instant::now());
         if !*stopped || !host.waiting_clients.is_empty() {
             sender.decide(host.clock.now(), host);
         }
@@ -154,8 +163,8 @@
         for call in host.take_calls() {
             tokio::task::spawn_local(endpoints.clone().execute(call, self.clone()));
         }
-        if host.ledger.owed().next().is_some() {
-            self.notices.notify_one();
+        if host.ledger.pending_notices().next().is_some() {
+            self.notice_queued.notify_one();
         }
     }
 }
--- a/crates/sailcart-sender/src/inspect.rs
+++ b/crates/sailcart-sender/src/inspect.rs
@@ -9,7 +9,7 @@
 
 use crate::memory::moment::{Distance, Moment, Span, boot_id};
 use crate::memory::records::{Record, RecordKind, decode, encode_dispatch_state, key};
-use crate::memory::{Notice, Stand};
+use crate::memory::{DispatchState, Notice};
 
 /// How often the folder is read before an error counts: a running sender may retire a segment during the
 /// read.
@@ -42,7 +42,7 @@
     let (summary, records, unknown) = read_records(folder)?;
     let count = |matches: fn(&Record) -> bool| records.iter().filter(|record| matches(record)).count();
     let mut line = format!(
-        "{}: sound; {} packets not over, {} notices owed, {} ids remembered; {} segments, {} bytes, {} records",
+        "{}: sound; {} packets not completed, {} pending notices, {} ids remembered; {} segments, {} bytes, {} records",
         folder.display(),
         count(|record| matches!(record, Record::Packet(_))),
         count(|record| matches!(record, Record::PendingNotice(..))),
@@ -79,7 +79,7 @@
     for record in &records {
         match record {
             Record::Packet(packet) => {
-                let (Distance::Sure(span) | Distance::Unsure(span)) = now.distance(packet.deadline);
+                let (Distance::Monotonic(span) | Distance::WallClock(span)) = now.distance(packet.deadline);
                 let seconds_left = match span {
                     Span::Ahead(left) => left.as_secs_f64(),
                     Span::Ago(past) => -past.as_secs_f64(),
@@ -98,17 +98,17 @@
                 });
                 let state = state.copied().unwrap_or_default();
                 let _ = write!(text, ", {} dispatches", state.dispatches);
-                if state.out.is_some() {
-                    text.push_str(", one is out");
+                if state.in_flight_since.is_some() {
+                    text.push_str(", one in flight");
                 }
-                text.push_str(if state.possibly_executed_at.or(state.out).is_some() {
-                    ", may have run\n"
+                text.push_str(if state.possibly_executed_at.or(state.in_flight_since).is_some() {
+                    ", possibly executed\n"
                 } else {
                     "\n"
                 });
             }
             Record::PendingNotice(_, id, notice) => {
-                let _ = writeln!(text, "notice owed for {id}: {}", describe(notice));
+                let _ = writeln!(text, "pending notice for {id}: {}", describe(notice));
             }
             Record::DispatchState(..) | Record::Completed(..) => {}
         }
@@ -180,14 +180,14 @@
         let state = state.and_then(|value| decode(&key(RecordKind::DispatchState, packet.number), &value));
         let state = match state {
             Some(Record::DispatchState(_, state)) => state,
-            _ => Stand::default(),
+            _ => DispatchState::default(),
         };
         let possibly_executed_at =
             Some(Moment::by_wall_clock(packet.deadline.unix.saturating_sub(BEYOND_KEY_RETENTION)));
-        let value = encode_dispatch_state(&Stand {
+        let value = encode_dispatch_state(&DispatchState {
             dispatches: state.dispatches.max(1),
             possibly_executed_at,
-            out: None,
+            in_flight_since: None,
         });
         store.write(&[Change::Put(&key(RecordKind::DispatchState, packet.number), &value)])?;
     }
--- a/crates/sailcart-sender/src/life/recovery.rs
+++ b/crates/sailcart-sender/src/life/recovery.rs
@@ -1,16 +1,16 @@
 //! Recovery: restores what the previous process left unfinished, before any client is accepted.
 
-use crate::config::known::KnownList;
+use crate::config::known_list::KnownList;
 use crate::exchange::Exchange;
 
 /// Puts the last known list in force first, so that each packet finds its destination, then resumes the
 /// packets and pending notices of the journal.
-pub fn recover(exchange: &Exchange, known: &KnownList) {
-    exchange.take_over(known.summary().whole, known.entries());
-    let packets = exchange.unended();
+pub fn recover(exchange: &Exchange, known_list: &KnownList) {
+    exchange.apply_known_list(known_list.summary().full, known_list.entries());
+    let packets = exchange.uncompleted_packets();
     for packet in &packets {
-        exchange.take_back(packet);
+        exchange.restore(packet);
     }
-    let notices = exchange.owed(|pending| pending.count());
+    let notices = exchange.pending_notices(|pending| pending.count());
     log::info!("recovery: {} packets, {notices} notices", packets.len());
 }
--- a/crates/sailcart-sender/tests/clock_steps.rs
+++ b/crates/sailcart-sender/tests/clock_steps.rs
@@ -8,7 +8,7 @@
 mod peer;
 
 use peer::world::World;
-use peer::{Answer, Call, answer, put};
+use peer::{Call, SubmitReply, answer, put};
 use sailcart_shim::{Page, Word};
 
 /// Seconds by which the clock is stepped.
@@ -22,7 +22,7 @@
 }
 
 /// An endpoint that reads its first call and never answers it.
-fn hangs_once(number: usize, _: &Call) -> Answer {
+fn hangs_once(number: usize, _: &Call) -> SubmitReply {
     if number == 0 {
         thread::park_timeout(Duration::from_secs(60));
     }
@@ -167,7 +167,7 @@
     for_each_step("ids", false, |story, step| {
         let (mut world, page) = World::under_faults(story, |_, _| answer("200 OK", "", ""));
         assert_eq!(put_for(&world, "a1", 20_000), "+OK");
-        world.until("its end", |world| world.folder_shows().contains("0 packets not over"));
+        world.until("its end", |world| world.folder_shows().contains("0 packets not completed"));
         world.kill();
         step(&page, false);
         world.start();
--- a/crates/sailcart-sender/tests/stories.rs
+++ b/crates/sailcart-sender/tests/stories.rs
@@ -186,20 +186,20 @@
     let ahead = SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock") + Duration::from_secs(3600);
     let mut ledger =
         Ledger::open(&world.folder, 3_000_000, 100, sailcart_store::SyncPolicy::None).expect("a journal");
-    let number = ledger.next();
+    let number = ledger.next_number();
     let packet = Packet {
         number,
         id: "a1".into(),
         category: "notice".into(),
         customer: None,
-        mark: Some("a1".into()),
-        about: None,
+        idempotency_key: Some("a1".into()),
+        order_key: None,
         destination: DestinationId(7),
         deadline: Moment::by_wall_clock(ahead + Duration::from_secs(20)),
         body: b"hello"[..].into(),
     };
-    ledger.take(packet).expect("room");
-    ledger.sends(&[number], Moment::by_wall_clock(ahead)).expect("room");
+    ledger.accept(packet).expect("room");
+    ledger.record_dispatch(&[number], Moment::by_wall_clock(ahead)).expect("room");
     drop(ledger);
     world.start();
     world.until("its end is told", |world| !world.notices().is_empty());
@@ -292,7 +292,8 @@
     let (place, platform) = Platform::start("127.0.0.1:0");
     (0..2).for_each(|_| platform.list(&[entry("f", world.endpoint, 8, "Ready")]));
     world.reload(&world.config.replace(r#""call_slots": 8"#, r#""call_slots": 0"#));
-    let kept = "the old configuration stays, code=faulty settings: expected more than 0 in call_slots";
+    let kept =
+        "the old configuration stays in force, code=faulty settings: expected more than 0 in call_slots";
     world.until("the fault", |world| world.log().contains(kept));
     world.config = world.config.replace(&world.discovery.to_string(), &place.to_string());
     world.platform.deaf.store(true, Ordering::Relaxed);
