--- a/crates/sailcart-sender/tests/configuration.rs
+++ b/crates/sailcart-sender/tests/configuration.rs
@@ -1,28 +1,29 @@
-//! `sailcart.toml`: what is wrong with one is told at once, and where; what is in force, and where it came from.
+//! `sailcart.toml`: `check` reports all errors at once with their positions, and `config show` prints the
+//! values in force with their origins.
 
 use std::path::Path;
 use std::process::{Command, Output};
 
 const EXAMPLE: &str = include_str!("../../../examples/sailcart.toml");
 
-/// The program on a file, with a variable set.
-fn run(words: &[&str], text: &str, variable: Option<(&str, &str)>) -> (Option<i32>, String) {
-    let folder = tempfile::tempdir().expect("a folder");
+/// Runs the program on a file with this text and returns its exit code and output.
+fn run(arguments: &[&str], text: &str, variable: Option<(&str, &str)>) -> (Option<i32>, String) {
+    let folder = tempfile::tempdir().expect("temporary folder");
     let file = folder.path().join("sailcart.toml");
-    let state = folder.path().to_str().expect("a plain path");
-    std::fs::write(&file, text.replace("examples/state", state)).expect("a file");
-    let Output { status, stdout, stderr } = program(words, &file, variable);
+    let state = folder.path().to_str().expect("UTF-8 path");
+    std::fs::write(&file, text.replace("examples/state", state)).expect("write the file");
+    let Output { status, stdout, stderr } = run_on_file(arguments, &file, variable);
     (status.code(), String::from_utf8_lossy(&[stdout, stderr].concat()).into_owned())
 }
 
-fn program(words: &[&str], file: &Path, variable: Option<(&str, &str)>) -> Output {
-    let mut run = Command::new(env!("CARGO_BIN_EXE_sailcart"));
-    run.args(words).arg("--config").arg(file).envs(variable).output().expect("a run")
+fn run_on_file(arguments: &[&str], file: &Path, variable: Option<(&str, &str)>) -> Output {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_sailcart"));
+    command.args(arguments).arg("--config").arg(file).envs(variable).output().expect("run sailcart")
 }
 
 #[test]
-fn ten_faults_are_told_at_once_with_their_places() {
-    let faulty = EXAMPLE
+fn all_errors_are_reported_at_once_with_their_positions() {
+    let malformed = EXAMPLE
         .replace("name = \"n1\"", "nam = \"n1\"")
         .replace("127.0.0.1:6379", "127.0.0.1")
         .replace("\"192 MB\"", "\"many\"")
@@ -36,10 +37,11 @@
         )
         .replace("\"deduplicated\"", "\"twice\"")
         .replace("quota = 20.0", "quota = true");
-    let (status, said) = run(&["check"], &faulty, None);
-    assert_eq!(status, Some(1), "{said}");
-    let told: Vec<&str> = said.lines().map(|line| line.split(".toml: ").nth(1).expect("a place")).collect();
-    // The name is missing too, as it has another key.
+    let (status, output) = run(&["check"], &malformed, None);
+    assert_eq!(status, Some(1), "{output}");
+    let errors: Vec<&str> =
+        output.lines().map(|line| line.split(".toml: ").nth(1).expect("position")).collect();
+    // `name` is missing as well, as its key is misspelt.
     let expected = [
         "line 1, column 1: name: expected it",
         "line 2, column 1: nam: unknown key; is name meant?",
@@ -53,28 +55,28 @@
         "line 39, column 10: categories.0.repeat: expected one of idempotent, deduplicated, unrepeatable, not twice",
         "line 47, column 9: customers.0.quota: expected a number",
     ];
-    assert_eq!(told, expected);
+    assert_eq!(errors, expected);
 }
 
 #[test]
-fn what_does_not_agree_is_told_with_its_place() {
-    let category =
-        &EXAMPLE[EXAMPLE.find("[[categories]]").expect("one")..EXAMPLE.find("[[customers]]").expect("one")];
-    let twice = EXAMPLE.replace("[[customers]]", &format!("{category}\n[[customers]]"));
-    let (status, said) = run(&["check"], &twice, None);
-    assert!(status == Some(1) && said.contains("categories.1.name: notice is there twice"), "{said}");
-    let unknown = EXAMPLE.replace("kind = \"plain\"\nrate", "kind = \"large\"\nrate");
-    let (_, said) = run(&["check"], &unknown, None);
-    assert_eq!(said.matches("no kind large").count(), 2, "{said}");
-    // A section of a part that is not there: nobody shall believe that it is on.
-    let (_, said) = run(&["check"], &format!("{EXAMPLE}\n[members]\nport = 1\n"), None);
-    assert!(said.contains("members: unknown key"), "{said}");
+fn inconsistent_settings_are_reported_with_their_positions() {
+    let category = &EXAMPLE[EXAMPLE.find("[[categories]]").expect("section in the example")
+        ..EXAMPLE.find("[[customers]]").expect("section in the example")];
+    let duplicated = EXAMPLE.replace("[[customers]]", &format!("{category}\n[[customers]]"));
+    let (status, output) = run(&["check"], &duplicated, None);
+    assert!(status == Some(1) && output.contains("categories.1.name: notice is there twice"), "{output}");
+    let unknown_kind = EXAMPLE.replace("kind = \"plain\"\nrate", "kind = \"large\"\nrate");
+    let (_, output) = run(&["check"], &unknown_kind, None);
+    assert_eq!(output.matches("no kind large").count(), 2, "{output}");
+    // A section for a feature that does not exist is an error, so that nobody believes it is enabled.
+    let (_, output) = run(&["check"], &format!("{EXAMPLE}\n[members]\nport = 1\n"), None);
+    assert!(output.contains("members: unknown key"), "{output}");
 }
 
 #[test]
-fn what_is_in_force_says_where_it_came_from() {
-    let (status, said) = run(&["config", "show"], EXAMPLE, Some(("ROUTER_LISTEN", "127.0.0.2:7000")));
-    assert_eq!(status, Some(0), "{said}");
+fn config_show_prints_the_origin_of_each_value() {
+    let (status, output) = run(&["config", "show"], EXAMPLE, Some(("ROUTER_LISTEN", "127.0.0.2:7000")));
+    assert_eq!(status, Some(0), "{output}");
     for line in [
         "name = \"n1\"  # from the file",
         "listen = \"127.0.0.2:7000\"  # from ROUTER_LISTEN",
@@ -82,22 +84,22 @@
         "limits.sockets = 1024  # default",
         "categories.0.patience = \"24s\"  # from the file",
     ] {
-        assert!(said.lines().any(|other| other == line), "{line} in\n{said}");
+        assert!(output.lines().any(|other| other == line), "{line} is missing in\n{output}");
     }
 }
 
 #[test]
-fn wrong_use_is_two_and_a_missing_file_one() {
-    let run = |words: &[&str]| {
+fn exit_code_is_2_for_wrong_usage_and_1_for_a_missing_file() {
+    let exit_code = |arguments: &[&str]| {
         let output =
-            Command::new(env!("CARGO_BIN_EXE_sailcart")).args(words).env_remove("ROUTER_CONFIG").output();
-        output.expect("a run").status.code()
+            Command::new(env!("CARGO_BIN_EXE_sailcart")).args(arguments).env_remove("ROUTER_CONFIG").output();
+        output.expect("run sailcart").status.code()
     };
-    assert_eq!(run(&["serv"]), Some(2));
-    assert_eq!(run(&["check", "--confg", "x"]), Some(2));
-    assert_eq!(run(&["check"]), Some(1));
-    assert_eq!(run(&["check", "--config", "nowhere.toml"]), Some(1));
-    assert_eq!(run(&["config", "schema"]), Some(0));
-    assert_eq!(run(&["man"]), Some(0));
-    assert_eq!(run(&["completions", "bash"]), Some(0));
+    assert_eq!(exit_code(&["serv"]), Some(2));
+    assert_eq!(exit_code(&["check", "--confg", "x"]), Some(2));
+    assert_eq!(exit_code(&["check"]), Some(1));
+    assert_eq!(exit_code(&["check", "--config", "nowhere.toml"]), Some(1));
+    assert_eq!(exit_code(&["config", "schema"]), Some(0));
+    assert_eq!(exit_code(&["man"]), Some(0));
+    assert_eq!(exit_code(&["completions", "bash"]), Some(0));
 }
