--- a/crates/sailcart-sender/tests/directory.rs
+++ b/crates/sailcart-sender/tests/directory.rs
@@ -1,4 +1,4 @@
-//! The directory of endpoints against a plain model, what it costs, and lists that are staged.
+//! The endpoint directory: comparison with a plain model, cost of updates, and staging of lists.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -20,13 +20,13 @@
 use sailcart_sender::{config, outgoing::CallOwner};
 
 const HOUR: Duration = Duration::from_secs(3600);
-/// As many as the largest sender lists.
-const LARGEST: u32 = 440_000;
-const ANY: usize = usize::MAX;
+/// Number of endpoints that the largest sender lists.
+const LARGEST_LIST: u32 = 440_000;
+const NO_LIMIT: usize = usize::MAX;
 
-/// A line as the tests write it; `kind` is `None` where the settings do not know it.
+/// An entry as the tests write it. `kind` is `None` for a kind that is not in the settings.
 #[derive(Clone, Debug, PartialEq)]
-struct Written {
+struct TestEntry {
     name: String,
     address: SocketAddr,
     destination: u64,
@@ -35,9 +35,9 @@
     rate: f64,
 }
 
-impl Written {
+impl TestEntry {
     fn new(number: u32) -> Self {
-        Written {
+        TestEntry {
             name: format!("endpoint-{number:08}"),
             address: SocketAddr::from(([10, (number >> 16) as u8, (number >> 8) as u8, number as u8], 7001)),
             destination: u64::from(number),
@@ -62,14 +62,14 @@
     }
 }
 
-/// What the decision module hears of a line.
-type Told = (u32, u64, usize, bool, u64);
+/// What the decision module is passed for an entry, in a form that can be compared and sorted.
+type Listing = (u32, u64, usize, bool, u64);
 
-fn told(line: &ListEntry) -> Told {
-    (line.endpoint.0, line.destination.0, line.kind.0, line.live, line.rate.to_bits())
+fn listing(entry: &ListEntry) -> Listing {
+    (entry.endpoint.0, entry.destination.0, entry.kind.0, entry.live, entry.rate.to_bits())
 }
 
-/// The list as it was kept in plain maps, each walked with each news.
+/// Reference implementation of the directory: plain maps that are searched completely on each update.
 #[derive(Default)]
 struct Model {
     endpoints: HashMap<String, u32>,
@@ -79,484 +79,552 @@
 }
 
 impl Model {
-    /// Lines of what is gone, in no order, and the others in theirs. Those that say nothing new are left out.
-    fn list(&mut self, now: Duration, whole: bool, lines: &[Written]) -> (Vec<Told>, Vec<Told>) {
-        let (mut gone, mut told) = (Vec::new(), Vec::new());
-        if whole {
-            let listed: HashSet<&str> = lines.iter().map(|line| &*line.name).collect();
+    /// Applies a list. Returns the listings of removed endpoints, in no order, and the other listings in the
+    /// order of the entries. Entries that change nothing lead to no listing.
+    fn apply_list(
+        &mut self,
+        now: Duration,
+        full: bool,
+        entries: &[TestEntry],
+    ) -> (Vec<Listing>, Vec<Listing>) {
+        let (mut removed, mut listings) = (Vec::new(), Vec::new());
+        if full {
+            let listed_names: HashSet<&str> = entries.iter().map(|entry| &*entry.name).collect();
             let names: Vec<String> = self.endpoints.keys().cloned().collect();
-            for name in names.iter().filter(|name| !listed.contains(name.as_str())) {
-                self.forget(name, &mut gone);
+            for name in names.iter().filter(|name| !listed_names.contains(name.as_str())) {
+                self.remove_endpoint(name, &mut removed);
             }
         }
-        for line in lines {
-            self.read(now, line, &mut told);
+        for entry in entries {
+            self.apply_entry(now, entry, &mut listings);
         }
         self.destinations.extend(self.specs.values().map(|(spec, _)| (spec.destination.0, now)));
-        self.destinations.retain(|_, listed| now.saturating_sub(*listed) < HOUR);
-        (gone, told)
+        self.destinations.retain(|_, last_listed| now.saturating_sub(*last_listed) < HOUR);
+        (removed, listings)
     }
 
-    fn read(&mut self, now: Duration, line: &Written, told: &mut Vec<Told>) {
-        let Some(kind) = line.kind else { return };
-        let spec = line.spec(kind);
+    fn apply_entry(&mut self, now: Duration, entry: &TestEntry, listings: &mut Vec<Listing>) {
+        let Some(kind) = entry.kind else { return };
+        let spec = entry.spec(kind);
         self.destinations.insert(spec.destination.0, now);
-        let old = self.endpoints.get(&line.name).copied();
-        let same = old.filter(|id| self.specs.get(id).is_some_and(|(other, _)| *other == spec));
-        if !line.live || same.is_none() {
-            self.forget(&line.name, told);
+        let current = self.endpoints.get(&entry.name).copied();
+        let unchanged =
+            current.filter(|id| self.specs.get(id).is_some_and(|(current_spec, _)| *current_spec == spec));
+        if !entry.live || unchanged.is_none() {
+            self.remove_endpoint(&entry.name, listings);
         }
-        if line.live {
-            let endpoint = same.unwrap_or(self.next_endpoint);
-            self.next_endpoint += u32::from(same.is_none());
-            self.endpoints.insert(line.name.clone(), endpoint);
-            let before = self.specs.insert(endpoint, (spec, line.rate));
-            if before.is_none_or(|(_, rate)| rate != line.rate) {
-                told.push((endpoint, line.destination, usize::from(kind), true, line.rate.to_bits()));
+        if entry.live {
+            let endpoint = unchanged.unwrap_or(self.next_endpoint);
+            self.next_endpoint += u32::from(unchanged.is_none());
+            self.endpoints.insert(entry.name.clone(), endpoint);
+            let previous = self.specs.insert(endpoint, (spec, entry.rate));
+            if previous.is_none_or(|(_, rate)| rate != entry.rate) {
+                listings.push((endpoint, entry.destination, usize::from(kind), true, entry.rate.to_bits()));
             }
         }
     }
 
-    fn forget(&mut self, name: &str, told: &mut Vec<Told>) {
+    fn remove_endpoint(&mut self, name: &str, listings: &mut Vec<Listing>) {
         let Some(endpoint) = self.endpoints.remove(name) else { return };
         if let Some((spec, _)) = self.specs.remove(&endpoint) {
-            told.push((endpoint, spec.destination.0, usize::from(spec.kind), false, 0));
+            listings.push((endpoint, spec.destination.0, usize::from(spec.kind), false, 0));
         }
     }
 
-    /// Held lines, as a list would write them.
-    fn held(&self) -> Vec<Written> {
-        let mut held: Vec<Written> =
-            self.endpoints.iter().map(|(name, id)| self.written(name, *id)).collect();
-        held.sort_by(|a, b| a.name.cmp(&b.name));
-        held
+    /// The live endpoints as entries, sorted by name.
+    fn entries(&self) -> Vec<TestEntry> {
+        let mut entries: Vec<TestEntry> =
+            self.endpoints.iter().map(|(name, id)| self.entry(name, *id)).collect();
+        entries.sort_by(|a, b| a.name.cmp(&b.name));
+        entries
     }
 
-    fn written(&self, name: &str, id: u32) -> Written {
+    fn entry(&self, name: &str, id: u32) -> TestEntry {
         let (spec, rate) = self.specs[&id];
         let (address, destination) = (spec.address, spec.destination.0);
-        Written { name: name.to_owned(), address, destination, kind: Some(spec.kind), live: true, rate }
+        TestEntry { name: name.to_owned(), address, destination, kind: Some(spec.kind), live: true, rate }
     }
 }
 
-fn stage(directory: &mut Directory, most: usize, lines: &[Written]) -> Result<StagedList, ListTooLarge> {
-    let mut staged = StagedList::new(directory, most);
-    lines.iter().try_for_each(|line| line.add(&mut staged, directory))?;
+fn stage(
+    directory: &mut Directory,
+    max_endpoints: usize,
+    entries: &[TestEntry],
+) -> Result<StagedList, ListTooLarge> {
+    let mut staged = StagedList::new(directory, max_endpoints);
+    entries.iter().try_for_each(|entry| entry.add(&mut staged, directory))?;
     Ok(staged)
 }
 
-/// Puts a staged list in force: what each step tells, without those that tell nothing.
-fn commit(directory: &mut Directory, staged: StagedList, whole: bool, now: Duration) -> Vec<Vec<ListEntry>> {
-    let mut update = Update::new(staged, whole, directory, now);
-    let mut slices = Vec::new();
+/// Applies a staged list. Returns the listings of each step but those that only search.
+fn apply_staged(
+    directory: &mut Directory,
+    staged: StagedList,
+    full: bool,
+    now: Duration,
+) -> Vec<Vec<ListEntry>> {
+    let mut update = Update::new(staged, full, directory, now);
+    let mut steps = Vec::new();
     loop {
         match update.step(directory) {
             Step::Searched => {}
-            Step::Changes(lines) => slices.push(lines),
-            Step::Last(lines) => {
-                slices.push(lines);
-                return slices;
+            Step::Changes(listings) => steps.push(listings),
+            Step::Last(listings) => {
+                steps.push(listings);
+                return steps;
             }
         }
     }
 }
 
-fn list(directory: &mut Directory, whole: bool, now: Duration, lines: &[Written]) -> Vec<Vec<ListEntry>> {
-    let staged = stage(directory, ANY, lines).expect("room");
-    commit(directory, staged, whole, now)
+fn apply_list(
+    directory: &mut Directory,
+    full: bool,
+    now: Duration,
+    entries: &[TestEntry],
+) -> Vec<Vec<ListEntry>> {
+    let staged = stage(directory, NO_LIMIT, entries).expect("within the limit");
+    apply_staged(directory, staged, full, now)
 }
 
-/// The directory holds what the model holds, under the same ids, and knows the same destinations.
-fn assert_alike(directory: &Directory, model: &Model, destinations: std::ops::Range<u64>, what: &str) {
-    assert_eq!(directory.len(), model.endpoints.len(), "{what}");
+/// Asserts that the directory has the same endpoints as the model, with the same ids, and knows the same
+/// destinations.
+fn assert_matches_model(
+    directory: &Directory,
+    model: &Model,
+    destinations: std::ops::Range<u64>,
+    context: &str,
+) {
+    assert_eq!(directory.len(), model.endpoints.len(), "{context}");
     for (name, id) in &model.endpoints {
-        assert_eq!(directory.endpoint(name), Some(EndpointId(*id)), "{what}: {name}");
-        assert_eq!(directory.spec(EndpointId(*id)), Some(model.specs[id].0), "{what}: {name}");
+        assert_eq!(directory.endpoint(name), Some(EndpointId(*id)), "{context}: {name}");
+        assert_eq!(directory.spec(EndpointId(*id)), Some(model.specs[id].0), "{context}: {name}");
     }
     for destination in destinations {
         let known = model.destinations.contains_key(&destination);
-        assert_eq!(directory.knows(DestinationId(destination)), known, "{what}: destination {destination}");
+        assert_eq!(
+            directory.knows(DestinationId(destination)),
+            known,
+            "{context}: destination {destination}"
+        );
     }
 }
 
-/// A small world, so that names are doubled, addresses taken over and destinations left often.
+/// Generates lists from few names, addresses and destinations, so that duplicate names, reused addresses
+/// and abandoned destinations are frequent.
 struct Generator {
     rng: ChaCha8Rng,
 }
 
-const DESTINATIONS: u64 = 12;
+const DESTINATION_COUNT: u64 = 12;
 
 impl Generator {
-    fn line(&mut self, held: &[Written]) -> Written {
+    fn entry(&mut self, current: &[TestEntry]) -> TestEntry {
         let rng = &mut self.rng;
-        let mut line = match held.choose(rng) {
-            Some(line) if rng.random_bool(0.6) => line.clone(),
-            _ => Written {
-                destination: rng.random_range(0..DESTINATIONS),
-                ..Written::new(rng.random_range(0..30))
+        let mut entry = match current.choose(rng) {
+            Some(entry) if rng.random_bool(0.6) => entry.clone(),
+            _ => TestEntry {
+                destination: rng.random_range(0..DESTINATION_COUNT),
+                ..TestEntry::new(rng.random_range(0..30))
             },
         };
-        if line.name.ends_with('7') && !line.name.starts_with("long") {
-            line.name = format!("long-name-that-stands-on-the-heap-{}", line.name);
+        if entry.name.ends_with('7') && !entry.name.starts_with("long") {
+            entry.name = format!("long-name-that-stands-on-the-heap-{}", entry.name);
         }
         match rng.random_range(0..12) {
-            0 => line.live = false,
-            1 => line.address = SocketAddr::from(([10, 0, 0, rng.random_range(0..6)], 7001)),
-            2 => line.address = SocketAddr::from(([0, 0, 0, 0, 0, 0, 0, rng.random_range(0..4)], 7001)),
-            3 => line.destination = rng.random_range(0..DESTINATIONS),
-            4 => line.kind = Some(rng.random_range(0..3)),
-            5 => line.kind = None,
-            6 => line.rate = f64::from(rng.random_range(1..4)),
+            0 => entry.live = false,
+            1 => entry.address = SocketAddr::from(([10, 0, 0, rng.random_range(0..6)], 7001)),
+            2 => entry.address = SocketAddr::from(([0, 0, 0, 0, 0, 0, 0, rng.random_range(0..4)], 7001)),
+            3 => entry.destination = rng.random_range(0..DESTINATION_COUNT),
+            4 => entry.kind = Some(rng.random_range(0..3)),
+            5 => entry.kind = None,
+            6 => entry.rate = f64::from(rng.random_range(1..4)),
             _ => {}
         }
-        line
+        entry
     }
 
-    fn list(&mut self, held: &[Written]) -> Vec<Written> {
-        let mut lines = if self.rng.random_bool(0.3) { held.to_vec() } else { Vec::new() };
+    fn entries(&mut self, current: &[TestEntry]) -> Vec<TestEntry> {
+        let mut entries = if self.rng.random_bool(0.3) { current.to_vec() } else { Vec::new() };
         for _ in 0..self.rng.random_range(0..25) {
-            let line = self.line(held);
-            let at = self.rng.random_range(0..=lines.len());
-            lines.insert(at, line.clone());
+            let entry = self.entry(current);
+            let position = self.rng.random_range(0..=entries.len());
+            entries.insert(position, entry.clone());
             if self.rng.random_bool(0.2) {
-                let twin = self.line(&[line]);
-                lines.push(twin);
+                let duplicate = self.entry(&[entry]);
+                entries.push(duplicate);
             }
         }
-        lines
+        entries
     }
 }
 
 #[test]
-fn tells_the_same_lines_under_the_same_ids_as_the_plain_model() {
+fn updates_yield_the_same_listings_and_ids_as_the_model() {
     for seed in 0..150 {
         let mut generator = Generator { rng: ChaCha8Rng::seed_from_u64(seed) };
         let (mut directory, mut model, mut now) = (Directory::new(), Model::default(), Duration::ZERO);
-        for news in 0..40 {
-            let what = format!("seed {seed}, news {news}");
+        for update in 0..40 {
+            let context = format!("seed {seed}, update {update}");
             now += Duration::from_secs(generator.rng.random_range(0..1500));
-            let held = model.held();
+            let current = model.entries();
             if generator.rng.random_bool(0.2) {
-                let unused = generator.list(&held);
-                drop(stage(&mut directory, ANY, &unused).expect("room"));
-                assert_alike(&directory, &model, 0..DESTINATIONS, &format!("{what}: dropped"));
+                let unused_entries = generator.entries(&current);
+                drop(stage(&mut directory, NO_LIMIT, &unused_entries).expect("within the limit"));
+                assert_matches_model(
+                    &directory,
+                    &model,
+                    0..DESTINATION_COUNT,
+                    &format!("{context}: dropped"),
+                );
             }
-            let (whole, lines) = (generator.rng.random_bool(0.3), generator.list(&held));
-            let (mut gone, rest) = model.list(now, whole, &lines);
-            let slices = list(&mut directory, whole, now, &lines);
-            assert_eq!(slices.len(), 1, "{what}: at once");
-            let mut heard: Vec<Told> = slices[0].iter().map(told).collect();
-            heard[..gone.len()].sort_unstable();
-            gone.sort_unstable();
-            assert_eq!(heard, [gone, rest].concat(), "{what}: whole {whole}, {lines:#?}");
-            assert_alike(&directory, &model, 0..DESTINATIONS, &what);
+            let (full, entries) = (generator.rng.random_bool(0.3), generator.entries(&current));
+            let (mut removed, other_listings) = model.apply_list(now, full, &entries);
+            let steps = apply_list(&mut directory, full, now, &entries);
+            assert_eq!(steps.len(), 1, "{context}: one step");
+            let mut actual: Vec<Listing> = steps[0].iter().map(listing).collect();
+            actual[..removed.len()].sort_unstable();
+            removed.sort_unstable();
+            assert_eq!(actual, [removed, other_listings].concat(), "{context}: full {full}, {entries:#?}");
+            assert_matches_model(&directory, &model, 0..DESTINATION_COUNT, &context);
         }
     }
 }
 
-/// Lists whose difference takes several slices: the same in the end, with what goes before what comes.
+/// If the changes of a list take several steps, the result is that of the model, and removals precede
+/// additions.
 #[test]
-fn a_large_difference_comes_in_slices_and_ends_alike() {
-    const NAMES: u32 = 9_000;
+fn a_large_change_is_applied_in_steps_with_the_same_result() {
+    const NAME_COUNT: u32 = 9_000;
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let (mut directory, mut model, mut now) = (Directory::new(), Model::default(), Duration::ZERO);
-    let mut used = HashSet::new();
-    for news in 0..12 {
-        let what = format!("news {news}");
+    let mut used_ids = HashSet::new();
+    for update in 0..12 {
+        let context = format!("update {update}");
         now += Duration::from_secs(600);
-        let mut lines = Vec::new();
-        for number in 0..NAMES {
-            let mut line = Written::new(number);
-            line.destination = u64::from(number / 2);
-            line.live = rng.random_bool(0.8);
-            line.rate = f64::from(rng.random_range(1..4));
-            line.address.set_port(rng.random_range(1..4));
+        let mut entries = Vec::new();
+        for number in 0..NAME_COUNT {
+            let mut entry = TestEntry::new(number);
+            entry.destination = u64::from(number / 2);
+            entry.live = rng.random_bool(0.8);
+            entry.rate = f64::from(rng.random_range(1..4));
+            entry.address.set_port(rng.random_range(1..4));
             if rng.random_bool(0.7) {
-                lines.push(line);
+                entries.push(entry);
             }
         }
-        let whole = news % 3 == 0;
-        let held: Vec<(String, EndpointId)> = model
+        let full = update % 3 == 0;
+        let endpoints_before: Vec<(String, EndpointId)> = model
             .endpoints
             .keys()
-            .map(|name| (name.clone(), directory.endpoint(name).expect("the model has it")))
+            .map(|name| (name.clone(), directory.endpoint(name).expect("endpoint of the model")))
             .collect();
-        model.list(now, whole, &lines);
-        let slices = list(&mut directory, whole, now, &lines);
-        assert!(slices.len() > 1 && slices.iter().all(|slice| slice.len() <= MAX_CHANGES_PER_STEP), "{what}");
-        let all: Vec<&ListEntry> = slices.iter().flatten().collect();
-        let first_live = all.iter().position(|line| line.live).expect("some are live");
-        let before: HashSet<EndpointId> = all[..first_live].iter().map(|line| line.endpoint).collect();
-        let left = held.iter().filter(|(name, _)| !model.endpoints.contains_key(name));
+        model.apply_list(now, full, &entries);
+        let steps = apply_list(&mut directory, full, now, &entries);
+        assert!(steps.len() > 1 && steps.iter().all(|step| step.len() <= MAX_CHANGES_PER_STEP), "{context}");
+        let listings: Vec<&ListEntry> = steps.iter().flatten().collect();
+        let first_live = listings.iter().position(|listing| listing.live).expect("some are live");
+        let removed_first: HashSet<EndpointId> =
+            listings[..first_live].iter().map(|listing| listing.endpoint).collect();
+        let removed = endpoints_before.iter().filter(|(name, _)| !model.endpoints.contains_key(name));
         assert!(
-            left.clone().all(|(_, endpoint)| before.contains(endpoint)),
-            "{what}: what leaves goes first"
+            removed.clone().all(|(_, endpoint)| removed_first.contains(endpoint)),
+            "{context}: removals come first"
         );
-        assert!(news == 0 || left.count() > 0, "{what}");
-        let held: HashSet<EndpointId> = held.into_iter().map(|(_, endpoint)| endpoint).collect();
-        for line in all.iter().filter(|line| line.live && !held.contains(&line.endpoint)) {
-            assert!(used.insert(line.endpoint), "{what}: an id is used once");
+        assert!(update == 0 || removed.count() > 0, "{context}");
+        let ids_before: HashSet<EndpointId> =
+            endpoints_before.into_iter().map(|(_, endpoint)| endpoint).collect();
+        for listing in
+            listings.iter().filter(|listing| listing.live && !ids_before.contains(&listing.endpoint))
+        {
+            assert!(used_ids.insert(listing.endpoint), "{context}: ids are not reused");
         }
-        assert_eq!(directory.len(), model.endpoints.len(), "{what}");
+        assert_eq!(directory.len(), model.endpoints.len(), "{context}");
         for (name, id) in &model.endpoints {
-            let endpoint = directory.endpoint(name).expect("the model has it");
-            assert_eq!(directory.spec(endpoint), Some(model.specs[id].0), "{what}: {name}");
+            let endpoint = directory.endpoint(name).expect("endpoint of the model");
+            assert_eq!(directory.spec(endpoint), Some(model.specs[id].0), "{context}: {name}");
         }
-        for destination in 0..u64::from(NAMES) {
+        for destination in 0..u64::from(NAME_COUNT) {
             let known = model.destinations.contains_key(&destination);
-            assert_eq!(directory.knows(DestinationId(destination)), known, "{what}: {destination}");
+            assert_eq!(directory.knows(DestinationId(destination)), known, "{context}: {destination}");
         }
     }
 }
 
-/// The last of two lines counts, also where the first or the second says nothing new, and also in slices.
+/// Of two entries with the same name the last one counts, also if one of them changes nothing and if the
+/// update takes several steps.
 #[test]
-fn the_last_line_of_a_name_counts_also_in_slices() {
+fn the_last_entry_of_a_name_counts_in_several_steps() {
     let mut directory = Directory::new();
-    let held = Written::new(1);
-    let moved = Written { address: "10.9.9.9:1".parse().expect("an address"), ..held.clone() };
-    let drains = Written { live: false, ..held.clone() };
-    let many: Vec<Written> = (10..10 + MAX_CHANGES_PER_STEP as u32).map(Written::new).collect();
-    let cases: [(&[&Written], Option<&Written>); 5] = [
-        (&[&moved, &held], Some(&held)),
-        (&[&held, &moved], Some(&moved)),
-        (&[&drains, &moved], Some(&moved)),
-        (&[&moved, &drains], None),
-        (&[&held, &drains], None),
+    let current = TestEntry::new(1);
+    let moved = TestEntry { address: "10.9.9.9:1".parse().expect("valid address"), ..current.clone() };
+    let draining = TestEntry { live: false, ..current.clone() };
+    let other_entries: Vec<TestEntry> = (10..10 + MAX_CHANGES_PER_STEP as u32).map(TestEntry::new).collect();
+    let cases: [(&[&TestEntry], Option<&TestEntry>); 5] = [
+        (&[&moved, &current], Some(&current)),
+        (&[&current, &moved], Some(&moved)),
+        (&[&draining, &moved], Some(&moved)),
+        (&[&moved, &draining], None),
+        (&[&current, &draining], None),
     ];
-    for (number, (lines, left)) in cases.into_iter().enumerate() {
-        list(&mut directory, true, HOUR, std::slice::from_ref(&held));
-        let mut lines: Vec<Written> = lines.iter().copied().cloned().collect();
-        lines.extend_from_slice(&many);
-        assert!(list(&mut directory, false, HOUR, &lines).len() > 1, "case {number}");
-        let spec = directory.endpoint(&held.name).and_then(|endpoint| directory.spec(endpoint));
-        assert_eq!(spec, left.map(|line| line.spec(0)), "case {number}");
+    for (number, (entries, expected)) in cases.into_iter().enumerate() {
+        apply_list(&mut directory, true, HOUR, std::slice::from_ref(&current));
+        let mut entries: Vec<TestEntry> = entries.iter().copied().cloned().collect();
+        entries.extend_from_slice(&other_entries);
+        assert!(apply_list(&mut directory, false, HOUR, &entries).len() > 1, "case {number}");
+        let spec = directory.endpoint(&current.name).and_then(|endpoint| directory.spec(endpoint));
+        assert_eq!(spec, expected.map(|entry| entry.spec(0)), "case {number}");
     }
 }
 
 #[test]
-fn nothing_counts_until_it_is_committed_or_where_another_was_begun() {
+fn a_staged_list_has_no_effect_until_it_is_applied_or_if_it_is_superseded() {
     let mut directory = Directory::new();
-    let old: Vec<Written> = (0..50).map(Written::new).collect();
-    list(&mut directory, true, HOUR, &old);
-    let new: Vec<Written> = (40..90).map(Written::new).collect();
-    let staged = stage(&mut directory, ANY, &new).expect("room");
-    assert_eq!((directory.len(), staged.differences()), (50, 40), "lines that say nothing new take no room");
-    let later = stage(&mut directory, ANY, &old[..45]).expect("room");
-    assert!(commit(&mut directory, staged, true, HOUR)[0].is_empty(), "superseded");
+    let old_entries: Vec<TestEntry> = (0..50).map(TestEntry::new).collect();
+    apply_list(&mut directory, true, HOUR, &old_entries);
+    let new_entries: Vec<TestEntry> = (40..90).map(TestEntry::new).collect();
+    let staged = stage(&mut directory, NO_LIMIT, &new_entries).expect("within the limit");
+    assert_eq!(
+        (directory.len(), staged.differences()),
+        (50, 40),
+        "entries that change nothing are not stored"
+    );
+    let later = stage(&mut directory, NO_LIMIT, &old_entries[..45]).expect("within the limit");
+    assert!(apply_staged(&mut directory, staged, true, HOUR)[0].is_empty(), "superseded");
     assert_eq!(directory.len(), 50);
-    let lines = commit(&mut directory, later, true, HOUR).concat();
-    assert!(lines.iter().all(|line| !line.live) && lines.len() == 5, "{lines:?}");
+    let listings = apply_staged(&mut directory, later, true, HOUR).concat();
+    assert!(listings.iter().all(|listing| !listing.live) && listings.len() == 5, "{listings:?}");
 }
 
-/// As many lines as one slice holds come at once: an endpoint that moved is two of them, one with another rate is one.
+/// Up to `MAX_CHANGES_PER_STEP` listings are returned in one step. An endpoint with another address leads to
+/// two listings, one with another rate to one.
 #[test]
-fn a_difference_that_fits_one_slice_comes_at_once() {
+fn changes_that_fit_one_step_are_applied_in_one_step() {
     let mut directory = Directory::new();
-    let mut lines: Vec<Written> = (0..MAX_CHANGES_PER_STEP as u32).map(Written::new).collect();
-    let mut slices = |lines: &[Written]| -> Vec<usize> {
-        list(&mut directory, false, HOUR, lines).iter().map(Vec::len).collect()
+    let mut entries: Vec<TestEntry> = (0..MAX_CHANGES_PER_STEP as u32).map(TestEntry::new).collect();
+    let mut step_lengths = |entries: &[TestEntry]| -> Vec<usize> {
+        apply_list(&mut directory, false, HOUR, entries).iter().map(Vec::len).collect()
     };
-    assert_eq!(slices(&lines), [MAX_CHANGES_PER_STEP]);
-    lines.iter_mut().for_each(|line| line.rate += 1.0);
-    assert_eq!(slices(&lines), [MAX_CHANGES_PER_STEP]);
-    lines[..MAX_CHANGES_PER_STEP / 2].iter_mut().for_each(|line| line.address.set_port(9));
-    assert_eq!(slices(&lines), [MAX_CHANGES_PER_STEP]);
-    lines.iter_mut().for_each(|line| line.address.set_port(10));
-    assert_eq!(slices(&lines), [MAX_CHANGES_PER_STEP, MAX_CHANGES_PER_STEP]);
-    lines.iter_mut().for_each(|line| line.live = false);
-    assert_eq!(slices(&lines), [MAX_CHANGES_PER_STEP]);
+    assert_eq!(step_lengths(&entries), [MAX_CHANGES_PER_STEP]);
+    entries.iter_mut().for_each(|entry| entry.rate += 1.0);
+    assert_eq!(step_lengths(&entries), [MAX_CHANGES_PER_STEP]);
+    entries[..MAX_CHANGES_PER_STEP / 2].iter_mut().for_each(|entry| entry.address.set_port(9));
+    assert_eq!(step_lengths(&entries), [MAX_CHANGES_PER_STEP]);
+    entries.iter_mut().for_each(|entry| entry.address.set_port(10));
+    assert_eq!(step_lengths(&entries), [MAX_CHANGES_PER_STEP, MAX_CHANGES_PER_STEP]);
+    entries.iter_mut().for_each(|entry| entry.live = false);
+    assert_eq!(step_lengths(&entries), [MAX_CHANGES_PER_STEP]);
 }
 
-/// What is gone is looked for in steps too, and nothing changes before all is found.
+/// The search for endpoints that a full list does not name runs in steps too, and nothing changes before it
+/// is complete.
 #[test]
-fn a_whole_list_is_searched_in_steps() {
+fn unlisted_endpoints_are_searched_in_steps() {
     let mut directory = Directory::new();
-    let all: Vec<Written> = (0..40_000).map(Written::new).collect();
-    list(&mut directory, true, HOUR, &all);
-    let staged = stage(&mut directory, ANY, &all[1..]).expect("room");
+    let all_entries: Vec<TestEntry> = (0..40_000).map(TestEntry::new).collect();
+    apply_list(&mut directory, true, HOUR, &all_entries);
+    let staged = stage(&mut directory, NO_LIMIT, &all_entries[1..]).expect("within the limit");
     let mut update = Update::new(staged, true, &directory, HOUR);
     for _ in 0..2 {
         assert!(matches!(update.step(&mut directory), Step::Searched));
-        assert_eq!(directory.len(), all.len());
+        assert_eq!(directory.len(), all_entries.len());
     }
-    let Step::Last(lines) = update.step(&mut directory) else { panic!("expected the last step") };
-    assert_eq!(lines.iter().map(told).collect::<Vec<_>>(), [(0, 0, 0, false, 0)]);
+    let Step::Last(listings) = update.step(&mut directory) else { panic!("expected the last step") };
+    assert_eq!(listings.iter().map(listing).collect::<Vec<_>>(), [(0, 0, 0, false, 0)]);
 }
 
-/// Guards against half of an old list that goes on over a newer one.
+/// Guards against the rest of an old list being applied over a newer one.
 #[test]
-fn a_list_on_its_way_ends_where_another_is_begun() {
+fn an_update_ends_early_when_another_list_is_begun() {
     let mut directory = Directory::new();
-    let all: Vec<Written> = (0..10_000).map(Written::new).collect();
-    let staged = stage(&mut directory, ANY, &all).expect("room");
+    let all_entries: Vec<TestEntry> = (0..10_000).map(TestEntry::new).collect();
+    let staged = stage(&mut directory, NO_LIMIT, &all_entries).expect("within the limit");
     let mut update = Update::new(staged, false, &directory, HOUR);
-    let Step::Changes(first) = update.step(&mut directory) else { panic!("expected lines") };
-    let newer = stage(&mut directory, ANY, &all[..10]).expect("room");
-    assert!(matches!(update.step(&mut directory), Step::Last(lines) if lines.is_empty()));
-    assert_eq!(directory.len(), first.len());
-    commit(&mut directory, newer, true, HOUR);
+    let Step::Changes(first_changes) = update.step(&mut directory) else { panic!("expected changes") };
+    let newer_list = stage(&mut directory, NO_LIMIT, &all_entries[..10]).expect("within the limit");
+    assert!(matches!(update.step(&mut directory), Step::Last(listings) if listings.is_empty()));
+    assert_eq!(directory.len(), first_changes.len());
+    apply_staged(&mut directory, newer_list, true, HOUR);
     assert_eq!(directory.len(), 10);
 }
 
 #[test]
-fn a_list_without_news_tells_nothing_once() {
+fn an_unchanged_list_yields_one_empty_step() {
     let mut directory = Directory::new();
-    let all: Vec<Written> = (0..5_000).map(Written::new).collect();
-    assert_eq!(list(&mut directory, true, HOUR, &all).concat().len(), 5_000);
-    for (whole, lines) in [(true, &all[..]), (false, &all[..70]), (false, &[])] {
-        let staged = stage(&mut directory, ANY, lines).expect("room");
+    let all_entries: Vec<TestEntry> = (0..5_000).map(TestEntry::new).collect();
+    assert_eq!(apply_list(&mut directory, true, HOUR, &all_entries).concat().len(), 5_000);
+    for (full, entries) in [(true, &all_entries[..]), (false, &all_entries[..70]), (false, &[])] {
+        let staged = stage(&mut directory, NO_LIMIT, entries).expect("within the limit");
         assert_eq!(staged.differences(), 0);
-        let slices = commit(&mut directory, staged, whole, HOUR);
-        assert_eq!(slices.iter().map(Vec::len).collect::<Vec<_>>(), [0]);
+        let steps = apply_staged(&mut directory, staged, full, HOUR);
+        assert_eq!(steps.iter().map(Vec::len).collect::<Vec<_>>(), [0]);
     }
 }
 
 #[test]
-fn a_list_that_names_too_many_is_refused_and_changes_nothing() {
+fn a_list_with_too_many_endpoints_is_rejected_and_changes_nothing() {
     let mut directory = Directory::new();
     let too_large = Err(ListTooLarge { max_endpoints: 100 });
-    let all: Vec<Written> = (0..300).map(Written::new).collect();
+    let all_entries: Vec<TestEntry> = (0..300).map(TestEntry::new).collect();
     let mut staged = StagedList::new(&mut directory, 100);
-    let refused = all.iter().position(|line| line.add(&mut staged, &mut directory).is_err());
-    assert_eq!((refused, directory.len()), (Some(100), 0), "as soon as there is one too many");
-    // What is distinct counts, and what drains does not.
-    let mut lines = [&all[..100], &all[..100]].concat();
-    lines[0].live = false;
-    lines.push(Written { live: false, ..all[150].clone() });
-    let staged = stage(&mut directory, 100, &lines).expect("a hundred names");
+    let rejected_at = all_entries.iter().position(|entry| entry.add(&mut staged, &mut directory).is_err());
+    assert_eq!((rejected_at, directory.len()), (Some(100), 0), "rejected at the first entry above the limit");
+    // Each name counts once, and draining endpoints do not count.
+    let mut entries = [&all_entries[..100], &all_entries[..100]].concat();
+    entries[0].live = false;
+    entries.push(TestEntry { live: false, ..all_entries[150].clone() });
+    let staged = stage(&mut directory, 100, &entries).expect("100 names");
     assert_eq!(staged.fits(&directory, true), Ok(()));
-    commit(&mut directory, staged, true, HOUR);
+    apply_staged(&mut directory, staged, true, HOUR);
     assert_eq!(directory.len(), 100);
-    // A partial list is counted with what is held, a whole one by itself; endpoints of unknown kinds stay.
-    let staged = stage(&mut directory, 100, &all[100..110]).expect("ten");
+    // An incremental list is counted together with the directory, a full one by itself. Endpoints that are
+    // named with an unknown kind stay and count.
+    let staged = stage(&mut directory, 100, &all_entries[100..110]).expect("ten names");
     assert_eq!((staged.fits(&directory, true), staged.fits(&directory, false)), (Ok(()), too_large));
-    let drains = all[..10].iter().map(|line| Written { live: false, ..line.clone() });
-    let lines: Vec<Written> = drains.chain(all[100..110].iter().cloned()).collect();
-    let staged = stage(&mut directory, 100, &lines).expect("ten for ten");
+    let draining = all_entries[..10].iter().map(|entry| TestEntry { live: false, ..entry.clone() });
+    let entries: Vec<TestEntry> = draining.chain(all_entries[100..110].iter().cloned()).collect();
+    let staged = stage(&mut directory, 100, &entries).expect("ten names for ten removed ones");
     assert_eq!(staged.fits(&directory, false), Ok(()));
-    let unknown = all[..91].iter().map(|line| Written { kind: None, ..line.clone() });
-    let lines: Vec<Written> = unknown.chain(all[100..110].iter().cloned()).collect();
-    assert_eq!(stage(&mut directory, 100, &lines).err(), too_large.err());
-    // Endpoints that are not held and drain take room too while they are staged.
-    let drains = (1_000..4_000).map(|number| Written { live: false, ..Written::new(number) });
-    assert_eq!(stage(&mut directory, 100, &drains.collect::<Vec<_>>()).err(), too_large.err());
+    let unknown_kinds = all_entries[..91].iter().map(|entry| TestEntry { kind: None, ..entry.clone() });
+    let entries: Vec<TestEntry> = unknown_kinds.chain(all_entries[100..110].iter().cloned()).collect();
+    assert_eq!(stage(&mut directory, 100, &entries).err(), too_large.err());
+    // Draining entries of endpoints that are not in the directory count against the limit on staged entries.
+    let draining = (1_000..4_000).map(|number| TestEntry { live: false, ..TestEntry::new(number) });
+    assert_eq!(stage(&mut directory, 100, &draining.collect::<Vec<_>>()).err(), too_large.err());
 }
 
-/// By count, not by time: a news costs what it changes, whatever is listed.
+/// The cost of an update depends on its changes and not on the number of listed endpoints. Cost is measured
+/// in visits, not in time.
 #[test]
-fn a_news_visits_no_more_than_it_changes() {
+fn an_update_visits_slots_in_proportion_to_its_changes() {
     const CHANGES: u32 = 12;
-    /// A line is compared, its endpoint found, removed and entered anew: each looks at a slot or two.
-    const VISITS: u64 = 16;
-    let mut most = BTreeMap::new();
-    for listed in [20, 5_000, 100_000] {
+    /// An entry is compared, and its endpoint is found, removed and inserted again. Each of these visits one
+    /// or two slots.
+    const MAX_VISITS_PER_CHANGE: u64 = 16;
+    let mut max_visits = BTreeMap::new();
+    for listed_count in [20, 5_000, 100_000] {
         let mut directory = Directory::new();
-        let all: Vec<Written> = (0..listed).map(Written::new).collect();
-        list(&mut directory, true, HOUR, &all);
-        for news in 0..20 {
-            let mut lines: Vec<Written> = all[..CHANGES as usize].to_vec();
-            for (number, line) in lines.iter_mut().enumerate() {
+        let all_entries: Vec<TestEntry> = (0..listed_count).map(TestEntry::new).collect();
+        apply_list(&mut directory, true, HOUR, &all_entries);
+        for update in 0..20 {
+            let mut entries: Vec<TestEntry> = all_entries[..CHANGES as usize].to_vec();
+            for (number, entry) in entries.iter_mut().enumerate() {
                 match number % 4 {
-                    0 => line.rate += f64::from(news),
-                    1 => line.address.set_port(8000 + news as u16),
-                    2 => line.destination = u64::from(listed + news),
-                    _ => line.live = news % 2 == 1,
+                    0 => entry.rate += f64::from(update),
+                    1 => entry.address.set_port(8000 + update as u16),
+                    2 => entry.destination = u64::from(listed_count + update),
+                    _ => entry.live = update % 2 == 1,
                 }
             }
-            let before = directory.visited();
-            list(&mut directory, false, HOUR * (news + 1), &lines);
-            let visited = directory.visited() - before;
-            most.entry(listed).and_modify(|most: &mut u64| *most = visited.max(*most)).or_insert(visited);
-            let before = directory.visited();
-            list(&mut directory, false, HOUR * (news + 1), &[]);
-            assert!(directory.visited() - before <= 1, "a news without lines looks at nothing");
+            let visited_before = directory.visited();
+            apply_list(&mut directory, false, HOUR * (update + 1), &entries);
+            let visited = directory.visited() - visited_before;
+            max_visits
+                .entry(listed_count)
+                .and_modify(|max: &mut u64| *max = visited.max(*max))
+                .or_insert(visited);
+            let visited_before = directory.visited();
+            apply_list(&mut directory, false, HOUR * (update + 1), &[]);
+            assert!(
+                directory.visited() - visited_before <= 1,
+                "an update without entries visits no endpoint"
+            );
         }
     }
-    assert!(most.values().all(|visited| *visited <= VISITS * u64::from(CHANGES)), "{most:?}");
+    assert!(
+        max_visits.values().all(|visited| *visited <= MAX_VISITS_PER_CHANGE * u64::from(CHANGES)),
+        "{max_visits:?}"
+    );
 }
 
-/// Also where an index grows: it does so in parts.
+/// An index grows in parts, so no single entry visits a large share of the directory.
 #[test]
-fn no_line_looks_at_a_large_part_of_what_is_listed() {
-    const LISTED: u32 = 60_000;
+fn no_entry_visits_a_large_share_of_the_directory() {
+    const LISTED_COUNT: u32 = 60_000;
     let mut directory = Directory::new();
-    for number in 0..LISTED {
-        let before = directory.visited();
-        list(&mut directory, false, HOUR, &[Written::new(number)]);
-        let visited = directory.visited() - before;
-        assert!(visited <= u64::from(LISTED) / 16, "{visited} at {number}");
+    for number in 0..LISTED_COUNT {
+        let visited_before = directory.visited();
+        apply_list(&mut directory, false, HOUR, &[TestEntry::new(number)]);
+        let visited = directory.visited() - visited_before;
+        assert!(visited <= u64::from(LISTED_COUNT) / 16, "{visited} visits at entry {number}");
     }
 }
 
-/// Where a thousand destinations leave in a row, no more than so many are remembered.
+/// If a thousand destinations are removed one after another, no more of them are remembered than endpoints
+/// are allowed.
 #[test]
-fn destinations_that_left_are_bounded_and_the_oldest_go_first() {
+fn removed_destinations_are_bounded_and_the_oldest_are_forgotten_first() {
     let mut directory = Directory::new();
-    let at = |number: u32| Duration::from_secs(u64::from(number));
-    let only = |directory: &mut Directory, number: u32| {
-        let staged = stage(directory, 10, &[Written::new(number)]).expect("room");
-        commit(directory, staged, true, at(number))
+    let seconds = |number: u32| Duration::from_secs(u64::from(number));
+    let apply_only = |directory: &mut Directory, number: u32| {
+        let staged = stage(directory, 10, &[TestEntry::new(number)]).expect("within the limit");
+        apply_staged(directory, staged, true, seconds(number))
     };
     for number in 0..1_000 {
-        only(&mut directory, number);
+        apply_only(&mut directory, number);
     }
-    let known = |directory: &Directory| -> Vec<u64> {
+    let known_destinations = |directory: &Directory| -> Vec<u64> {
         (0..1_000).filter(|number| directory.knows(DestinationId(*number))).collect()
     };
-    assert_eq!(known(&directory), (989..1_000).collect::<Vec<_>>(), "the one that is listed, and ten");
-    // One that comes and goes displaces nobody, nor does one that is told again and again to drain.
+    assert_eq!(
+        known_destinations(&directory),
+        (989..1_000).collect::<Vec<_>>(),
+        "the listed one and ten removed ones"
+    );
+    // A destination that is added and removed repeatedly displaces no other, nor does one that drains
+    // repeatedly.
     for _ in 0..200 {
-        only(&mut directory, 999);
-        only(&mut directory, 998);
+        apply_only(&mut directory, 999);
+        apply_only(&mut directory, 998);
     }
-    let drains = Written { live: false, ..Written::new(999) };
+    let draining = TestEntry { live: false, ..TestEntry::new(999) };
     for _ in 0..200 {
-        let staged = stage(&mut directory, 10, std::slice::from_ref(&drains)).expect("room");
-        commit(&mut directory, staged, false, at(1_000));
+        let staged = stage(&mut directory, 10, std::slice::from_ref(&draining)).expect("within the limit");
+        apply_staged(&mut directory, staged, false, seconds(1_000));
     }
-    assert_eq!(known(&directory), (989..1_000).collect::<Vec<_>>());
+    assert_eq!(known_destinations(&directory), (989..1_000).collect::<Vec<_>>());
 }
 
 #[test]
-fn so_many_as_the_largest_sender_lists_take_ninety_bytes_each() {
+fn the_largest_list_takes_at_most_90_bytes_per_endpoint() {
     assert_eq!(SLOT_BYTES, 64);
     let mut directory = Directory::new();
-    let mut staged = StagedList::new(&mut directory, LARGEST as usize);
-    for number in 0..LARGEST {
-        Written::new(number).add(&mut staged, &mut directory).expect("room");
+    let mut staged = StagedList::new(&mut directory, LARGEST_LIST as usize);
+    for number in 0..LARGEST_LIST {
+        TestEntry::new(number).add(&mut staged, &mut directory).expect("within the limit");
     }
-    commit(&mut directory, staged, true, HOUR);
-    assert_eq!(directory.len(), LARGEST as usize);
-    let each = directory.bytes() as f64 / f64::from(LARGEST);
-    assert!(each <= 90.0, "{each}");
+    apply_staged(&mut directory, staged, true, HOUR);
+    assert_eq!(directory.len(), LARGEST_LIST as usize);
+    let bytes_per_endpoint = directory.bytes() as f64 / f64::from(LARGEST_LIST);
+    assert!(bytes_per_endpoint <= 90.0, "{bytes_per_endpoint}");
 }
 
-/// An exchange on the example's settings.
+/// An exchange with the settings of the example.
 fn exchange(folder: &std::path::Path) -> Exchange {
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/config.json");
-    let state = folder.to_str().expect("a plain path");
+    let state = folder.to_str().expect("UTF-8 path");
     let environment = |name: &str| (name == "ROUTER_STATE").then(|| state.to_owned());
     let sender_config =
-        config::read(Some(file.into()), &environment).unwrap_or_else(|fault| panic!("{}", fault.0));
-    let ledger = Ledger::open(folder, 1_000_000, 100, sailcart_store::SyncPolicy::None).expect("a ledger");
+        config::read(Some(file.into()), &environment).unwrap_or_else(|error| panic!("{}", error.0));
+    let ledger =
+        Ledger::open(folder, 1_000_000, 100, sailcart_store::SyncPolicy::None).expect("open the ledger");
     Exchange::new(sender_config.settings, 1, sender_config.names, ledger)
 }
 
-fn entries(numbers: std::ops::Range<u32>) -> Vec<Entry> {
-    let entry = |line: Written| Entry {
-        name: line.name,
-        address: line.address,
+fn discovery_entries(numbers: std::ops::Range<u32>) -> Vec<Entry> {
+    let to_discovery_entry = |entry: TestEntry| Entry {
+        name: entry.name,
+        address: entry.address,
         kind: "k".to_owned(),
-        destination: line.destination,
-        live: line.live,
-        rate: line.rate,
+        destination: entry.destination,
+        live: entry.live,
+        rate: entry.rate,
     };
-    numbers.map(|number| entry(Written::new(number))).collect()
+    numbers.map(|number| to_discovery_entry(TestEntry::new(number))).collect()
 }
 
-/// Whether a packet for a destination is turned away at once, as for one that is not known.
-fn unknown(exchange: &Exchange, destination: u64) -> bool {
+/// Whether a packet is rejected at once because its destination is unknown.
+fn is_unknown(exchange: &Exchange, destination: u64) -> bool {
     let put = Put {
         id: &format!("p{destination}"),
         category: "notice",
@@ -571,51 +639,54 @@
 }
 
 #[test]
-fn a_large_list_is_told_in_slices_with_yields_and_counts_as_told_at_its_end() {
-    let folder = tempfile::tempdir().expect("a folder");
+fn a_large_list_is_applied_with_yields_and_takes_effect_at_its_end() {
+    let folder = tempfile::tempdir().expect("temporary folder");
     let exchange = exchange(folder.path());
     let mut staged = exchange.stage(100_000);
-    exchange.add_entries(&mut staged, entries(0..10_000)).expect("room");
-    assert!(!exchange.is_listed(EndpointId(0)), "nothing counts yet");
-    let mut commit = pin!(exchange.apply(staged, true));
+    exchange.add_entries(&mut staged, discovery_entries(0..10_000)).expect("within the limit");
+    assert!(!exchange.is_listed(EndpointId(0)), "the list is not applied yet");
+    let mut update = pin!(exchange.apply(staged, true));
     let mut context = Context::from_waker(Waker::noop());
     let mut yields = 0;
-    while commit.as_mut().poll(&mut context) == Poll::Pending {
+    while update.as_mut().poll(&mut context) == Poll::Pending {
         yields += 1;
-        assert!(!unknown(&exchange, 1_000_000 + yields), "not told yet, so nothing is unknown");
+        assert!(
+            !is_unknown(&exchange, 1_000_000 + yields),
+            "no list is in force yet, so no destination is unknown"
+        );
     }
-    assert_eq!(yields, 9, "ten chunks");
+    assert_eq!(yields, 9, "nine yields between ten chunks");
     assert!(exchange.is_listed(EndpointId(9_999)) && !exchange.is_listed(EndpointId(10_000)));
-    assert!(unknown(&exchange, 2_000_000) && !unknown(&exchange, 1));
+    assert!(is_unknown(&exchange, 2_000_000) && !is_unknown(&exchange, 1));
 
     let mut small = exchange.stage(100_000);
-    exchange.add_entries(&mut small, entries(10_000..12_000)).expect("room");
-    let mut commit = pin!(exchange.apply(small, false));
-    assert_eq!(commit.as_mut().poll(&mut context), Poll::Ready(()), "at once");
+    exchange.add_entries(&mut small, discovery_entries(10_000..12_000)).expect("within the limit");
+    let mut update = pin!(exchange.apply(small, false));
+    assert_eq!(update.as_mut().poll(&mut context), Poll::Ready(()), "applied without a yield");
     assert!(exchange.is_listed(EndpointId(11_999)));
 }
 
 #[test]
-fn a_list_dropped_or_refused_half_way_leaves_what_was_told() {
-    let folder = tempfile::tempdir().expect("a folder");
+fn a_dropped_or_rejected_list_leaves_the_previous_one_in_force() {
+    let folder = tempfile::tempdir().expect("temporary folder");
     let exchange = exchange(folder.path());
     let mut context = Context::from_waker(Waker::noop());
     let mut staged = exchange.stage(10);
-    exchange.add_entries(&mut staged, entries(0..8)).expect("room");
+    exchange.add_entries(&mut staged, discovery_entries(0..8)).expect("within the limit");
     assert!(pin!(exchange.apply(staged, true)).poll(&mut context).is_ready());
 
     let mut dropped = exchange.stage(10);
-    exchange.add_entries(&mut dropped, entries(7..9)).expect("room");
+    exchange.add_entries(&mut dropped, discovery_entries(7..9)).expect("within the limit");
     drop(dropped);
     let mut large = exchange.stage(10);
-    let refused = exchange.add_entries(&mut large, entries(0..11));
-    assert_eq!(refused, Err(ListTooLarge { max_endpoints: 10 }));
+    let rejection = exchange.add_entries(&mut large, discovery_entries(0..11));
+    assert_eq!(rejection, Err(ListTooLarge { max_endpoints: 10 }));
     drop(large);
-    let mut beside = exchange.stage(10);
-    exchange.add_entries(&mut beside, entries(8..11)).expect("three");
-    assert_eq!(exchange.fits(&beside, false), Err(ListTooLarge { max_endpoints: 10 }));
-    assert!(pin!(exchange.apply(beside, false)).poll(&mut context).is_ready());
+    let mut incremental = exchange.stage(10);
+    exchange.add_entries(&mut incremental, discovery_entries(8..11)).expect("three names");
+    assert_eq!(exchange.fits(&incremental, false), Err(ListTooLarge { max_endpoints: 10 }));
+    assert!(pin!(exchange.apply(incremental, false)).poll(&mut context).is_ready());
     let listed: Vec<u32> = (0..20).filter(|id| exchange.is_listed(EndpointId(*id))).collect();
     assert_eq!(listed, (0..8).collect::<Vec<_>>());
-    assert!(unknown(&exchange, 8) && !unknown(&exchange, 7));
+    assert!(is_unknown(&exchange, 8) && !is_unknown(&exchange, 7));
 }
--- a/crates/sailcart-sender/tests/list_reader.rs
+++ b/crates/sailcart-sender/tests/list_reader.rs
@@ -1,4 +1,5 @@
-//! The destination list read as a stream, without sockets: the same whatever the pieces, and what cannot be is a fault.
+//! The streaming parser of destination lists, without sockets: the result does not depend on how the input is
+//! split, and invalid input is an error.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -7,7 +8,8 @@
 use sailcart_terms::{ValueError, member};
 use serde_json::Value;
 
-/// A list with all that is allowed: unknown members of any kind and place, indentation, escapes, entries that cannot be read.
+/// A list with everything that is allowed: unknown members of any type at any position, indentation, escapes,
+/// and entries that cannot be parsed.
 const SAMPLE: &str = r#"
  { "extra" : { "instances": [ { "instanceId": "no" } ], "generation": 7, "a": [[], {}, "]}", -0.5e+3, null] } ,
 	"instances" :
@@ -22,8 +24,8 @@
  }
 "#;
 
-/// What a reader makes of a document that comes in these pieces.
-fn read<'a>(pieces: impl IntoIterator<Item = &'a [u8]>) -> Result<(Summary, Vec<Entry>), ValueError> {
+/// Parses a document that arrives in these pieces.
+fn parse<'a>(pieces: impl IntoIterator<Item = &'a [u8]>) -> Result<(Summary, Vec<Entry>), ValueError> {
     let mut reader = ListReader::default();
     let mut entries = Vec::new();
     for piece in pieces {
@@ -32,21 +34,21 @@
     Ok((reader.finish()?, entries))
 }
 
-fn read_whole(text: &str) -> Result<(Summary, Vec<Entry>), ValueError> {
-    read([text.as_bytes()])
+fn parse_at_once(text: &str) -> Result<(Summary, Vec<Entry>), ValueError> {
+    parse([text.as_bytes()])
 }
 
-fn fault(text: &str) -> String {
-    read_whole(text).expect_err(text).0
+fn error_text(text: &str) -> String {
+    parse_at_once(text).expect_err(text).0
 }
 
-/// Entries in a form that can be compared.
-fn shown(read: (Summary, Vec<Entry>)) -> String {
-    format!("{read:?}")
+/// Formats a result for comparison, as its types are not comparable.
+fn debug_text(result: (Summary, Vec<Entry>)) -> String {
+    format!("{result:?}")
 }
 
-/// A list of these entries.
-fn list(entries: &str) -> String {
+/// A full list of these entries.
+fn full_list(entries: &str) -> String {
     format!(r#"{{"generation":1,"reset":true,"instances":[{entries}]}}"#)
 }
 
@@ -56,8 +58,9 @@
     )
 }
 
-/// As a list was read before it came as a stream: the whole document at once, as one value.
-fn of_value(value: &Value) -> Result<discovery::List, ValueError> {
+/// Reference implementation: reads a list from the parsed JSON document, as the sender did before it read
+/// lists as streams.
+fn list_from_value(value: &Value) -> Result<discovery::List, ValueError> {
     let entries = member(value, "instances")?.as_array().ok_or("expected an array in instances")?;
     let version = member(value, "generation")?.as_u64().ok_or("expected a whole number in generation")?;
     let full = member(value, "reset")?.as_bool().ok_or("expected true or false in reset")?;
@@ -65,62 +68,71 @@
     Ok(discovery::List { version, full, entries: readable.collect() })
 }
 
-fn read_at_once(text: &str) -> Option<discovery::List> {
-    of_value(&serde_json::from_str::<Value>(text).ok()?).ok()
+fn reference_list(text: &str) -> Option<discovery::List> {
+    list_from_value(&serde_json::from_str::<Value>(text).ok()?).ok()
 }
 
 #[test]
-fn a_sample_is_read_to_its_last_member() {
-    let (summary, entries) = read_whole(SAMPLE).expect("a list");
+fn the_sample_is_parsed_completely() {
+    let (summary, entries) = parse_at_once(SAMPLE).expect("valid list");
     assert_eq!(summary, Summary { version: 43, full: true, read: 3, skipped: 6 });
     let names: Vec<&str> = entries.iter().map(|entry| &*entry.name).collect();
     assert_eq!(names, ["a-1", "b-2 \"\\ é 😀 ☃", "c"]);
     let second = &entries[1];
     assert_eq!((second.destination, second.live, second.rate), (u64::MAX, false, 2.0));
-    assert_eq!((entries[0].rate, entries[2].rate), (50.0, 1.0), "a rate that is not told is 1");
-    let at_once = read_at_once(SAMPLE).expect("a list");
-    assert_eq!(format!("{:?}", at_once.entries), format!("{entries:?}"), "as the whole document was read");
+    assert_eq!((entries[0].rate, entries[2].rate), (50.0, 1.0), "the rate defaults to 1");
+    let reference = reference_list(SAMPLE).expect("valid list");
+    assert_eq!(
+        format!("{:?}", reference.entries),
+        format!("{entries:?}"),
+        "same entries as in the reference"
+    );
 }
 
 #[test]
-fn every_split_gives_the_same_entries() {
-    let whole = shown(read_whole(SAMPLE).expect("a list"));
+fn the_result_does_not_depend_on_the_split() {
+    let expected = debug_text(parse_at_once(SAMPLE).expect("valid list"));
     let bytes = SAMPLE.as_bytes();
-    for cut in 0..=bytes.len() {
-        let (front, back) = bytes.split_at(cut);
-        assert_eq!(shown(read([front, back]).expect("a list")), whole, "cut at {cut}");
+    for position in 0..=bytes.len() {
+        let (front, back) = bytes.split_at(position);
+        assert_eq!(debug_text(parse([front, back]).expect("valid list")), expected, "split at {position}");
     }
-    for size in 1..40 {
-        assert_eq!(shown(read(bytes.chunks(size)).expect("a list")), whole, "pieces of {size}");
+    for piece_bytes in 1..40 {
+        assert_eq!(
+            debug_text(parse(bytes.chunks(piece_bytes)).expect("valid list")),
+            expected,
+            "pieces of {piece_bytes} bytes"
+        );
     }
 }
 
 #[test]
-fn a_list_that_ends_anywhere_too_early_is_a_fault() {
+fn a_truncated_list_is_an_error_at_every_length() {
     let bytes = SAMPLE.trim_end().as_bytes();
-    for cut in 0..bytes.len() {
-        assert!(read([&bytes[..cut]]).is_err(), "cut at {cut}");
+    for length in 0..bytes.len() {
+        assert!(parse([&bytes[..length]]).is_err(), "{length} bytes");
     }
-    assert!(read([bytes]).is_ok());
+    assert!(parse([bytes]).is_ok());
 }
 
 #[test]
-fn a_doubled_list_is_a_fault() {
-    assert!(fault(&SAMPLE.repeat(2)).contains("nothing after the end"));
-    for twice in [
+fn duplicated_documents_and_members_are_errors() {
+    assert!(error_text(&SAMPLE.repeat(2)).contains("nothing after the end"));
+    for duplicated in [
         r#"{"generation":1,"generation":1,"reset":true,"instances":[]}"#,
         r#"{"generation":1,"reset":true,"reset":true,"instances":[]}"#,
         r#"{"generation":1,"reset":true,"instances":[],"instances":[]}"#,
     ] {
-        assert!(fault(twice).contains("once each"), "{twice}");
+        assert!(error_text(duplicated).contains("once each"), "{duplicated}");
     }
-    let (summary, entries) = read_whole(&list(&[entry("a"), entry("a")].join(","))).expect("a list");
-    assert_eq!((summary.read, entries.len()), (2, 2), "the same entry twice is told twice");
+    let (summary, entries) =
+        parse_at_once(&full_list(&[entry("a"), entry("a")].join(","))).expect("valid list");
+    assert_eq!((summary.read, entries.len()), (2, 2), "a repeated entry is returned twice");
 }
 
 #[test]
-fn what_is_missing_or_of_another_kind_is_named() {
-    for (text, words) in [
+fn errors_name_the_missing_or_mistyped_member() {
+    for (text, expected) in [
         (r#"{"reset":true,"instances":[]}"#, "expected generation"),
         (r#"{"generation":1,"instances":[]}"#, "expected reset"),
         (r#"{"generation":1,"reset":true}"#, "expected instances"),
@@ -135,15 +147,15 @@
         ("17", "expected an object"),
         ("", "expected JSON: it ends too early"),
     ] {
-        assert_eq!(fault(text), words, "{text}");
+        assert_eq!(error_text(text), expected, "{text}");
     }
     let long = format!(r#"{{"generation":{},"reset":true,"instances":[]}}"#, "1".repeat(70_000));
-    assert_eq!(fault(&long), "expected a whole number in generation");
+    assert_eq!(error_text(&long), "expected a whole number in generation");
 }
 
-/// Which texts are JSON and which are not, as serde_json has it.
+/// The parser accepts a text exactly if serde_json does, wherever in the list the value is.
 #[test]
-fn the_grammar_is_that_of_json() {
+fn the_accepted_grammar_is_json() {
     let values = [
         "0",
         "-0",
@@ -193,65 +205,70 @@
     for value in values {
         for text in [
             format!(r#"{{"x":{value},"generation":1,"reset":true,"instances":[]}}"#),
-            list(value),
-            list(&format!("{{\"x\":{value}}}")),
-            format!("{}{value}", list("")),
+            full_list(value),
+            full_list(&format!("{{\"x\":{value}}}")),
+            format!("{}{value}", full_list("")),
         ] {
-            assert_eq!(read_whole(&text).is_ok(), read_at_once(&text).is_some(), "{text}");
+            assert_eq!(parse_at_once(&text).is_ok(), reference_list(&text).is_some(), "{text}");
         }
     }
 }
 
 #[test]
-fn what_is_not_utf_8_is_a_fault() {
-    for bytes in [&b"\xff"[..], b"\xc3", b"\xe2\x98", b"\xf0\x9f\x98", b"\xed\xa0\x80", b"\xc0\x80"] {
-        let name = [br#"{"generation":1,"reset":true,"instances":[],"x":""#, bytes, br#""}"#].concat();
-        assert!(read([&name[..]]).is_err(), "{bytes:x?}");
-        assert!(read(name.chunks(1)).is_err(), "{bytes:x?} byte by byte");
+fn invalid_utf_8_is_an_error() {
+    for invalid in [&b"\xff"[..], b"\xc3", b"\xe2\x98", b"\xf0\x9f\x98", b"\xed\xa0\x80", b"\xc0\x80"] {
+        let text = [br#"{"generation":1,"reset":true,"instances":[],"x":""#, invalid, br#""}"#].concat();
+        assert!(parse([&text[..]]).is_err(), "{invalid:x?}");
+        assert!(parse(text.chunks(1)).is_err(), "{invalid:x?} byte by byte");
     }
 }
 
-/// Bounded in memory: the next entry is read as if it had not been there.
+/// An entry larger than the limit is skipped, so that memory stays bounded. It does not affect the entries
+/// after it.
 #[test]
-fn an_entry_of_sixty_kilobytes_is_passed_over() {
+fn an_oversized_entry_is_skipped() {
     let large = entry("large").replace('{', &format!("{{\"x\":\"{}\",", "x".repeat(60_000)));
-    for pieces in [1, 100, 4096, 1 << 20] {
-        let text = list(&[entry("a"), large.clone(), entry("b")].join(" , "));
-        let (summary, entries) = read(text.as_bytes().chunks(pieces)).expect("a list");
+    for piece_bytes in [1, 100, 4096, 1 << 20] {
+        let text = full_list(&[entry("a"), large.clone(), entry("b")].join(" , "));
+        let (summary, entries) = parse(text.as_bytes().chunks(piece_bytes)).expect("valid list");
         assert_eq!((summary.read, summary.skipped), (2, 1));
         assert_eq!((&*entries[0].name, &*entries[1].name), ("a", "b"));
     }
-    let fitting = MAX_ENTRY_BYTES - entry("").len();
-    assert_eq!(read_whole(&list(&entry(&"n".repeat(fitting)))).expect("a list").0.read, 1);
-    assert_eq!(read_whole(&list(&entry(&"n".repeat(fitting + 1)))).expect("a list").0.read, 0);
+    let max_name_bytes = MAX_ENTRY_BYTES - entry("").len();
+    assert_eq!(parse_at_once(&full_list(&entry(&"n".repeat(max_name_bytes)))).expect("valid list").0.read, 1);
+    assert_eq!(
+        parse_at_once(&full_list(&entry(&"n".repeat(max_name_bytes + 1)))).expect("valid list").0.read,
+        0
+    );
 }
 
 #[test]
-fn nesting_is_bounded() {
+fn nesting_depth_is_limited() {
     for (open, close) in [("[", "]"), (r#"{"x":"#, "}")] {
         let nested = |depth: usize| format!("{}1{}", open.repeat(depth), close.repeat(depth));
-        assert_eq!(read_whole(&list(&nested(125))).expect("a list").0.skipped, 1);
-        assert!(fault(&list(&nested(126))).contains("nested too deeply"));
-        assert!(fault(&list(&open.repeat(1_000_000))).contains("nested too deeply"));
+        assert_eq!(parse_at_once(&full_list(&nested(125))).expect("valid list").0.skipped, 1);
+        assert!(error_text(&full_list(&nested(126))).contains("nested too deeply"));
+        assert!(error_text(&full_list(&open.repeat(1_000_000))).contains("nested too deeply"));
     }
 }
 
-/// Members of an entry that stand twice: the last one counts, as before.
+/// Of a member that an entry has twice, the last one counts, as in the reference.
 #[test]
-fn an_unusual_entry_is_read_with_care() {
-    let twice = entry("a").replace('}', r#","instanceId":"b","weight":2}"#);
+fn duplicate_escaped_and_mistyped_members_of_entries_are_handled() {
+    let duplicated = entry("a").replace('}', r#","instanceId":"b","weight":2}"#);
     let escaped = entry("c").replace("instanceId", r"instance\u0049d");
-    let (_, entries) = read_whole(&list(&[twice, escaped].join(","))).expect("a list");
+    let (_, entries) = parse_at_once(&full_list(&[duplicated, escaped].join(","))).expect("valid list");
     assert_eq!((&*entries[0].name, entries[0].rate, &*entries[1].name), ("b", 2.0, "c"));
-    for spoilt in [r#""weight":null"#, r#""weight":"1""#, r#""cell":1.0"#, r#""cell":-1"#, r#""hostPort":7"#]
+    for mistyped in
+        [r#""weight":null"#, r#""weight":"1""#, r#""cell":1.0"#, r#""cell":-1"#, r#""hostPort":7"#]
     {
-        let text = list(&entry("d").replace('}', &format!(",{spoilt}}}")));
-        assert_eq!(read_whole(&text).expect("a list").0.skipped, 1, "{spoilt}");
+        let text = full_list(&entry("d").replace('}', &format!(",{mistyped}}}")));
+        assert_eq!(parse_at_once(&text).expect("valid list").0.skipped, 1, "{mistyped}");
     }
 }
 
-/// JSON of any shape.
-fn json() -> impl Strategy<Value = Value> {
+/// Generates arbitrary JSON.
+fn any_json() -> impl Strategy<Value = Value> {
     let leaf = prop_oneof![
         Just(Value::Null),
         any::<bool>().prop_map(Value::from),
@@ -268,81 +285,91 @@
     })
 }
 
-/// An entry of which each member may be anything.
+/// Generates an entry; any of its members but `lifecycle` may be arbitrary JSON.
 fn any_entry() -> impl Strategy<Value = Value> {
-    let member = |good: Value| prop_oneof![8 => Just(good), 1 => json()];
-    let name = prop_oneof![any::<String>().prop_map(Value::from), json()];
+    let member_or_any = |valid: Value| prop_oneof![8 => Just(valid), 1 => any_json()];
+    let name = prop_oneof![any::<String>().prop_map(Value::from), any_json()];
     let live = prop_oneof![Just(Value::from("Ready")), Just(Value::from("Gone"))];
-    (name, member("127.0.0.1:1".into()), member("k".into()), member(7.into()), live, json()).prop_map(
-        |(name, address, kind, cell, lifecycle, extra)| {
+    (
+        name,
+        member_or_any("127.0.0.1:1".into()),
+        member_or_any("k".into()),
+        member_or_any(7.into()),
+        live,
+        any_json(),
+    )
+        .prop_map(|(name, address, kind, cell, lifecycle, extra)| {
             serde_json::json!({
                 "instanceId": name, "hostPort": address, "machineType": kind, "cell": cell,
                 "lifecycle": lifecycle, "extra": extra,
             })
-        },
-    )
+        })
 }
 
 proptest! {
     #![proptest_config(ProptestConfig {
         cases: 400,
         failure_persistence: None,
-        rng_seed: RngSeed::Fixed(7), // the same verdict each time
+        rng_seed: RngSeed::Fixed(7), // reproducible runs
         ..ProptestConfig::default()
     })]
 
     #[test]
-    fn any_list_in_any_pieces_is_read_as_the_whole_document(
+    fn any_list_split_anywhere_is_parsed_like_the_whole_document(
         entries in prop::collection::vec(any_entry(), 0..8),
-        extra in json(),
+        extra in any_json(),
         indented: bool,
-        sizes in prop::collection::vec(1_usize..60, 1..20),
+        piece_sizes in prop::collection::vec(1_usize..60, 1..20),
     ) {
         let value = serde_json::json!({"a": extra, "generation": 3, "instances": entries, "reset": false});
-        let written = if indented { serde_json::to_string_pretty(&value) } else { serde_json::to_string(&value) };
-        let text = written.expect("text");
+        let formatted = if indented { serde_json::to_string_pretty(&value) } else { serde_json::to_string(&value) };
+        let text = formatted.expect("text");
         let mut rest = text.as_bytes();
         let mut pieces = Vec::new();
         while !rest.is_empty() {
-            let size = sizes[pieces.len() % sizes.len()];
-            let (piece, left) = rest.split_at(size.min(rest.len()));
+            let size = piece_sizes[pieces.len() % piece_sizes.len()];
+            let (piece, after_piece) = rest.split_at(size.min(rest.len()));
             pieces.push(piece);
-            rest = left;
+            rest = after_piece;
         }
-        let (summary, streamed) = read(pieces).expect("a list");
-        let at_once = read_at_once(&text).expect("a list");
-        prop_assert_eq!((summary.version, summary.full), (at_once.version, at_once.full));
-        prop_assert_eq!(format!("{streamed:?}"), format!("{:?}", at_once.entries));
+        let (summary, streamed) = parse(pieces).expect("valid list");
+        let reference = reference_list(&text).expect("valid list");
+        prop_assert_eq!((summary.version, summary.full), (reference.version, reference.full));
+        prop_assert_eq!(format!("{streamed:?}"), format!("{:?}", reference.entries));
     }
 }
 
-/// Why serde_json finds no value in what is JSON by its grammar. In a stream this spoils one entry, not the list.
-const NO_VALUE: [&str; 4] = [
+/// Errors of serde_json for texts that are valid by the grammar of JSON. In a stream these invalidate one
+/// entry and not the whole list.
+const VALUE_ERRORS: [&str; 4] = [
     "number out of range",
     "lone leading surrogate in hex escape",
     "unexpected end of hex escape",
     "invalid unicode code point",
 ];
 
-/// A byte that is another, anywhere: both ways of reading say the same of the list.
+/// Replaces each byte of the sample by others: the streaming parser and the reference agree on the list.
 #[test]
-fn a_spoilt_byte_is_judged_as_in_the_whole_document() {
-    for at in 0..SAMPLE.len() {
+fn a_corrupted_byte_has_the_same_effect_as_in_the_whole_document() {
+    for position in 0..SAMPLE.len() {
         for byte in *b"{}[]:,\"\\ \n\x00\x1f\x7f\x80\xff09-+.eEtfnudDs/a" {
             let mut bytes = SAMPLE.as_bytes().to_vec();
-            bytes[at] = byte;
-            let shown = String::from_utf8_lossy(&bytes);
+            bytes[position] = byte;
+            let input = String::from_utf8_lossy(&bytes);
             let value = serde_json::from_slice::<Value>(&bytes);
-            let told = value.as_ref().map_err(|fault| fault.to_string());
-            match (read([&bytes[..]]), told.map(of_value)) {
-                (Ok((_, streamed)), Ok(Ok(at_once))) => {
-                    assert_eq!(format!("{streamed:?}"), format!("{:?}", at_once.entries), "{shown}");
+            let reference = value.as_ref().map_err(|error| error.to_string());
+            match (parse([&bytes[..]]), reference.map(list_from_value)) {
+                (Ok((_, streamed)), Ok(Ok(reference))) => {
+                    assert_eq!(format!("{streamed:?}"), format!("{:?}", reference.entries), "{input}");
                 }
-                (Ok(_), Err(words)) => {
-                    assert!(NO_VALUE.iter().any(|known| words.starts_with(known)), "{words}: {shown}");
+                (Ok(_), Err(message)) => {
+                    assert!(
+                        VALUE_ERRORS.iter().any(|known| message.starts_with(known)),
+                        "{message}: {input}"
+                    );
                 }
-                (Ok(_), Ok(Err(fault))) => panic!("taken, although {}: {shown}", fault.0),
-                (Err(fault), Ok(Ok(_))) => panic!("refused, as {}: {shown}", fault.0),
+                (Ok(_), Ok(Err(error))) => panic!("accepted, although {}: {input}", error.0),
+                (Err(error), Ok(Ok(_))) => panic!("rejected with {}: {input}", error.0),
                 (Err(_), _) => {}
             }
         }
