--- a/crates/sailcart-sender/tests/known_list.rs
+++ b/crates/sailcart-sender/tests/known_list.rs
@@ -1,41 +1,42 @@
-//! The destination list that a configuration brings: as large as discovery's, checked before anything starts, and gone from memory
-//! once it is in force.
+//! The destination list in the configuration. It may be as large as a list of discovery; it is checked before
+//! anything starts, and its text is freed once the list is in force.
 
 use std::fs;
 use std::net::TcpListener;
 use std::process::Command;
 
-#[allow(dead_code)] // other tests use the rest of it
+#[allow(dead_code)] // the other items are used by other tests
 mod peer;
 
 use peer::world::World;
 use peer::{answer, entry};
 
 const CONFIG: &str = include_str!("../../../examples/config.json");
-const EMPTY: &str = r#"{ "generation": 0, "reset": true, "instances": [] }"#;
-const MANY: usize = 100_000;
+const EMPTY_LIST: &str = r#"{ "generation": 0, "reset": true, "instances": [] }"#;
+const ENTRY_COUNT: usize = 100_000;
 
-/// What `sailcart check` says of the example with another list, and whether it found it good.
-fn check(known: &str) -> (bool, String) {
-    let folder = tempfile::tempdir().expect("a folder");
+/// Runs `sailcart check` on the example with another list. Returns whether it succeeded, and its output.
+fn check(known_list: &str) -> (bool, String) {
+    let folder = tempfile::tempdir().expect("temporary folder");
     let file = folder.path().join("config.json");
-    let state = folder.path().to_str().expect("a plain path");
-    assert!(CONFIG.contains(EMPTY));
-    let config = CONFIG.replace(EMPTY, known).replace("examples/state", state);
-    fs::write(&file, config).expect("a file");
-    let run = Command::new(env!("CARGO_BIN_EXE_sailcart")).arg("check").arg("--config").arg(&file).output();
-    let run = run.expect("a run");
-    (run.status.success(), String::from_utf8_lossy(&[run.stdout, run.stderr].concat()).into_owned())
+    let state = folder.path().to_str().expect("UTF-8 path");
+    assert!(CONFIG.contains(EMPTY_LIST));
+    let config = CONFIG.replace(EMPTY_LIST, known_list).replace("examples/state", state);
+    fs::write(&file, config).expect("write the file");
+    let result =
+        Command::new(env!("CARGO_BIN_EXE_sailcart")).arg("check").arg("--config").arg(&file).output();
+    let result = result.expect("run sailcart");
+    (result.status.success(), String::from_utf8_lossy(&[result.stdout, result.stderr].concat()).into_owned())
 }
 
-fn line(number: usize) -> String {
+fn numbered_entry(number: usize) -> String {
     let address = ([127, 9, (number / 250 % 250) as u8, (number % 250) as u8], 9).into();
     entry(&format!("many-{number}"), address, 8 + number as u64, "Ready")
 }
 
 #[test]
-fn a_faulty_list_is_told_with_its_key() {
-    let faults = [
+fn an_invalid_list_is_reported_with_its_key() {
+    let invalid_lists = [
         (
             r#"{ "generation": -1, "reset": true, "instances": [] }"#,
             "known: expected a whole number in generation",
@@ -47,54 +48,58 @@
         (r#"{ "generation": 1, "reset": true, "instances": [ }"#, "expected JSON"),
         (r#"{ "generation": 1, "#, "expected JSON"),
     ];
-    for (known, words) in faults {
-        let (good, said) = check(known);
-        assert!(!good && said.contains(words), "{known}: {said}");
+    for (known_list, expected_text) in invalid_lists {
+        let (valid, output) = check(known_list);
+        assert!(!valid && output.contains(expected_text), "{known_list}: {output}");
     }
 }
 
 #[test]
-fn a_sound_list_is_counted() {
-    let one = line(0);
-    let odd = r#"{"instanceId": "x"}"#;
+fn the_entries_of_a_valid_list_are_counted() {
+    let valid_entry = numbered_entry(0);
+    let malformed_entry = r#"{"instanceId": "x"}"#;
     let lists = [
-        (EMPTY.to_owned(), "0 endpoints known"),
+        (EMPTY_LIST.to_owned(), "0 endpoints known"),
         (
-            format!(r#"{{ "instances": [{one}, {odd}], "reset": true, "generation": 3 }}"#),
+            format!(
+                r#"{{ "instances": [{valid_entry}, {malformed_entry}], "reset": true, "generation": 3 }}"#
+            ),
             "1 endpoints known",
         ),
-        // Of two the last counts, as of any member.
+        // Of two lists the last one counts, as for any duplicate member.
         (
-            format!(r#"{EMPTY}, "known": {{"generation":3,"reset":true,"instances":[{one}]}}"#),
+            format!(r#"{EMPTY_LIST}, "known": {{"generation":3,"reset":true,"instances":[{valid_entry}]}}"#),
             "1 endpoints known",
         ),
     ];
-    for (known, words) in lists {
-        let (good, said) = check(&known);
-        assert!(good && said.contains(words), "{known}: {said}");
+    for (known_list, expected_text) in lists {
+        let (valid, output) = check(&known_list);
+        assert!(valid && output.contains(expected_text), "{known_list}: {output}");
     }
 }
 
-/// Without a discovery in reach the list serves from the first packet on. Held as a value twice over, as it was, it would take
-/// 200 MB; in force it takes 192 bytes an endpoint at most.
+/// If discovery cannot be reached, packets are dispatched by the list in the configuration from the first one
+/// on. Two copies of the list as JSON values, as there were before, would take 200 MB; in force it takes at
+/// most 192 bytes per endpoint.
 #[test]
-fn a_large_list_starts_a_sender_and_does_not_stay_beside_the_directory() {
-    let mut world = World::new("known", |_, _| answer("200 OK", "", ""));
-    world.kill();
-    let lines: Vec<String> = (0..MANY).map(line).collect();
-    let own = entry("e", world.endpoint, 7, "Ready");
-    let known = format!(r#""generation": 5, "reset": true, "instances": [{own},{}]"#, lines.join(","));
-    let nowhere =
-        TcpListener::bind("127.83.2.1:0").and_then(|socket| socket.local_addr()).expect("an address");
-    let config = world.config.replace(r#""generation": 0, "reset": true, "instances": []"#, &known);
-    assert!(config.len() > known.len());
-    world.config = config.replace(&world.discovery.to_string(), &nowhere.to_string());
-    fs::write(world.folder.join("log"), "").expect("an empty log");
-    world.start();
-    assert_eq!(world.put("a1"), "+OK");
-    world.until("the call", |world| world.came() == ["a1"]);
-    let (resident, most) = (world.memory("VmRSS"), world.memory("VmHWM"));
-    let listed = MANY * 192;
-    assert!(resident < listed + 16_000_000, "{resident} bytes resident");
-    assert!(most < known.len() + listed + 32_000_000, "{most} bytes at the most");
+fn a_sender_starts_with_a_large_list_and_frees_its_text() {
+    let mut harness = World::new("known", |_, _| answer("200 OK", "", ""));
+    harness.kill();
+    let entries: Vec<String> = (0..ENTRY_COUNT).map(numbered_entry).collect();
+    let reachable_entry = entry("e", harness.endpoint, 7, "Ready");
+    let members =
+        format!(r#""generation": 5, "reset": true, "instances": [{reachable_entry},{}]"#, entries.join(","));
+    let unused_address =
+        TcpListener::bind("127.83.2.1:0").and_then(|socket| socket.local_addr()).expect("local address");
+    let config = harness.config.replace(r#""generation": 0, "reset": true, "instances": []"#, &members);
+    assert!(config.len() > members.len());
+    harness.config = config.replace(&harness.discovery.to_string(), &unused_address.to_string());
+    fs::write(harness.folder.join("log"), "").expect("empty the log");
+    harness.start();
+    assert_eq!(harness.put("a1"), "+OK");
+    harness.until("the call has arrived", |harness| harness.came() == ["a1"]);
+    let (resident, peak) = (harness.memory("VmRSS"), harness.memory("VmHWM"));
+    let directory_bytes = ENTRY_COUNT * 192;
+    assert!(resident < directory_bytes + 16_000_000, "{resident} bytes resident");
+    assert!(peak < members.len() + directory_bytes + 32_000_000, "{peak} bytes at the peak");
 }
--- a/crates/sailcart-sender/tests/list_loading.rs
+++ b/crates/sailcart-sender/tests/list_loading.rs
@@ -1,5 +1,5 @@
-//! A sender and lists that are large, cut, spoilt or endless: the last good one stays in force, packets go out meanwhile, and
-//! memory is bounded.
+//! A sender that receives large, truncated, malformed or endless destination lists: the last valid list stays
+//! in force, packets are dispatched meanwhile, and memory is bounded.
 
 use std::fs;
 use std::io::{self, BufRead, BufReader, Write};
@@ -10,65 +10,68 @@
 use std::thread::{self, sleep};
 use std::time::{Duration, Instant};
 
-#[allow(dead_code)] // other tests use the rest of it
+#[allow(dead_code)] // the other items are used by other tests
 mod peer;
 
 use peer::world::{CONFIG, World};
 use peer::{answer, entry, put};
 
-const WATCH: &str = "/v1/servers?from=";
-const WHOLE: &str = "/v1/servers";
+/// Prefix of the path of requests for changes after a version.
+const WATCH_PATH: &str = "/v1/servers?from=";
+/// Path of requests for the full list.
+const FULL_LIST_PATH: &str = "/v1/servers";
 
-/// A call for the list.
+/// A request for the list.
 #[derive(Clone, Debug)]
-struct Asked {
-    at: Instant,
+struct ListRequest {
+    received_at: Instant,
     path: String,
 }
 
-/// A discovery of which each answer is written by hand.
+/// A discovery server whose responses are written by the test.
 struct Discovery {
     address: SocketAddr,
-    asked: Arc<Mutex<Vec<Asked>>>,
+    requests: Arc<Mutex<Vec<ListRequest>>>,
 }
 
 impl Discovery {
-    /// `reply` writes the n-th answer, from 0, to a call for this path; a fault closes the connection.
+    /// `reply` is passed the number of a request, from 0, and its path, and writes the response. If it fails,
+    /// the connection is closed.
     fn start(
         reply: impl Fn(usize, &str, &mut TcpStream) -> io::Result<()> + Send + Sync + 'static,
     ) -> Discovery {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a free address");
-        let address = listener.local_addr().expect("an address");
-        let asked = Arc::new(Mutex::new(Vec::new()));
-        let (own, reply) = (asked.clone(), Arc::new(reply));
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind to a free port");
+        let address = listener.local_addr().expect("local address");
+        let requests = Arc::new(Mutex::new(Vec::new()));
+        let (request_log, reply) = (requests.clone(), Arc::new(reply));
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (asked, reply) = (own.clone(), reply.clone());
-                thread::spawn(move || converse(stream, &asked, &*reply));
+                let (requests, reply) = (request_log.clone(), reply.clone());
+                thread::spawn(move || serve_connection(stream, &requests, &*reply));
             }
         });
-        Discovery { address, asked }
+        Discovery { address, requests }
     }
 
-    fn asked(&self) -> Vec<Asked> {
-        self.asked.lock().expect("no panic").clone()
+    fn requests(&self) -> Vec<ListRequest> {
+        self.requests.lock().expect("mutex is not poisoned").clone()
     }
 }
 
-fn converse(
+fn serve_connection(
     mut stream: TcpStream,
-    asked: &Mutex<Vec<Asked>>,
+    requests: &Mutex<Vec<ListRequest>>,
     reply: &dyn Fn(usize, &str, &mut TcpStream) -> io::Result<()>,
 ) {
-    let Ok(reading) = stream.try_clone() else { return };
-    let mut lines = BufReader::new(reading).lines().map_while(Result::ok);
-    while let Some(start) = lines.next() {
+    let Ok(read_half) = stream.try_clone() else { return };
+    let mut lines = BufReader::new(read_half).lines().map_while(Result::ok);
+    while let Some(request_line) = lines.next() {
         while lines.next().is_some_and(|line| !line.is_empty()) {}
-        let path = start.split(' ').nth(1).unwrap_or_default().to_owned();
+        let path = request_line.split(' ').nth(1).unwrap_or_default().to_owned();
         let number = {
-            let mut asked = asked.lock().expect("no panic");
-            asked.push(Asked { at: Instant::now(), path: path.clone() });
-            asked.len() - 1
+            let mut requests = requests.lock().expect("mutex is not poisoned");
+            requests.push(ListRequest { received_at: Instant::now(), path: path.clone() });
+            requests.len() - 1
         };
         if reply(number, &path, &mut stream).is_err() {
             return;
@@ -76,294 +79,343 @@
     }
 }
 
-fn list(version: u64, whole: bool, entries: &str) -> String {
-    format!(r#"{{"generation":{version},"reset":{whole},"instances":[{entries}]}}"#)
+fn list(version: u64, full: bool, entries: &str) -> String {
+    format!(r#"{{"generation":{version},"reset":{full},"instances":[{entries}]}}"#)
 }
 
-/// A whole answer with its length.
-fn say(stream: &mut TcpStream, body: &str) -> io::Result<()> {
+/// Writes a complete response with a Content-Length.
+fn respond(stream: &mut TcpStream, body: &str) -> io::Result<()> {
     stream.write_all(answer("200 OK", "", body).unwrap_or_default().as_bytes())
 }
 
-/// The answer to a watch in which nothing changes: at the end of its wait.
-fn nothing_new(stream: &mut TcpStream, path: &str, version: u64) -> io::Result<()> {
-    let hold = path.split("hold_ms=").nth(1).and_then(|hold| hold.parse().ok()).unwrap_or(0);
-    sleep(Duration::from_millis(hold));
-    say(stream, &list(version, false, ""))
+/// Responds to a watch without changes, at the end of its wait.
+fn respond_unchanged(stream: &mut TcpStream, path: &str, version: u64) -> io::Result<()> {
+    let wait_ms = path.split("hold_ms=").nth(1).and_then(|value| value.parse().ok()).unwrap_or(0);
+    sleep(Duration::from_millis(wait_ms));
+    respond(stream, &list(version, false, ""))
 }
 
-/// The n-th of many endpoints, where nobody listens.
-fn one_of_many(number: usize) -> String {
+/// The entry of the n-th of many endpoints. Nothing listens at their addresses.
+fn numbered_entry(number: usize) -> String {
     let address = SocketAddr::from(([127, 9, (number / 250) as u8, (number % 250) as u8], 9));
     entry(&format!("many-{number}"), address, 8 + number as u64 % 100, "Ready")
 }
 
-fn many(numbers: std::ops::Range<usize>) -> String {
-    numbers.map(one_of_many).collect::<Vec<_>>().join(",")
+fn numbered_entries(numbers: std::ops::Range<usize>) -> String {
+    numbers.map(numbered_entry).collect::<Vec<_>>().join(",")
 }
 
-fn chunk(stream: &mut TcpStream, bytes: &str) -> io::Result<()> {
+fn write_chunk(stream: &mut TcpStream, bytes: &str) -> io::Result<()> {
     stream.write_all(format!("{:x}\r\n{bytes}\r\n", bytes.len()).as_bytes())
 }
 
-/// A list of so many entries in chunks, the version last.
-fn say_many(stream: &mut TcpStream, version: u64, count: usize) -> io::Result<()> {
+/// Writes a full list of `count` entries in chunks, with the version last.
+fn respond_with_many(stream: &mut TcpStream, version: u64, count: usize) -> io::Result<()> {
     stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")?;
-    chunk(stream, r#"{"instances":["#)?;
+    write_chunk(stream, r#"{"instances":["#)?;
     for first in (0..count).step_by(500) {
         let comma = if first > 0 { "," } else { "" };
-        chunk(stream, &format!("{comma}{}", many(first..count.min(first + 500))))?;
+        write_chunk(stream, &format!("{comma}{}", numbered_entries(first..count.min(first + 500))))?;
     }
-    chunk(stream, &format!(r#"],"reset":true,"generation":{version}}}"#))?;
+    write_chunk(stream, &format!(r#"],"reset":true,"generation":{version}}}"#))?;
     stream.write_all(b"0\r\n\r\n")
 }
 
-/// A sender that begins with another discovery, and this much memory.
-fn world(story: &str, discovery: &Discovery, memory_mb: u32) -> World {
-    let mut world = World::new(story, |_, _| answer("200 OK", "", ""));
-    world.kill();
+/// Starts a sender with another discovery server and this memory limit.
+fn start_with_list_server(name: &str, discovery: &Discovery, memory_mb: u32) -> World {
+    let mut harness = World::new(name, |_, _| answer("200 OK", "", ""));
+    harness.kill();
     let limit = format!(r#""memory_mb": {memory_mb}"#);
-    let config = world.config.replace(r#""memory_mb": 192"#, &limit);
-    world.config = config.replace(&world.discovery.to_string(), &discovery.address.to_string());
-    assert!(world.config.contains(&limit));
-    fs::write(world.folder.join("log"), "").expect("an empty log");
-    world.start();
-    world
+    let config = harness.config.replace(r#""memory_mb": 192"#, &limit);
+    harness.config = config.replace(&harness.discovery.to_string(), &discovery.address.to_string());
+    assert!(harness.config.contains(&limit));
+    fs::write(harness.folder.join("log"), "").expect("empty the log");
+    harness.start();
+    harness
 }
 
-/// Where the world's endpoint is, once it is known.
+/// Address of the harness's endpoint, once it is known.
 type Endpoint = Arc<Mutex<Option<SocketAddr>>>;
 
-/// The world's one endpoint as it is listed; discovery starts before it is known.
-fn first_entry(endpoint: &Endpoint, destination: u64) -> String {
+/// The entry of the harness's endpoint. Waits for its address, as the discovery server starts before it is
+/// known.
+fn wait_for_first_entry(endpoint: &Endpoint, destination: u64) -> String {
     let start = Instant::now();
     loop {
-        if let Some(address) = *endpoint.lock().expect("no panic") {
+        if let Some(address) = *endpoint.lock().expect("mutex is not poisoned") {
             return entry("e", address, destination, "Ready");
         }
-        assert!(start.elapsed() < Duration::from_secs(10), "no endpoint");
+        assert!(start.elapsed() < Duration::from_secs(10), "the endpoint address was not set");
         sleep(Duration::from_millis(1));
     }
 }
 
-fn put_to(world: &World, id: &str, destination: u64) -> String {
+fn put_to(harness: &World, id: &str, destination: u64) -> String {
     let fields = format!("c=notice,t=acme,d=8000,k={id},dest={destination}");
-    put(world.listen, id, &fields, "hello").expect("an answer")
+    put(harness.listen, id, &fields, "hello").expect("reply")
 }
 
-/// Hands a packet in and sees it delivered.
-fn delivers(world: &World, id: &str, destination: u64) {
-    assert_eq!(put_to(world, id, destination), "+OK");
-    world.until("the call", |world| world.came().iter().any(|came| came == id));
+/// Submits a packet and waits for its delivery.
+fn assert_delivered(harness: &World, id: &str, destination: u64) {
+    assert_eq!(put_to(harness, id, destination), "+OK");
+    harness.until("the call has arrived", |harness| harness.came().iter().any(|came| came == id));
 }
 
-fn count(world: &World, words: &str) -> usize {
-    world.log().matches(words).count()
+fn count_in_log(harness: &World, text: &str) -> usize {
+    harness.log().matches(text).count()
 }
 
-/// Moves a world that has its first list to another discovery.
-fn move_to(world: &mut World, discovery: &Discovery) {
-    world.config = world.config.replace(&world.discovery.to_string(), &discovery.address.to_string());
-    world.reload(&world.config);
+/// Switches a sender that has its first list to another discovery server.
+fn switch_discovery(harness: &mut World, discovery: &Discovery) {
+    harness.config = harness.config.replace(&harness.discovery.to_string(), &discovery.address.to_string());
+    harness.reload(&harness.config);
 }
 
-/// Cut in the middle, by its length and in a chunk: nothing of it counts, and the last good list serves.
+/// A list is truncated in the middle, once with a Content-Length and once within a chunk. None of it takes
+/// effect, and the last valid list stays in force.
 #[test]
-fn a_list_that_is_cut_changes_nothing() {
-    let mut world = World::new("cut", |_, _| answer("200 OK", "", ""));
-    let first = entry("e", world.endpoint, 7, "Ready");
-    let gone_on = Arc::new(AtomicBool::new(false));
-    let goes_on = gone_on.clone();
+fn a_truncated_list_changes_nothing() {
+    let mut harness = World::new("cut", |_, _| answer("200 OK", "", ""));
+    let first_entry = entry("e", harness.endpoint, 7, "Ready");
+    let continued = Arc::new(AtomicBool::new(false));
+    let continue_now = continued.clone();
     let discovery = Discovery::start(move |number, path, stream| match number {
-        0 => say(stream, &list(5, true, &first)),
+        0 => respond(stream, &list(5, true, &first_entry)),
         1 => {
-            let whole = answer("200 OK", "", &list(6, true, &many(0..2000))).unwrap_or_default();
-            stream.write_all(&whole.as_bytes()[..whole.len() / 2])?;
+            let response =
+                answer("200 OK", "", &list(6, true, &numbered_entries(0..2000))).unwrap_or_default();
+            stream.write_all(&response.as_bytes()[..response.len() / 2])?;
             Err(io::ErrorKind::BrokenPipe.into())
         }
         2 => {
             stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")?;
-            chunk(stream, &format!(r#"{{"generation":7,"reset":true,"instances":[{}"#, many(0..2000)))?;
+            write_chunk(
+                stream,
+                &format!(r#"{{"generation":7,"reset":true,"instances":[{}"#, numbered_entries(0..2000)),
+            )?;
             Err(io::ErrorKind::BrokenPipe.into())
         }
-        _ if !goes_on.load(Ordering::SeqCst) => nothing_new(stream, path, 5),
-        _ => say(stream, &list(8, true, &first)),
+        _ if !continue_now.load(Ordering::SeqCst) => respond_unchanged(stream, path, 5),
+        _ => respond(stream, &list(8, true, &first_entry)),
     });
-    move_to(&mut world, &discovery);
-    world.until("both cuts", |_| discovery.asked().len() > 3);
-    assert_eq!(count(&world, "code=no_list"), 1, "one line for the outage");
-    assert!(discovery.asked()[1..4].iter().all(|asked| asked.path.starts_with(WATCH)), "the version stands");
-    delivers(&world, "a1", 7);
-    assert_eq!(put_to(&world, "a2", 8), "-ERR unknown destination", "nothing of the half counts");
-    gone_on.store(true, Ordering::SeqCst);
-    world.until("the list after it", |world| world.log().contains("discovery: version 8, 1 entries"));
-    assert!(!world.log().contains("discovery: version 6") && !world.log().contains("discovery: version 7"));
-}
-
-/// Two documents in a body, and the same member twice.
+    switch_discovery(&mut harness, &discovery);
+    harness.until("both truncated lists were sent", |_| discovery.requests().len() > 3);
+    assert_eq!(count_in_log(&harness, "code=no_list"), 1, "one log line for the outage");
+    assert!(
+        discovery.requests()[1..4].iter().all(|request| request.path.starts_with(WATCH_PATH)),
+        "the version is unchanged"
+    );
+    assert_delivered(&harness, "a1", 7);
+    assert_eq!(
+        put_to(&harness, "a2", 8),
+        "-ERR unknown destination",
+        "no entry of the truncated list takes effect"
+    );
+    continued.store(true, Ordering::SeqCst);
+    harness.until("the next valid list is in force", |harness| {
+        harness.log().contains("discovery: version 8, 1 entries")
+    });
+    assert!(
+        !harness.log().contains("discovery: version 6") && !harness.log().contains("discovery: version 7")
+    );
+}
+
+/// A body with two documents, and one with a duplicate member, are rejected as malformed.
 #[test]
-fn a_list_that_is_doubled_changes_nothing() {
-    let world = World::new("doubled", |_, _| answer("200 OK", "", ""));
-    let other = list(9, true, &many(0..100));
-    let slips = [other.repeat(2), other.replace(r#""reset""#, r#""instances":[],"reset""#)];
-    for (nth, slip) in slips.into_iter().enumerate() {
-        *world.platform.slip.lock().expect("no panic") = Some(slip);
-        // A watch that is out hears of this first, and the call after it meets the slip; or else the next call does.
-        world.platform.list(&[entry("e", world.endpoint, 7, "Ready")]);
-        let version = format!("discovery: version {}, 1 entries", nth + 2);
-        world.until("the whole list after the slip", |world| {
-            let log = world.log();
-            let slips: Vec<&str> = log.split("code=no_list").collect();
-            slips.len() == nth + 2 && slips[nth + 1].contains(&version)
+fn a_list_with_duplicate_documents_or_members_changes_nothing() {
+    let harness = World::new("doubled", |_, _| answer("200 OK", "", ""));
+    let other = list(9, true, &numbered_entries(0..100));
+    let malformed_bodies = [other.repeat(2), other.replace(r#""reset""#, r#""instances":[],"reset""#)];
+    for (index, malformed_body) in malformed_bodies.into_iter().enumerate() {
+        *harness.platform.slip.lock().expect("mutex is not poisoned") = Some(malformed_body);
+        // A watch in flight reports the change first, and the request after it receives the malformed body.
+        // Without a watch in flight the next request receives it.
+        harness.platform.list(&[entry("e", harness.endpoint, 7, "Ready")]);
+        let version = format!("discovery: version {}, 1 entries", index + 2);
+        harness.until("the full list after the malformed one is in force", |harness| {
+            let log = harness.log();
+            let log_parts: Vec<&str> = log.split("code=no_list").collect();
+            log_parts.len() == index + 2 && log_parts[index + 1].contains(&version)
         });
-        delivers(&world, &format!("a{nth}"), 7);
+        assert_delivered(&harness, &format!("a{index}"), 7);
     }
-    assert!(!world.log().contains("discovery: version 9"));
-    assert_eq!(put_to(&world, "b1", 8), "-ERR unknown destination");
+    assert!(!harness.log().contains("discovery: version 9"));
+    assert_eq!(put_to(&harness, "b1", 8), "-ERR unknown destination");
 }
 
-/// A million endpoints for a sender of 16 MB, which has room for 31,250: refused while it is read. The last good list stays, one
-/// line tells of it, and it is asked for again at growing pauses, of a second at least. Gathered, it would take 200 MB.
+/// A sender limited to 16 MB, which is enough for 31,250 endpoints, is sent a list of a million. The list is
+/// rejected while it is read, one line is logged, and the last valid list stays in force. The list is
+/// requested again after growing delays of at least a second. Held in memory completely, the list would take
+/// 200 MB.
 #[test]
-fn a_list_of_a_million_endpoints_is_refused_in_bounded_memory() {
-    let (endpoint, fits) = (Endpoint::default(), Arc::new(AtomicBool::new(false)));
-    let (own, fitting) = (endpoint.clone(), fits.clone());
+fn a_list_of_a_million_endpoints_is_rejected_in_bounded_memory() {
+    let (endpoint, list_fits) = (Endpoint::default(), Arc::new(AtomicBool::new(false)));
+    let (endpoint_address, send_fitting_list) = (endpoint.clone(), list_fits.clone());
     let discovery = Discovery::start(move |number, _, stream| match number {
-        0 => say(stream, &list(1, true, &first_entry(&own, 7))),
-        _ if fitting.load(Ordering::SeqCst) => say(stream, &list(3, true, &first_entry(&own, 9))),
-        _ => say_many(stream, 2, 1_000_000),
+        0 => respond(stream, &list(1, true, &wait_for_first_entry(&endpoint_address, 7))),
+        _ if send_fitting_list.load(Ordering::SeqCst) => {
+            respond(stream, &list(3, true, &wait_for_first_entry(&endpoint_address, 9)))
+        }
+        _ => respond_with_many(stream, 2, 1_000_000),
     });
-    let mut world = World::new("million", |_, _| answer("200 OK", "", ""));
-    *endpoint.lock().expect("no panic") = Some(world.endpoint);
-    world.kill();
-    let small = world.config.replace(r#""memory_mb": 192"#, r#""memory_mb": 16"#);
-    world.config = small.replace(&world.discovery.to_string(), &discovery.address.to_string());
-    world.start();
-    world.until("the refusal", |world| world.log().contains("discovery: code=list_too_large"));
+    let mut harness = World::new("million", |_, _| answer("200 OK", "", ""));
+    *endpoint.lock().expect("mutex is not poisoned") = Some(harness.endpoint);
+    harness.kill();
+    let config = harness.config.replace(r#""memory_mb": 192"#, r#""memory_mb": 16"#);
+    harness.config = config.replace(&harness.discovery.to_string(), &discovery.address.to_string());
+    harness.start();
+    harness.until("the list is rejected", |harness| harness.log().contains("discovery: code=list_too_large"));
     let start = Instant::now();
     let mut sent = 0;
-    while discovery.asked().len() < 4 {
-        delivers(&world, &format!("a{sent}"), 7);
+    while discovery.requests().len() < 4 {
+        assert_delivered(&harness, &format!("a{sent}"), 7);
         sent += 1;
-        assert!(start.elapsed() < Duration::from_secs(20), "asked for again: {:?}", discovery.asked());
+        assert!(
+            start.elapsed() < Duration::from_secs(20),
+            "expected four requests: {:?}",
+            discovery.requests()
+        );
         sleep(Duration::from_millis(50));
     }
-    fits.store(true, Ordering::SeqCst); // the answer that is being read may still be too large
-    let asked = discovery.asked();
-    for pair in asked[1..].windows(2) {
-        let pause = pair[1].at - pair[0].at;
-        assert!(pause >= Duration::from_secs(1), "asked for again after {pause:?}");
+    list_fits.store(true, Ordering::SeqCst); // the response in progress may still be too large
+    let requests = discovery.requests();
+    for pair in requests[1..].windows(2) {
+        let delay = pair[1].received_at - pair[0].received_at;
+        assert!(delay >= Duration::from_secs(1), "requested again after {delay:?}");
     }
-    assert_eq!(count(&world, "code=list_too_large"), 1, "one line for the outage");
-    assert_eq!(count(&world, "code=no_list"), 0);
-    let memory = world.memory("VmHWM");
-    println!("{memory} bytes at most");
-    assert!(memory < 48_000_000, "{memory} bytes");
+    assert_eq!(count_in_log(&harness, "code=list_too_large"), 1, "one log line for the outage");
+    assert_eq!(count_in_log(&harness, "code=no_list"), 0);
+    let peak_memory = harness.memory("VmHWM");
+    println!("{peak_memory} bytes at the peak");
+    assert!(peak_memory < 48_000_000, "{peak_memory} bytes");
     let start = Instant::now();
-    while !world.log().contains("discovery: version 3, 1 entries") {
-        assert!(start.elapsed() < Duration::from_secs(20), "a list that fits is taken");
+    while !harness.log().contains("discovery: version 3, 1 entries") {
+        assert!(start.elapsed() < Duration::from_secs(20), "expected the list that fits to be accepted");
         sleep(Duration::from_millis(50));
     }
-    delivers(&world, "b1", 9);
+    assert_delivered(&harness, "b1", 9);
 }
 
-/// The whole list, asked for after one that was spoilt, is too large: changes after the last good list are heard meanwhile, and
-/// the whole is asked for again.
+/// The full list that is requested after a malformed one is too large. Changes after the last valid list are
+/// still received, and the full list is requested again.
 #[test]
-fn changes_are_heard_while_the_whole_list_is_too_large() {
-    let (endpoint, heard) = (Endpoint::default(), Arc::new(AtomicBool::new(false)));
-    let (own, told) = (endpoint.clone(), heard.clone());
+fn changes_are_received_while_the_full_list_is_too_large() {
+    let (endpoint, change_sent) = (Endpoint::default(), Arc::new(AtomicBool::new(false)));
+    let (endpoint_address, change_is_sent) = (endpoint.clone(), change_sent.clone());
     let discovery = Discovery::start(move |number, path, stream| match number {
-        0 => say(stream, &list(1, true, &first_entry(&own, 7))),
-        1 => say(stream, "{}"),
-        _ if path == WHOLE => say_many(stream, 3, 1_000_000),
-        _ if !told.swap(true, Ordering::SeqCst) => {
-            let change = entry("f", own.lock().expect("no panic").expect("an endpoint"), 9, "Ready");
-            say(stream, &list(2, false, &change))
+        0 => respond(stream, &list(1, true, &wait_for_first_entry(&endpoint_address, 7))),
+        1 => respond(stream, "{}"),
+        _ if path == FULL_LIST_PATH => respond_with_many(stream, 3, 1_000_000),
+        _ if !change_is_sent.swap(true, Ordering::SeqCst) => {
+            let change = entry(
+                "f",
+                endpoint_address.lock().expect("mutex is not poisoned").expect("endpoint address is set"),
+                9,
+                "Ready",
+            );
+            respond(stream, &list(2, false, &change))
         }
-        _ => nothing_new(stream, path, 2),
+        _ => respond_unchanged(stream, path, 2),
     });
-    let mut world = World::new("meanwhile", |_, _| answer("200 OK", "", ""));
-    *endpoint.lock().expect("no panic") = Some(world.endpoint);
-    world.kill();
-    let small = world.config.replace(r#""memory_mb": 192"#, r#""memory_mb": 4"#);
-    world.config = small.replace(&world.discovery.to_string(), &discovery.address.to_string());
-    world.start();
-    world.until("the change", |world| world.log().contains("discovery: version 2, 1 entries"));
-    delivers(&world, "a1", 9);
-    delivers(&world, "a2", 7);
-    let whole = || discovery.asked().into_iter().filter(|asked| asked.path == WHOLE).collect::<Vec<_>>();
-    world.until("the whole again", |_| whole().len() > 2);
-    let asked = whole();
-    let pauses = [asked[1].at - asked[0].at, asked[2].at - asked[1].at];
-    assert!(pauses.iter().all(|pause| *pause >= Duration::from_secs(1)), "{pauses:?}");
-    let between = discovery.asked();
-    let watches = between.iter().filter(|one| one.path.starts_with(WATCH) && one.at > asked[0].at).count();
-    assert!(watches >= 2, "the watch goes on: {between:?}");
-    assert_eq!(count(&world, "code=list_too_large"), 1, "one line, although changes came");
-}
-
-/// A start does not wait for a list that fits.
+    let mut harness = World::new("meanwhile", |_, _| answer("200 OK", "", ""));
+    *endpoint.lock().expect("mutex is not poisoned") = Some(harness.endpoint);
+    harness.kill();
+    let config = harness.config.replace(r#""memory_mb": 192"#, r#""memory_mb": 4"#);
+    harness.config = config.replace(&harness.discovery.to_string(), &discovery.address.to_string());
+    harness.start();
+    harness
+        .until("the change is in force", |harness| harness.log().contains("discovery: version 2, 1 entries"));
+    assert_delivered(&harness, "a1", 9);
+    assert_delivered(&harness, "a2", 7);
+    let full_requests = || {
+        discovery.requests().into_iter().filter(|request| request.path == FULL_LIST_PATH).collect::<Vec<_>>()
+    };
+    harness.until("the full list is requested again", |_| full_requests().len() > 2);
+    let requests = full_requests();
+    let delays = [
+        requests[1].received_at - requests[0].received_at,
+        requests[2].received_at - requests[1].received_at,
+    ];
+    assert!(delays.iter().all(|delay| *delay >= Duration::from_secs(1)), "{delays:?}");
+    let all_requests = discovery.requests();
+    let watches = all_requests
+        .iter()
+        .filter(|request| {
+            request.path.starts_with(WATCH_PATH) && request.received_at > requests[0].received_at
+        })
+        .count();
+    assert!(watches >= 2, "watches continue: {all_requests:?}");
+    assert_eq!(
+        count_in_log(&harness, "code=list_too_large"),
+        1,
+        "one log line, although changes were received"
+    );
+}
+
+/// The start does not wait for a list that fits.
 #[test]
-fn a_start_with_a_list_that_is_too_large_lets_clients_in() {
-    let discovery = Discovery::start(|_, _, stream| say_many(stream, 2, 1_000_000));
-    let world = world("start", &discovery, 4);
-    world.until("the refusal", |world| world.log().contains("discovery: code=list_too_large"));
-    assert_eq!(world.put("a1"), "+OK", "no list was ever told: any destination may be one");
-}
-
-/// A discovery whose second list never ends: so many bytes of it were written when it was refused.
-fn written_until_refused(name: &str, row: &str) -> usize {
-    let mut world = World::new(name, |_, _| answer("200 OK", "", ""));
-    let (first, written) = (entry("e", world.endpoint, 7, "Ready"), Arc::new(AtomicUsize::new(0)));
-    let (bytes, row) = (written.clone(), row.repeat(200));
+fn clients_are_served_if_the_first_list_is_too_large() {
+    let discovery = Discovery::start(|_, _, stream| respond_with_many(stream, 2, 1_000_000));
+    let harness = start_with_list_server("start", &discovery, 4);
+    harness.until("the list is rejected", |harness| harness.log().contains("discovery: code=list_too_large"));
+    assert_eq!(harness.put("a1"), "+OK", "without a list, no destination is rejected as unknown");
+}
+
+/// Starts a discovery server whose second list repeats this entry without end. Returns the number of bytes
+/// written when the list was rejected.
+fn bytes_written_until_rejected(name: &str, entry_text: &str) -> usize {
+    let mut harness = World::new(name, |_, _| answer("200 OK", "", ""));
+    let (first_entry, written) = (entry("e", harness.endpoint, 7, "Ready"), Arc::new(AtomicUsize::new(0)));
+    let (byte_counter, batch) = (written.clone(), entry_text.repeat(200));
     let discovery = Discovery::start(move |number, _, stream| {
         if number == 0 {
-            return say(stream, &list(1, true, &first));
+            return respond(stream, &list(1, true, &first_entry));
         }
-        // Without a length or chunks: until the connection ends.
+        // Without a length and chunks, the body lasts until the connection closes.
         stream.write_all(b"HTTP/1.1 200 OK\r\n\r\n{\"generation\":2,\"reset\":true,\"instances\":[")?;
         loop {
-            stream.write_all(row.as_bytes())?;
-            bytes.fetch_add(row.len(), Ordering::SeqCst);
+            stream.write_all(batch.as_bytes())?;
+            byte_counter.fetch_add(batch.len(), Ordering::SeqCst);
         }
     });
-    world.kill();
-    let small = world.config.replace(r#""memory_mb": 192"#, r#""memory_mb": 1"#);
-    world.config = small.replace(&world.discovery.to_string(), &discovery.address.to_string());
-    world.start();
-    world.until("the refusal", |world| world.log().contains("discovery: code=list_too_large"));
+    harness.kill();
+    let config = harness.config.replace(r#""memory_mb": 192"#, r#""memory_mb": 1"#);
+    harness.config = config.replace(&harness.discovery.to_string(), &discovery.address.to_string());
+    harness.start();
+    harness.until("the list is rejected", |harness| harness.log().contains("discovery: code=list_too_large"));
     let written = written.load(Ordering::SeqCst);
-    delivers(&world, "a1", 7);
+    assert_delivered(&harness, "a1", 7);
     written
 }
 
-/// Endpoints that 1 MB of memory are worth, as `sailcart check` tells.
-const LISTED: usize = 1_953;
+/// Number of endpoints that a memory limit of 1 MB allows, as printed by `sailcart check`.
+const MAX_ENDPOINTS: usize = 1_953;
 
-/// An endless list ends by its bytes, although it names no endpoint: 4,096 bytes for each that could be.
+/// An endless list that names no endpoint is rejected by its size: 4,096 bytes for each endpoint that is
+/// allowed.
 #[test]
-fn a_list_without_end_is_refused() {
-    let written = written_until_refused("endless", &" ".repeat(160));
-    assert!(written > LISTED * 4_096, "refused after {written} bytes already");
+fn an_endless_list_is_rejected() {
+    let written = bytes_written_until_rejected("endless", &" ".repeat(160));
+    assert!(written > MAX_ENDPOINTS * 4_096, "rejected after only {written} bytes");
 }
 
-/// One that names one endpoint again and again ends sooner: what is kept of its lines is bounded by their number.
+/// An endless list that repeats one endpoint is rejected earlier, as the number of staged entries is limited.
 #[test]
-fn a_list_that_names_one_endpoint_without_end_is_refused() {
-    let row = format!("{},", one_of_many(1));
-    let written = written_until_refused("doubles", &row);
-    assert!(written > LISTED * row.len(), "refused after {written} bytes already");
-    assert!(written < LISTED * 4_096, "not refused until {written} bytes came");
+fn an_endless_list_of_one_endpoint_is_rejected() {
+    let entry_text = format!("{},", numbered_entry(1));
+    let written = bytes_written_until_rejected("doubles", &entry_text);
+    assert!(written > MAX_ENDPOINTS * entry_text.len(), "rejected after only {written} bytes");
+    assert!(written < MAX_ENDPOINTS * 4_096, "rejected only after {written} bytes");
 }
 
-/// A list that dribbles is given up in the time of its call, as before.
+/// A list that arrives a byte at a time is abandoned at the time limit of its request. The limit covers the
+/// whole request and does not start again with each byte.
 #[test]
-fn a_list_that_dribbles_is_given_up() {
-    let mut world = World::new("dribbles", |_, _| answer("200 OK", "", ""));
-    let first = entry("e", world.endpoint, 7, "Ready");
+fn a_list_that_arrives_too_slowly_is_abandoned() {
+    let mut harness = World::new("dribbles", |_, _| answer("200 OK", "", ""));
+    let first_entry = entry("e", harness.endpoint, 7, "Ready");
     let discovery = Discovery::start(move |number, path, stream| match number {
-        0 => say(stream, &list(1, true, &first)),
+        0 => respond(stream, &list(1, true, &first_entry)),
         1 => {
             stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n")?;
             (0..9000).try_for_each(|_| {
@@ -371,155 +423,179 @@
                 stream.write_all(b" ")
             })
         }
-        _ => nothing_new(stream, path, 1),
+        _ => respond_unchanged(stream, path, 1),
     });
-    move_to(&mut world, &discovery);
-    world.until("the next call", |_| discovery.asked().len() > 2);
-    let asked = discovery.asked();
-    let took = asked[2].at - asked[1].at;
-    assert!(took < Duration::from_secs(6), "given up after {took:?}");
-    assert_eq!(count(&world, "code=no_list"), 1);
-    delivers(&world, "a1", 7);
+    switch_discovery(&mut harness, &discovery);
+    harness.until("the next request", |_| discovery.requests().len() > 2);
+    let requests = discovery.requests();
+    let elapsed = requests[2].received_at - requests[1].received_at;
+    assert!(elapsed < Duration::from_secs(6), "abandoned after {elapsed:?}");
+    assert_eq!(count_in_log(&harness, "code=no_list"), 1);
+    assert_delivered(&harness, "a1", 7);
 }
 
-/// It is passed over with a line of its own; the rest of the list counts.
+/// An oversized entry is skipped with a log line of its own. The rest of the list takes effect.
 #[test]
-fn an_entry_of_sixty_kilobytes_hides_no_other() {
-    let world = World::new("sixty", |_, _| answer("200 OK", "", ""));
-    let large =
-        entry("l", world.endpoint, 8, "Ready").replace('{', &format!(r#"{{"x":"{}","#, "x".repeat(60_000)));
-    let entries = [entry("e", world.endpoint, 7, "Ready"), large, entry("f", world.endpoint, 9, "Ready")];
-    world.platform.list(&entries);
-    world.until("the list", |world| world.log().contains("discovery: version 2, 2 entries"));
-    assert_eq!(count(&world, "discovery: code=entry_too_large"), 1);
-    delivers(&world, "a1", 7);
-    delivers(&world, "a2", 9);
-    assert_eq!(put_to(&world, "a3", 8), "-ERR unknown destination");
-}
-
-/// Of entries that cannot be read the first few have a line each, all are counted.
+fn an_oversized_entry_does_not_hide_others() {
+    let harness = World::new("sixty", |_, _| answer("200 OK", "", ""));
+    let oversized_entry =
+        entry("l", harness.endpoint, 8, "Ready").replace('{', &format!(r#"{{"x":"{}","#, "x".repeat(60_000)));
+    let entries =
+        [entry("e", harness.endpoint, 7, "Ready"), oversized_entry, entry("f", harness.endpoint, 9, "Ready")];
+    harness.platform.list(&entries);
+    harness
+        .until("the list is in force", |harness| harness.log().contains("discovery: version 2, 2 entries"));
+    assert_eq!(count_in_log(&harness, "discovery: code=entry_too_large"), 1);
+    assert_delivered(&harness, "a1", 7);
+    assert_delivered(&harness, "a2", 9);
+    assert_eq!(put_to(&harness, "a3", 8), "-ERR unknown destination");
+}
+
+/// The first few malformed entries are logged one by one, and the number of all of them is logged.
 #[test]
-fn entries_that_cannot_be_read_are_counted() {
-    let world = World::new("unread", |_, _| answer("200 OK", "", ""));
+fn malformed_entries_are_counted() {
+    let harness = World::new("unread", |_, _| answer("200 OK", "", ""));
     let mut entries = vec![r#"{"instanceId":"no address"}"#.to_owned(); 1000];
-    entries.push(entry("e", world.endpoint, 7, "Ready"));
-    world.platform.list(&entries);
-    world.until("the list", |world| world.log().contains("discovery: version 2, 1 entries"));
-    assert!(world.log().contains("discovery: code=entry 1000 entries skipped"));
-    assert_eq!(count(&world, "code=entry"), 4);
-    delivers(&world, "a1", 7);
+    entries.push(entry("e", harness.endpoint, 7, "Ready"));
+    harness.platform.list(&entries);
+    harness
+        .until("the list is in force", |harness| harness.log().contains("discovery: version 2, 1 entries"));
+    assert!(harness.log().contains("discovery: code=entry 1000 entries skipped"));
+    assert_eq!(count_in_log(&harness, "code=entry"), 4);
+    assert_delivered(&harness, "a1", 7);
 }
 
-/// Each list names other endpoints: those of the lists before leave nothing.
+/// Each list names other endpoints. Guards against memory being retained for the endpoints of earlier
+/// lists.
 #[test]
-fn ids_that_change_with_each_list_take_no_more_memory() {
-    let world = World::new("changing", |_, _| answer("200 OK", "", ""));
-    let mut early = 0;
-    for nth in 0..16 {
+fn names_that_change_with_each_list_retain_no_memory() {
+    let harness = World::new("changing", |_, _| answer("200 OK", "", ""));
+    let mut peak_after_six = 0;
+    for index in 0..16 {
         let names: String = (0..2000)
-            .map(|number| one_of_many(number).replace("many-", &format!("{nth}-of-many-{number}-")) + ",")
+            .map(|number| {
+                numbered_entry(number).replace("many-", &format!("{index}-of-many-{number}-")) + ","
+            })
             .collect();
-        world.platform.list(&[names + &entry("e", world.endpoint, 7, "Ready")]);
-        let version = format!("discovery: version {}, 2001 entries", nth + 2);
-        world.until("the list", |world| world.log().contains(&version));
-        if nth == 5 {
-            early = world.memory("VmHWM");
+        harness.platform.list(&[names + &entry("e", harness.endpoint, 7, "Ready")]);
+        let version = format!("discovery: version {}, 2001 entries", index + 2);
+        harness.until("the list is in force", |harness| harness.log().contains(&version));
+        if index == 5 {
+            peak_after_six = harness.memory("VmHWM");
         }
     }
-    let late = world.memory("VmHWM");
-    println!("{early} bytes at most after six lists, {late} after sixteen");
-    // Ten lists more, of 2,001 endpoints: 192 bytes each would be 3.8 MB.
-    assert!(late < early + 2_000_000, "{early} bytes after six lists, {late} after sixteen");
-    delivers(&world, "a1", 7);
-}
-
-/// 20,000 endpoints: half of them come, then the rest only when twenty packets more were answered and delivered.
+    let peak_after_sixteen = harness.memory("VmHWM");
+    println!("{peak_after_six} bytes at the peak after six lists, {peak_after_sixteen} after sixteen");
+    // At 192 bytes per endpoint, ten more lists of 2,001 endpoints would retain 3.8 MB.
+    assert!(
+        peak_after_sixteen < peak_after_six + 2_000_000,
+        "{peak_after_six} bytes after six lists, {peak_after_sixteen} after sixteen"
+    );
+    assert_delivered(&harness, "a1", 7);
+}
+
+/// A list of 20,000 endpoints is sent. The second half follows only when twenty more packets were accepted,
+/// or after two seconds. Guards against clients that wait while a list is read.
 #[test]
-fn clients_are_answered_while_a_large_list_comes() {
-    let mut world = World::new("throughout", |_, _| answer("200 OK", "", ""));
-    let first = entry("e", world.endpoint, 7, "Ready");
-    let answered = Arc::new(AtomicUsize::new(0));
-    let (seen, listed) = (answered.clone(), Arc::new(AtomicBool::new(false)));
-    let reached = listed.clone();
+fn clients_are_answered_while_a_large_list_is_received() {
+    let mut harness = World::new("throughout", |_, _| answer("200 OK", "", ""));
+    let first_entry = entry("e", harness.endpoint, 7, "Ready");
+    let reply_count = Arc::new(AtomicUsize::new(0));
+    let (replied, enough_replies) = (reply_count.clone(), Arc::new(AtomicBool::new(false)));
+    let has_enough_replies = enough_replies.clone();
     let discovery = Discovery::start(move |number, path, stream| match number {
-        0 => say(stream, &list(1, true, &first)),
+        0 => respond(stream, &list(1, true, &first_entry)),
         1 => {
-            let body = list(2, true, &format!("{first},{}", many(0..20_000)));
-            let whole = answer("200 OK", "", &body).unwrap_or_default();
-            let (front, back) = whole.as_bytes().split_at(whole.len() / 2);
+            let body = list(2, true, &format!("{first_entry},{}", numbered_entries(0..20_000)));
+            let response = answer("200 OK", "", &body).unwrap_or_default();
+            let (front, back) = response.as_bytes().split_at(response.len() / 2);
             stream.write_all(front)?;
-            let before = seen.load(Ordering::SeqCst);
+            let replied_before = replied.load(Ordering::SeqCst);
             let start = Instant::now();
-            while seen.load(Ordering::SeqCst) < before + 20 && start.elapsed() < Duration::from_secs(2) {
+            while replied.load(Ordering::SeqCst) < replied_before + 20
+                && start.elapsed() < Duration::from_secs(2)
+            {
                 sleep(Duration::from_millis(1));
             }
-            reached.store(seen.load(Ordering::SeqCst) >= before + 20, Ordering::SeqCst);
+            has_enough_replies.store(replied.load(Ordering::SeqCst) >= replied_before + 20, Ordering::SeqCst);
             stream.write_all(back)
         }
-        _ => nothing_new(stream, path, 2),
+        _ => respond_unchanged(stream, path, 2),
+    });
+    switch_discovery(&mut harness, &discovery);
+    harness.until("the first list is in force", |harness| {
+        harness.log().contains("discovery: version 1, 1 entries")
     });
-    move_to(&mut world, &discovery);
-    world.until("the first list", |world| world.log().contains("discovery: version 1, 1 entries"));
     let mut sent = 0;
-    let mut longest = Duration::ZERO;
-    while !world.log().contains("discovery: version 2, 20001 entries") {
+    let mut slowest_reply = Duration::ZERO;
+    while !harness.log().contains("discovery: version 2, 20001 entries") {
         let start = Instant::now();
-        assert_eq!(put_to(&world, &format!("a{sent}"), 7), "+OK");
-        longest = longest.max(start.elapsed());
-        answered.fetch_add(1, Ordering::SeqCst);
+        assert_eq!(put_to(&harness, &format!("a{sent}"), 7), "+OK");
+        slowest_reply = slowest_reply.max(start.elapsed());
+        reply_count.fetch_add(1, Ordering::SeqCst);
         sent += 1;
-        assert!(sent < 5000, "{}", world.log());
+        assert!(sent < 5000, "{}", harness.log());
     }
-    println!("{sent} answers, {longest:?} at most");
-    assert!(listed.load(Ordering::SeqCst), "answers came in the midst of the list, {sent} in all");
-    assert!(longest < Duration::from_secs(2), "one took {longest:?}");
-    delivers(&world, "b1", 7);
+    println!("{sent} replies, the slowest after {slowest_reply:?}");
+    assert!(
+        enough_replies.load(Ordering::SeqCst),
+        "expected replies while the list was received, {sent} in all"
+    );
+    assert!(slowest_reply < Duration::from_secs(2), "the slowest reply took {slowest_reply:?}");
+    assert_delivered(&harness, "b1", 7);
 }
 
-/// Discovery moves in the midst of a list: nothing of it counts, and the new one's list is in force.
+/// The address of discovery changes while a list is received. None of that list takes effect, and the list of
+/// the new server comes into force.
 #[test]
-fn a_move_in_the_midst_of_a_list_leaves_nothing_of_it() {
-    let mut world = World::new("midst", |_, _| answer("200 OK", "", ""));
-    let first = entry("e", world.endpoint, 7, "Ready");
-    let half = Arc::new(AtomicBool::new(false));
-    let (own, sent) = (first.clone(), half.clone());
-    let left = Discovery::start(move |number, _, stream| {
+fn a_change_of_discovery_discards_a_partly_received_list() {
+    let mut harness = World::new("midst", |_, _| answer("200 OK", "", ""));
+    let first_entry = entry("e", harness.endpoint, 7, "Ready");
+    let half_sent = Arc::new(AtomicBool::new(false));
+    let (listed_entry, half_is_sent) = (first_entry.clone(), half_sent.clone());
+    let old_discovery = Discovery::start(move |number, _, stream| {
         if number == 0 {
-            return say(stream, &list(4, true, &own));
+            return respond(stream, &list(4, true, &listed_entry));
         }
-        let whole = answer("200 OK", "", &list(5, true, &many(0..2000))).unwrap_or_default();
-        stream.write_all(&whole.as_bytes()[..whole.len() / 2])?;
-        sent.store(true, Ordering::SeqCst);
+        let response = answer("200 OK", "", &list(5, true, &numbered_entries(0..2000))).unwrap_or_default();
+        stream.write_all(&response.as_bytes()[..response.len() / 2])?;
+        half_is_sent.store(true, Ordering::SeqCst);
         loop {
             thread::park();
         }
     });
-    let moved = Discovery::start(move |number, path, stream| match number {
-        0 => say(stream, &list(2, true, &first)),
-        _ => nothing_new(stream, path, 2),
+    let new_discovery = Discovery::start(move |number, path, stream| match number {
+        0 => respond(stream, &list(2, true, &first_entry)),
+        _ => respond_unchanged(stream, path, 2),
+    });
+    switch_discovery(&mut harness, &old_discovery);
+    harness.until("half of the list was sent", |_| half_sent.load(Ordering::SeqCst));
+    harness.config =
+        harness.config.replace(&old_discovery.address.to_string(), &new_discovery.address.to_string());
+    harness.reload(&harness.config);
+    harness.until("the new list is in force", |harness| {
+        harness.log().contains("discovery: version 2, 1 entries")
     });
-    move_to(&mut world, &left);
-    world.until("half of a list", |_| half.load(Ordering::SeqCst));
-    world.config = world.config.replace(&left.address.to_string(), &moved.address.to_string());
-    world.reload(&world.config);
-    world.until("the new list", |world| world.log().contains("discovery: version 2, 1 entries"));
-    assert_eq!(moved.asked()[0].path, WHOLE);
-    delivers(&world, "a1", 7);
-    assert_eq!(put_to(&world, "a2", 8), "-ERR unknown destination");
+    assert_eq!(new_discovery.requests()[0].path, FULL_LIST_PATH);
+    assert_delivered(&harness, "a1", 7);
+    assert_eq!(put_to(&harness, "a2", 8), "-ERR unknown destination");
 }
 
 #[test]
-fn the_bound_is_shown() {
-    let folder = tempfile::tempdir().expect("a folder");
+fn check_prints_the_endpoint_limit() {
+    let folder = tempfile::tempdir().expect("temporary folder");
     let file = folder.path().join("config.json");
-    let state = folder.path().to_str().expect("a plain path");
-    for (memory, endpoints) in [("192", 375_000), ("16", 31_250)] {
+    let state = folder.path().to_str().expect("UTF-8 path");
+    for (memory_mb, max_endpoints) in [("192", 375_000), ("16", 31_250)] {
         let config = CONFIG.replace("examples/state", state);
-        let config = config.replace(r#""memory_mb": 192"#, &format!(r#""memory_mb": {memory}"#));
-        fs::write(&file, config).expect("a file");
-        let run =
+        let config = config.replace(r#""memory_mb": 192"#, &format!(r#""memory_mb": {memory_mb}"#));
+        fs::write(&file, config).expect("write the file");
+        let result =
             Command::new(env!("CARGO_BIN_EXE_sailcart")).arg("check").arg("--config").arg(&file).output();
-        let said = String::from_utf8_lossy(&run.expect("a run").stdout).into_owned();
-        assert!(said.contains(&format!("{endpoints} endpoints listed by discovery at most")), "{said}");
+        let output = String::from_utf8_lossy(&result.expect("run sailcart").stdout).into_owned();
+        assert!(
+            output.contains(&format!("{max_endpoints} endpoints listed by discovery at most")),
+            "{output}"
+        );
     }
 }
--- a/crates/sailcart-sender/tests/static_list.rs
+++ b/crates/sailcart-sender/tests/static_list.rs
@@ -1,4 +1,4 @@
-//! A sender on a list of its own, without a platform.
+//! A sender with a static endpoint list in its configuration file, without a platform.
 
 #[allow(dead_code)]
 mod peer;
@@ -14,45 +14,47 @@
 
 const EXAMPLE: &str = include_str!("../../../examples/sailcart.toml");
 
-/// No line for each connection: the log is a file too.
-const LOGGED: &str = "info,sailcart_sender::clients=off,sailcart_sender::endpoints=off";
-/// More than the log grows to, and less than the journal.
-const FULL: u64 = 4096;
+/// Log filter without the modules that log each connection: the file-size limit below applies to the log as
+/// well.
+const LOG_FILTER: &str = "info,sailcart_sender::clients=off,sailcart_sender::endpoints=off";
+/// File-size limit in bytes at which the disk is full: more than the log grows to, and less than the journal.
+const FULL_DISK_BYTES: u64 = 4096;
 
-struct World {
+struct StaticListHarness {
     folder: tempfile::TempDir,
-    at: SocketAddr,
+    sender_address: SocketAddr,
     sender: Child,
-    came: Arc<Mutex<Vec<String>>>,
-    text: String,
+    delivered: Arc<Mutex<Vec<String>>>,
+    config: String,
 }
 
-impl World {
-    /// Destination 7 has an endpoint that answers, destination 8 one that is never there.
-    fn new() -> World {
-        let came = Arc::new(Mutex::new(Vec::new()));
-        let own = came.clone();
-        let there = listen("127.0.0.1:0", move |call| {
-            own.lock().expect("no panic").push(call.header("X-Call-Id").to_owned());
+impl StaticListHarness {
+    /// Destination 7 has an endpoint that replies, destination 8 one where nothing listens.
+    fn new() -> StaticListHarness {
+        let delivered = Arc::new(Mutex::new(Vec::new()));
+        let recorded = delivered.clone();
+        let endpoint = listen("127.0.0.1:0", move |call| {
+            recorded.lock().expect("mutex is not poisoned").push(call.header("X-Call-Id").to_owned());
             answer("200 OK", "", "")
         });
-        let free = |address: &str| {
-            let listener = TcpListener::bind(address).expect("a free address");
-            listener.local_addr().expect("an address")
+        let free_address = |address: &str| {
+            let listener = TcpListener::bind(address).expect("bind to a free port");
+            listener.local_addr().expect("local address")
         };
-        let (at, closed) = (free("127.84.1.1:0"), free("127.84.1.2:0"));
-        let folder = tempfile::tempdir().expect("a folder");
-        let text = EXAMPLE
-            .replace("examples/state", folder.path().to_str().expect("a plain path"))
-            .replace("127.0.0.1:6379", &at.to_string())
-            .replace("127.0.0.1:7001", &there.to_string())
-            .replace("127.0.0.1:7002\"\ndestination = 7", &format!("{closed}\"\ndestination = 8"))
+        let (sender_address, closed_address) = (free_address("127.84.1.1:0"), free_address("127.84.1.2:0"));
+        let folder = tempfile::tempdir().expect("temporary folder");
+        let config = EXAMPLE
+            .replace("examples/state", folder.path().to_str().expect("UTF-8 path"))
+            .replace("127.0.0.1:6379", &sender_address.to_string())
+            .replace("127.0.0.1:7001", &endpoint.to_string())
+            .replace("127.0.0.1:7002\"\ndestination = 7", &format!("{closed_address}\"\ndestination = 8"))
             .replace("soft_limit = \"3s\"", "soft_limit = \"400ms\"");
         let file = folder.path().join("sailcart.toml");
-        fs::write(&file, &text).expect("a file");
-        let log = fs::File::create(folder.path().join("log")).expect("a log");
+        fs::write(&file, &config).expect("write the file");
+        let log = fs::File::create(folder.path().join("log")).expect("create the log");
         let mut command = Command::new(env!("CARGO_BIN_EXE_sailcart"));
-        // Ignored here and so in the sender: a write beyond the process's limit of a file's size fails with an error.
+        // SIGXFSZ is ignored in the shell and so in the sender: a write beyond the file-size limit fails with
+        // an error and does not end the process.
         command = {
             let mut shell = Command::new("sh");
             shell.args(["-c", "trap '' XFSZ; exec \"$@\"", "sh"]).arg(command.get_program());
@@ -62,19 +64,21 @@
             .arg("serve")
             .arg("--config")
             .arg(file)
-            .env("RUST_LOG", LOGGED)
+            .env("RUST_LOG", LOG_FILTER)
             .stderr(log)
             .spawn()
-            .expect("a sender");
-        let world = World { folder, at, sender, came, text };
-        world.until("it is ready", |world| say(world.at, "*1\r\n$4\r\nPING\r\n").is_ok());
-        world
+            .expect("start the sender");
+        let harness = StaticListHarness { folder, sender_address, sender, delivered, config };
+        harness.until("the sender is ready", |harness| {
+            say(harness.sender_address, "*1\r\n$4\r\nPING\r\n").is_ok()
+        });
+        harness
     }
 
-    fn until(&self, what: &str, check: impl Fn(&World) -> bool) {
+    fn until(&self, event: &str, condition: impl Fn(&StaticListHarness) -> bool) {
         let start = Instant::now();
-        while !check(self) {
-            assert!(start.elapsed() < Duration::from_secs(10), "not seen: {what}\n{}", self.log());
+        while !condition(self) {
+            assert!(start.elapsed() < Duration::from_secs(10), "not seen: {event}\n{}", self.log());
             sleep(Duration::from_millis(5));
         }
     }
@@ -83,23 +87,24 @@
         fs::read_to_string(self.folder.path().join("log")).unwrap_or_default()
     }
 
-    fn put(&self, id: &str, to: u64) -> String {
-        put(self.at, id, &format!("c=notice,t=acme,d=8000,k={id},dest={to}"), "hello").expect("an answer")
+    fn put(&self, id: &str, destination: u64) -> String {
+        put(self.sender_address, id, &format!("c=notice,t=acme,d=8000,k={id},dest={destination}"), "hello")
+            .expect("reply")
     }
 
-    fn came(&self) -> Vec<String> {
-        self.came.lock().expect("no panic").clone()
+    fn delivered(&self) -> Vec<String> {
+        self.delivered.lock().expect("mutex is not poisoned").clone()
     }
 
-    /// Another file, and the signal to read it.
-    fn reload(&self, text: &str) {
-        fs::write(self.folder.path().join("sailcart.toml"), text).expect("a file");
+    /// Replaces the configuration file and sends SIGHUP.
+    fn reload(&self, config: &str) {
+        fs::write(self.folder.path().join("sailcart.toml"), config).expect("write the file");
         let pid = self.sender.id().to_string();
-        assert!(Command::new("kill").args(["-HUP", &pid]).status().expect("a signal").success());
+        assert!(Command::new("kill").args(["-HUP", &pid]).status().expect("run kill").success());
     }
 }
 
-impl Drop for World {
+impl Drop for StaticListHarness {
     fn drop(&mut self) {
         let _ = self.sender.kill();
         let _ = self.sender.wait();
@@ -107,62 +112,69 @@
 }
 
 #[test]
-fn a_list_in_the_file_is_enough() {
-    let world = World::new();
-    assert_eq!(world.put("a1", 7), "+OK");
-    world.until("it is delivered", |world| world.came() == ["a1"]);
-    assert!(world.put("a2", 9).starts_with("-ERR"), "a destination that is not listed");
+fn packets_are_delivered_by_the_list_in_the_file() {
+    let harness = StaticListHarness::new();
+    assert_eq!(harness.put("a1", 7), "+OK");
+    harness.until("the packet is delivered", |harness| harness.delivered() == ["a1"]);
+    assert!(harness.put("a2", 9).starts_with("-ERR"), "a destination that is not listed");
 }
 
 #[test]
-fn a_list_that_loses_a_destination_ends_what_is_held_for_it() {
-    let world = World::new();
-    assert_eq!(world.put("b1", 8), "+OK");
-    let lost = world.text.find("[[source.endpoints]]\nname = \"e-2\"").expect("one");
-    let end = world.text.find("[[categories]]").expect("one");
-    world.reload(&[&world.text[..lost], &world.text[end..]].concat());
-    world.until("it is read", |world| world.log().contains("1 endpoints listed, code=listed"));
-    world.until("its end is told", |world| world.log().contains("packet b1: ended, code=dismissed"));
-    assert_eq!(world.put("b2", 7), "+OK");
-    world.until("others go on", |world| world.came() == ["b2"]);
+fn packets_held_for_a_removed_destination_are_dismissed() {
+    let harness = StaticListHarness::new();
+    assert_eq!(harness.put("b1", 8), "+OK");
+    let start = harness.config.find("[[source.endpoints]]\nname = \"e-2\"").expect("section in the example");
+    let end = harness.config.find("[[categories]]").expect("section in the example");
+    harness.reload(&[&harness.config[..start], &harness.config[end..]].concat());
+    harness.until("the new list is in force", |harness| {
+        harness.log().contains("1 endpoints listed, code=listed")
+    });
+    harness.until("the dismissal is logged", |harness| {
+        harness.log().contains("packet b1: ended, code=dismissed")
+    });
+    assert_eq!(harness.put("b2", 7), "+OK");
+    harness.until("other packets are delivered", |harness| harness.delivered() == ["b2"]);
 }
 
 #[test]
-fn a_file_half_written_changes_nothing() {
-    let world = World::new();
-    world.reload(&world.text[..world.text.len() / 2]);
-    world.until("it is refused", |world| {
-        world.log().contains("the old configuration stays in force, code=faulty")
+fn a_truncated_file_changes_nothing() {
+    let harness = StaticListHarness::new();
+    harness.reload(&harness.config[..harness.config.len() / 2]);
+    harness.until("the file is rejected", |harness| {
+        harness.log().contains("the old configuration stays in force, code=faulty")
     });
-    assert_eq!(world.put("c1", 7), "+OK");
-    world.until("it is delivered", |world| world.came() == ["c1"]);
+    assert_eq!(harness.put("c1", 7), "+OK");
+    harness.until("the packet is delivered", |harness| harness.delivered() == ["c1"]);
 }
 
-/// A disk that takes no more bytes, and later does: by the limit that the kernel keeps for the process.
+/// The disk is full for a while, simulated by the file-size limit of the process (`prlimit --fsize`). Clients
+/// are answered -BUSY until a write succeeds, and the failure is logged once.
 #[test]
-fn a_disk_that_fails_is_told_once_and_clients_hear_busy_until_it_is_well() {
-    let world = World::new();
-    let segment = world.folder.path().join("segment-0000000000000001");
-    let mut before = Vec::new();
-    while fs::metadata(&segment).expect("a segment").len() <= FULL {
-        before.push(format!("a{}", before.len()));
-        assert_eq!(world.put(&before[before.len() - 1], 7), "+OK");
+fn clients_are_answered_busy_while_the_disk_is_full_and_one_failure_is_logged() {
+    let harness = StaticListHarness::new();
+    let segment = harness.folder.path().join("segment-0000000000000001");
+    let mut first_packets = Vec::new();
+    while fs::metadata(&segment).expect("segment metadata").len() <= FULL_DISK_BYTES {
+        first_packets.push(format!("a{}", first_packets.len()));
+        assert_eq!(harness.put(&first_packets[first_packets.len() - 1], 7), "+OK");
     }
-    let limit = |bytes: &str| {
-        let words = ["--pid", &world.sender.id().to_string(), &format!("--fsize={bytes}:unlimited")];
-        assert!(Command::new("prlimit").args(words).status().expect("prlimit").success());
+    let set_file_size_limit = |bytes: &str| {
+        let arguments = ["--pid", &harness.sender.id().to_string(), &format!("--fsize={bytes}:unlimited")];
+        assert!(Command::new("prlimit").args(arguments).status().expect("run prlimit").success());
     };
-    world.until("all have come", |world| world.came().len() == before.len());
-    sleep(Duration::from_millis(100)); // and their ends are written
-    limit(&FULL.to_string());
+    harness.until("all packets are delivered", |harness| harness.delivered().len() == first_packets.len());
+    sleep(Duration::from_millis(100)); // lets their completions be written
+    set_file_size_limit(&FULL_DISK_BYTES.to_string());
     for id in ["d2", "d3", "d4"] {
-        assert!(world.put(id, 7).starts_with("-BUSY"), "{}", world.log());
+        assert!(harness.put(id, 7).starts_with("-BUSY"), "{}", harness.log());
     }
-    limit("unlimited");
-    assert_eq!(world.put("d5", 7), "+OK");
-    world.until("others go on", |world| world.came().last().is_some_and(|id| id == "d5"));
-    assert_eq!(world.came().len(), before.len() + 1, "what was turned away never went");
-    let log = world.log();
+    set_file_size_limit("unlimited");
+    assert_eq!(harness.put("d5", 7), "+OK");
+    harness.until("other packets are delivered", |harness| {
+        harness.delivered().last().is_some_and(|id| id == "d5")
+    });
+    assert_eq!(harness.delivered().len(), first_packets.len() + 1, "rejected packets are not dispatched");
+    let log = harness.log();
     assert_eq!(log.matches("no packet is accepted until a write succeeds").count(), 1, "{log}");
     assert_eq!(log.matches("code=written_again").count(), 1, "{log}");
 }
