--- a/crates/sailcart-sender/tests/journal.rs
+++ b/crates/sailcart-sender/tests/journal.rs
@@ -1,4 +1,5 @@
-//! What the journal must outlive.
+//! The journal: which state of packets and notices a restart restores, and that its folder stays within its
+//! capacity.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -10,18 +11,18 @@
 use sailcart_sender::memory::{DispatchState, Notice, Packet};
 use sailcart_store::SyncPolicy;
 
-const ROOM: u64 = 64 * 1024;
+const CAPACITY_BYTES: u64 = 64 * 1024;
 
-/// An empty folder of a story's own.
-fn folder(story: &str) -> PathBuf {
-    let folder = std::env::temp_dir().join(format!("sailcart-{}-{story}", std::process::id()));
+/// Creates an empty folder for one test.
+fn folder(name: &str) -> PathBuf {
+    let folder = std::env::temp_dir().join(format!("sailcart-{}-{name}", std::process::id()));
     let _ = fs::remove_dir_all(&folder);
     fs::create_dir_all(&folder).expect("a folder");
     folder
 }
 
 fn open(folder: &Path) -> Ledger {
-    Ledger::open(folder, ROOM, 4, SyncPolicy::None).expect("a journal")
+    Ledger::open(folder, CAPACITY_BYTES, 4, SyncPolicy::None).expect("a journal")
 }
 
 fn packet(ledger: &Ledger, id: &str, bytes: usize) -> Packet {
@@ -38,10 +39,10 @@
     }
 }
 
-fn take(ledger: &mut Ledger, id: &str) -> PacketId {
+fn accept(ledger: &mut Ledger, id: &str) -> PacketId {
     let packet = packet(ledger, id, 100);
     let number = packet.number;
-    ledger.accept(packet).expect("room");
+    ledger.accept(packet).expect("capacity");
     number
 }
 
@@ -49,21 +50,23 @@
     ledger.uncompleted_packets().iter().map(|packet| packet.id.to_string()).collect()
 }
 
+/// Each state that a packet can have at the end of a process is restored as it was: in flight, dispatched
+/// twice, dispatched and known not to have been executed, delivered, and completed with a pending notice.
 #[test]
-fn what_is_owed_comes_back_as_it_was() {
+fn uncompleted_state_survives_a_restart() {
     let folder = folder("owed");
     let mut ledger = open(&folder);
-    let [a, b, c, d, e] = ["a", "b", "c", "d", "e"].map(|id| take(&mut ledger, id));
+    let [a, b, c, d, e] = ["a", "b", "c", "d", "e"].map(|id| accept(&mut ledger, id));
     let at = |ms| Moment::by_wall_clock(Duration::from_millis(ms));
     for id in [a, b, c] {
-        ledger.record_dispatch(&[id], at(5)).expect("room");
+        ledger.record_dispatch(&[id], at(5)).expect("capacity");
     }
     ledger.record_outcome(b, true);
-    ledger.record_dispatch(&[b], at(9)).expect("room");
+    ledger.record_dispatch(&[b], at(9)).expect("capacity");
     ledger.record_outcome(c, false);
     ledger.complete(d);
     ledger.complete_with_notice(e, Notice::Dismissed(Some(Duration::from_millis(500))));
-    let before = ledger.packet(a).expect("kept").clone();
+    let before = ledger.packet(a).expect("the packet is stored").clone();
     drop(ledger);
     let mut ledger = open(&folder);
     assert_eq!(ids(&ledger), ["a", "b", "c"]);
@@ -80,26 +83,26 @@
         ledger.dispatch_state(c),
         DispatchState { dispatches: 1, possibly_executed_at: None, in_flight_since: None }
     );
-    let owed: Vec<_> =
+    let pending: Vec<_> =
         ledger.pending_notices().map(|(id, name, notice)| (id, name.to_owned(), notice)).collect();
-    assert_eq!(owed, [(e, "e".to_owned(), Notice::Dismissed(Some(Duration::from_millis(500))))]);
+    assert_eq!(pending, [(e, "e".to_owned(), Notice::Dismissed(Some(Duration::from_millis(500))))]);
     assert_eq!(ledger.next_number(), PacketId(e.0 + 1), "no number is used twice");
     ledger.acknowledge_notices(&[e]);
     drop(ledger);
     assert_eq!(open(&folder).pending_notices().count(), 0);
 }
 
-/// A call that an earlier life had out stays in doubt, whatever becomes of later ones: the memory of a deduplicated
-/// packet counts from it. The second restart forgot it.
+/// A call that was in flight when a process ended may have been executed, whatever the outcome of later
+/// calls: the deduplication window counts from that call. A second restart once lost its time.
 #[test]
-fn a_doubt_outlives_two_restarts() {
+fn possible_execution_is_remembered_over_two_restarts() {
     let folder = folder("doubt");
     let mut ledger = open(&folder);
-    let id = take(&mut ledger, "a");
-    ledger.record_dispatch(&[id], Moment::by_wall_clock(Duration::from_secs(5))).expect("room");
+    let id = accept(&mut ledger, "a");
+    ledger.record_dispatch(&[id], Moment::by_wall_clock(Duration::from_secs(5))).expect("capacity");
     drop(ledger);
     let mut ledger = open(&folder);
-    ledger.record_dispatch(&[id], Moment::by_wall_clock(Duration::from_secs(9))).expect("room");
+    ledger.record_dispatch(&[id], Moment::by_wall_clock(Duration::from_secs(9))).expect("capacity");
     ledger.record_outcome(id, false);
     drop(ledger);
     let possibly_executed_at = Some(Moment::by_wall_clock(Duration::from_secs(5)));
@@ -109,134 +112,155 @@
     );
 }
 
+/// Bytes that the files of the folder occupy on disk, in blocks of 512 bytes.
 fn size(folder: &Path) -> u64 {
     let files = fs::read_dir(folder).expect("a folder").flatten();
     files.map(|file| file.metadata().expect("a file").len().div_ceil(512) * 512).sum()
 }
 
-/// SIGKILL may fall within a write.
+/// SIGKILL may interrupt a write. The torn record at the end is dropped and all earlier ones are restored,
+/// while a corrupted byte elsewhere, which no crash causes, is reported with its segment and position.
 #[test]
-fn a_torn_tail_is_cut_and_the_rest_kept() {
+fn torn_write_at_the_end_is_dropped() {
     let folder = folder("torn");
     let mut ledger = open(&folder);
-    take(&mut ledger, "a");
-    take(&mut ledger, "b");
+    accept(&mut ledger, "a");
+    accept(&mut ledger, "b");
     drop(ledger);
     let segment = folder.join("segment-0000000000000001");
-    let whole = fs::read(&segment).expect("a segment");
-    fs::write(&segment, &whole[..whole.len() - 3]).expect("a torn segment");
+    let intact = fs::read(&segment).expect("a segment");
+    fs::write(&segment, &intact[..intact.len() - 3]).expect("a torn segment");
     let mut ledger = open(&folder);
     assert_eq!(ids(&ledger), ["a"]);
-    take(&mut ledger, "c");
+    accept(&mut ledger, "c");
     drop(ledger);
     assert_eq!(ids(&open(&folder)), ["a", "c"]);
-    // No crash changes a byte: refused, by name.
-    let mut bad = fs::read(&segment).expect("a segment");
-    bad[60] ^= 1;
-    fs::write(&segment, &bad).expect("a bad segment");
-    let fault = Ledger::open(&folder, ROOM, 4, SyncPolicy::None).map(|_| ()).expect_err("damage");
-    assert!(fault.to_string().contains("segment-0000000000000001 at byte"), "{fault}");
+    // A crash does not change a byte within a record: opening fails and names the segment.
+    let mut corrupted = fs::read(&segment).expect("a segment");
+    corrupted[60] ^= 1;
+    fs::write(&segment, &corrupted).expect("a bad segment");
+    let error = Ledger::open(&folder, CAPACITY_BYTES, 4, SyncPolicy::None)
+        .map(|_| ())
+        .expect_err("the segment is corrupted");
+    assert!(error.to_string().contains("segment-0000000000000001 at byte"), "{error}");
 }
 
-/// One that was over is known after a restart too: its client may send the command once more.
+/// A client may submit its command again after a restart, so the last completed ids are restored, each with
+/// its outcome.
 #[test]
-fn ids_of_packets_that_are_over_outlive_a_restart() {
+fn completed_ids_survive_a_restart() {
     let folder = folder("over");
     let mut ledger = open(&folder);
-    let wait = Some(Notice::Dismissed(Some(Duration::from_millis(70))));
+    let rejection = Some(Notice::Dismissed(Some(Duration::from_millis(70))));
     for n in 0..6 {
-        let id = take(&mut ledger, &n.to_string());
-        match wait {
+        let id = accept(&mut ledger, &n.to_string());
+        match rejection {
             Some(notice) if n == 5 => assert!(ledger.complete_rejected(id, notice)),
             _ => ledger.complete(id),
         }
     }
     drop(ledger);
     let ledger = open(&folder);
-    let known: Vec<Option<Option<Notice>>> = (0..6).map(|n| ledger.completed(&n.to_string())).collect();
-    assert_eq!(known, [None, None, Some(None), Some(None), Some(None), Some(wait)], "the last four");
+    let outcomes: Vec<Option<Option<Notice>>> = (0..6).map(|n| ledger.completed(&n.to_string())).collect();
+    assert_eq!(
+        outcomes,
+        [None, None, Some(None), Some(None), Some(None), Some(rejection)],
+        "the last four completed ids"
+    );
 }
 
-/// A record as format 1 had it: length, checksum, form, number, and the rest.
-fn format1(form: u8, number: u64, rest: &[u8]) -> Vec<u8> {
-    let record = [&[form][..], &number.to_be_bytes(), rest].concat();
-    let sum = crc32fast::hash(&record).to_be_bytes();
-    [&(record.len() as u32).to_be_bytes()[..], &sum, &record].concat()
+/// A record of format 1: length, checksum, record type, packet number and payload.
+fn format_1_record(record_type: u8, number: u64, payload: &[u8]) -> Vec<u8> {
+    let record = [&[record_type][..], &number.to_be_bytes(), payload].concat();
+    let checksum = crc32fast::hash(&record).to_be_bytes();
+    [&(record.len() as u32).to_be_bytes()[..], &checksum, &record].concat()
 }
 
+/// The single file of format 1 is migrated at the first start, and its file is removed; the next start finds
+/// the same state in the new format. A file of an unknown version is rejected.
 #[test]
-fn the_journal_of_format_1_is_carried_over_once() {
+fn format_1_journal_is_migrated_once() {
     let folder = folder("format1");
-    let word = |text: &str| [&(text.len() as u32).to_be_bytes()[..], text.as_bytes()].concat();
-    let taken = |id: &str| {
-        let [ends, destination] = [1_764_000_000_123_456u64, 7].map(u64::to_be_bytes);
-        [&ends[..], &destination, &word(id), &word("c"), &[0, 0, 0], &word("body")].concat()
+    let text_field = |text: &str| [&(text.len() as u32).to_be_bytes()[..], text.as_bytes()].concat();
+    let accepted_payload = |id: &str| {
+        let [deadline, destination] = [1_764_000_000_123_456u64, 7].map(u64::to_be_bytes);
+        [&deadline[..], &destination, &text_field(id), &text_field("c"), &[0, 0, 0], &text_field("body")]
+            .concat()
     };
-    let stand = [&2u32.to_be_bytes()[..], &[1], &5_000u64.to_be_bytes(), &[0]].concat();
-    let scrapped = |id: &str| [&word(id)[..], &[1, 0]].concat();
-    let all = [
+    let dispatch_payload = [&2u32.to_be_bytes()[..], &[1], &5_000u64.to_be_bytes(), &[0]].concat();
+    let scrapped_payload = |id: &str| [&text_field(id)[..], &[1, 0]].concat();
+    let records = [
         b"sailcart journal 1\n".to_vec(),
-        format1(1, 3, &taken("a")),
-        format1(1, 4, &taken("b")),
-        format1(2, 3, &stand),
-        format1(1, 5, &taken("c")),
-        format1(3, 4, &scrapped("b")),
-        format1(4, 5, &[]),
+        format_1_record(1, 3, &accepted_payload("a")),
+        format_1_record(1, 4, &accepted_payload("b")),
+        format_1_record(2, 3, &dispatch_payload),
+        format_1_record(1, 5, &accepted_payload("c")),
+        format_1_record(3, 4, &scrapped_payload("b")),
+        format_1_record(4, 5, &[]),
         b"torn".to_vec(),
     ];
-    fs::write(folder.join("journal"), all.concat()).expect("a journal");
-    for life in 0..2 {
+    fs::write(folder.join("journal"), records.concat()).expect("a journal");
+    for start in 0..2 {
         let ledger = open(&folder);
-        assert_eq!(ids(&ledger), ["a"], "life {life}");
-        let at = Some(Moment::by_wall_clock(Duration::from_millis(5)));
+        assert_eq!(ids(&ledger), ["a"], "start {start}");
+        let first_dispatch = Some(Moment::by_wall_clock(Duration::from_millis(5)));
         assert_eq!(
             ledger.dispatch_state(PacketId(3)),
-            DispatchState { dispatches: 2, possibly_executed_at: at, in_flight_since: None }
+            DispatchState { dispatches: 2, possibly_executed_at: first_dispatch, in_flight_since: None }
         );
-        assert_eq!(&*ledger.packet(PacketId(3)).expect("kept").body, b"body");
-        let owed: Vec<_> =
+        assert_eq!(&*ledger.packet(PacketId(3)).expect("the packet is stored").body, b"body");
+        let pending: Vec<_> =
             ledger.pending_notices().map(|(id, name, notice)| (id, name.to_owned(), notice)).collect();
-        assert_eq!(owed, [(PacketId(4), "b".to_owned(), Notice::Scrapped)]);
+        assert_eq!(pending, [(PacketId(4), "b".to_owned(), Notice::Scrapped)]);
         assert_eq!(ledger.completed("c"), Some(None));
         assert!(!folder.join("journal").exists());
     }
     fs::write(folder.join("journal"), b"sailcart journal 9\n").expect("a journal");
-    assert!(Ledger::open(&folder, ROOM, 4, SyncPolicy::None).is_err(), "a newer one is refused");
+    assert!(
+        Ledger::open(&folder, CAPACITY_BYTES, 4, SyncPolicy::None).is_err(),
+        "a newer version was opened"
+    );
 }
 
+/// Completed packets must be compacted: 2000 packets pass through the folder, and it never exceeds its
+/// capacity, while a pending notice and an uncompleted packet are retained.
 #[test]
-fn the_folder_stays_within_its_room() {
+fn folder_stays_within_its_capacity() {
     let folder = folder("room");
     let mut ledger = open(&folder);
-    let kept = take(&mut ledger, "kept");
-    ledger.complete_with_notice(kept, Notice::Scrapped);
-    let staying = take(&mut ledger, "staying");
+    let with_notice = accept(&mut ledger, "kept");
+    ledger.complete_with_notice(with_notice, Notice::Scrapped);
+    let uncompleted = accept(&mut ledger, "staying");
     for n in 0..2000 {
-        let id = take(&mut ledger, &format!("{n}"));
-        ledger.record_dispatch(&[id], Moment::by_wall_clock(Duration::from_secs(n))).expect("room");
+        let id = accept(&mut ledger, &format!("{n}"));
+        ledger.record_dispatch(&[id], Moment::by_wall_clock(Duration::from_secs(n))).expect("capacity");
         ledger.complete(id);
         let bytes = size(&folder);
-        assert!(bytes <= ROOM, "{bytes} bytes");
+        assert!(bytes <= CAPACITY_BYTES, "{bytes} bytes");
     }
     drop(ledger);
     let ledger = open(&folder);
     assert_eq!(ids(&ledger), ["staying"]);
     assert_eq!(ledger.pending_notices().count(), 1);
-    assert!(ledger.packet(staying).is_some());
+    assert!(ledger.packet(uncompleted).is_some());
 }
 
+/// A packet is accepted only if the records that it may still need fit as well, so that accepted packets can
+/// always be dispatched and completed.
 #[test]
-fn what_does_not_fit_is_not_taken() {
+fn packets_beyond_the_capacity_are_rejected() {
     let folder = folder("full");
     let mut ledger = open(&folder);
-    let taken = (0..10).take_while(|n| {
+    let accepted_count = (0..10).take_while(|n| {
         let packet = packet(&ledger, &n.to_string(), 4000);
         ledger.accept(packet).is_ok()
     });
-    let taken = taken.count();
-    assert_eq!(taken, 8, "half of the room, with what they may still need");
+    let accepted_count = accepted_count.count();
+    assert_eq!(accepted_count, 8, "half of the capacity, including the records that they may still need");
     let first = ledger.uncompleted_packets()[0].number;
-    ledger.record_dispatch(&[first], Moment::by_wall_clock(Duration::ZERO)).expect("what was taken can go");
+    ledger
+        .record_dispatch(&[first], Moment::by_wall_clock(Duration::ZERO))
+        .expect("an accepted packet can be dispatched");
     ledger.complete(first);
     assert!(ledger.accept(packet(&ledger, "next", 4000)).is_ok());
 }
--- a/crates/sailcart-sender/tests/other_boot.rs
+++ b/crates/sailcart-sender/tests/reboot.rs
@@ -1,4 +1,4 @@
-//! A folder of a machine that was started anew since.
+//! Recovery of a state folder after the machine has been rebooted.
 
 use std::time::Duration;
 
@@ -8,20 +8,21 @@
 use sailcart_sender::memory::moment::{BootId, Moment, Uptime, boot_id};
 use sailcart_store::SyncPolicy;
 
-#[allow(dead_code)] // other tests use the rest of it
+#[allow(dead_code)] // each test file uses a part of this module
 mod peer;
 
 use peer::answer;
 use peer::world::World;
 
-/// The kernel's boot id is another: how long ago the call went nobody can tell, whatever the wall clock says. So it does not go again
-/// where its key may be forgotten; what was never called is.
+/// The kernel's boot id differs from the one in the journal, so the time since the dispatch is unknown,
+/// whatever the wall clock says. A packet that was dispatched is not repeated, because the destination may
+/// have forgotten its idempotency key; a packet that was never dispatched is sent.
 #[test]
-fn a_machine_that_was_started_anew_repeats_nothing_and_tries_what_is_untried() {
+fn after_a_reboot_only_undispatched_packets_are_sent() {
     let mut world = World::new("other-boot", |_, _| answer("200 OK", "", ""));
     world.kill();
     let mut ledger = Ledger::open(&world.folder, 1_000_000, 16, SyncPolicy::None).expect("a journal");
-    let other = |moment: Moment| Moment {
+    let in_another_boot = |moment: Moment| Moment {
         uptime: Some(Uptime {
             boot: BootId(!boot_id().map_or(0, |boot| boot.0)),
             since_boot: Duration::from_secs(9),
@@ -29,7 +30,7 @@
         ..moment
     };
     let now = Moment::now(boot_id());
-    let mut take = |id: &str| {
+    let mut accept = |id: &str| {
         let packet = Packet {
             number: ledger.next_number(),
             id: id.into(),
@@ -38,18 +39,18 @@
             idempotency_key: Some(id.into()),
             order_key: None,
             destination: DestinationId(7),
-            deadline: other(now.later(Duration::from_secs(20))),
+            deadline: in_another_boot(now.later(Duration::from_secs(20))),
             body: b"hello".to_vec().into(),
         };
         let number = packet.number;
-        ledger.accept(packet).expect("room");
+        ledger.accept(packet).expect("capacity");
         number
     };
-    let (called, _untried) = (take("called"), take("untried"));
-    ledger.record_dispatch(&[called], other(now)).expect("room");
+    let (dispatched, _undispatched) = (accept("called"), accept("untried"));
+    ledger.record_dispatch(&[dispatched], in_another_boot(now)).expect("capacity");
     drop(ledger);
     world.start();
     world.until("the call", |world| world.came() == ["untried"]);
-    world.until("the end", |world| world.notices().iter().any(|line| line.contains("called")));
+    world.until("the notice", |world| world.notices().iter().any(|line| line.contains("called")));
     assert_eq!(world.came(), ["untried"]);
 }
