--- a/crates/sailcart-sender/tests/clock_steps.rs
+++ b/crates/sailcart-sender/tests/clock_steps.rs
@@ -1,102 +1,114 @@
-//! The machine's wall clock is stepped, between two processes or within one, while its monotonic clock runs on: windows, deadlines and
-//! waits are spans of real time.
+//! Steps of the machine's wall clock, between two processes or during one, while its monotonic clock keeps
+//! running. Time windows, deadlines and waits are measured in real time, so no step may shorten or lengthen
+//! them.
 
 use std::thread::{self, sleep};
 use std::time::{Duration, Instant};
 
-#[allow(dead_code)] // other tests use the rest of it
+#[allow(dead_code)] // each test file uses a part of this module
 mod peer;
 
 use peer::world::World;
 use peer::{Call, SubmitReply, answer, put};
 use sailcart_shim::{Page, Word};
 
-/// Seconds by which the clock is stepped.
+/// Steps of the wall clock, in seconds.
 const STEPS: [i64; 7] = [-3600, -40, -4, -1, 4, 40, 3600];
-/// The example's window for repeats, and a short one.
+/// The deduplication window in the example configuration.
 const WINDOW: &str = r#""dedup_window_ms": 25000"#;
+/// A window that ends within a test.
 const SHORT_WINDOW: &str = r#""dedup_window_ms": 1000"#;
 
-fn put_for(world: &World, id: &str, span_ms: u32) -> String {
-    put(world.listen, id, &format!("c=notice,t=acme,d={span_ms},k={id},dest=7"), "hello").expect("an answer")
+fn submit_with_deadline(world: &World, id: &str, deadline_ms: u32) -> String {
+    put(world.listen, id, &format!("c=notice,t=acme,d={deadline_ms},k={id},dest=7"), "hello")
+        .expect("an answer")
 }
 
-/// An endpoint that reads its first call and never answers it.
-fn hangs_once(number: usize, _: &Call) -> SubmitReply {
+/// An endpoint that reads its first call and does not answer it.
+fn first_call_hangs(number: usize, _: &Call) -> SubmitReply {
     if number == 0 {
         thread::park_timeout(Duration::from_secs(60));
     }
     answer("200 OK", "", "")
 }
 
-/// Each step in a world of its own, side by side.
-fn for_each_step(story: &str, within: bool, play: impl Fn(&str, &dyn Fn(&Page, bool)) + Send + Sync) {
+/// Runs a scenario once for each step, concurrently, each in an environment of its own. With `while_running`
+/// the clock is stepped while the first process runs, otherwise after it has ended.
+fn for_each_step(
+    scenario: &str,
+    while_running: bool,
+    run: impl Fn(&str, &dyn Fn(&Page, bool)) + Send + Sync,
+) {
     thread::scope(|scope| {
         for seconds in STEPS {
-            let play = &play;
+            let run = &run;
             scope.spawn(move || {
-                // Called before the process ends and after: steps where this story does so.
+                // The scenario calls this before and after the process ends; one of the calls steps.
                 let step = move |page: &Page, running: bool| {
-                    if running == within {
-                        page.set(Word::WallStep, seconds * 1000).expect("a page");
+                    if running == while_running {
+                        page.set(Word::WallStep, seconds * 1000).expect("the control page");
                     }
                 };
-                play(&format!("{story}-{within}-{seconds}"), &step);
+                run(&format!("{scenario}-{while_running}-{seconds}"), &step);
             });
         }
     });
 }
 
-/// A call hangs, the process is killed, and the next one starts when the destination has forgotten the call's key.
+/// Guards against a second execution: a call is not answered, the process is killed, and the next process
+/// starts when the destination has forgotten the idempotency key. A step back of the clock must not make the
+/// window seem open.
 #[test]
-fn no_repeat_goes_after_its_window_whatever_the_wall_clock_says() {
-    for within in [false, true] {
-        for_each_step("window-over", within, |story, step| {
-            let (mut world, page) = World::under_faults(story, hangs_once);
+fn nothing_is_repeated_after_the_deduplication_window() {
+    for while_running in [false, true] {
+        for_each_step("window-over", while_running, |scenario, step| {
+            let (mut world, page) = World::under_faults(scenario, first_call_hangs);
             world.restart_with(&[(WINDOW, SHORT_WINDOW)]);
-            assert_eq!(put_for(&world, "a1", 20_000), "+OK");
-            world.until("its call", |world| world.came() == ["a1"]);
+            assert_eq!(submit_with_deadline(&world, "a1", 20_000), "+OK");
+            world.until("the call", |world| world.came() == ["a1"]);
             step(&page, true);
             world.kill();
             sleep(Duration::from_millis(1300));
             step(&page, false);
             world.start();
-            world.until("its end", |world| world.notices().iter().any(|line| line.contains("a1")));
+            world.until("the completion", |world| world.notices().iter().any(|line| line.contains("a1")));
             sleep(Duration::from_millis(500));
-            assert_eq!(world.came(), ["a1"], "{story}: an effect twice");
+            assert_eq!(world.came(), ["a1"], "{scenario}: executed twice");
         });
     }
 }
 
-/// Within the window the packet goes again at once, and nothing is given up for a clock that says otherwise.
-fn what_may_go_again_is_not_given_up_for_a_step() {
-    for within in [false, true] {
-        for_each_step("window-open", within, |story, step| {
-            let (mut world, page) = World::under_faults(story, hangs_once);
-            assert_eq!(put_for(&world, "a1", 20_000), "+OK");
-            world.until("its call", |world| world.came() == ["a1"]);
+/// Guards against packets that are abandoned early: within the window the packet is repeated at once, also
+/// when the wall clock says that the window or the deadline has passed.
+fn packets_are_repeated_within_the_deduplication_window() {
+    for while_running in [false, true] {
+        for_each_step("window-open", while_running, |scenario, step| {
+            let (mut world, page) = World::under_faults(scenario, first_call_hangs);
+            assert_eq!(submit_with_deadline(&world, "a1", 20_000), "+OK");
+            world.until("the call", |world| world.came() == ["a1"]);
             step(&page, true);
             world.kill();
             sleep(Duration::from_millis(300));
             step(&page, false);
             world.start();
-            world.until("its repeat", |world| world.came() == ["a1", "a1"]);
-            assert_eq!(world.notices(), [""; 0], "{story}: given up early");
+            world.until("the repeated call", |world| world.came() == ["a1", "a1"]);
+            assert_eq!(world.notices(), [""; 0], "{scenario}: abandoned early");
         });
     }
 }
 
-/// Taken on and untried behind a told wait: the next life tries both, as the restart ends the wait.
-fn what_was_taken_on_and_not_tried_is_tried_after_a_step() {
-    for_each_step("untried", false, |story, step| {
-        let (mut world, page) = World::under_faults(story, |number, _| match number {
+/// Accepted packets that were not dispatched because of a Retry-After wait are sent by the next process,
+/// since the wait ends with the restart.
+fn undispatched_packets_are_sent_after_a_step() {
+    for_each_step("untried", false, |scenario, step| {
+        let (mut world, page) = World::under_faults(scenario, |number, _| match number {
             0 => answer("429 Too Many Requests", "Retry-After: 2.0\r\n", ""),
             _ => answer("200 OK", "", ""),
         });
-        assert_eq!(put_for(&world, "a1", 20_000), "+OK");
-        world.until("its wait", |world| world.log().contains("packet a1 from"));
+        assert_eq!(submit_with_deadline(&world, "a1", 20_000), "+OK");
+        world.until("the Retry-After wait", |world| world.log().contains("packet a1 from"));
         assert_eq!(
-            (put_for(&world, "b2", 20_000), put_for(&world, "c3", 20_000)),
+            (submit_with_deadline(&world, "b2", 20_000), submit_with_deadline(&world, "c3", 20_000)),
             ("+OK".into(), "+OK".into())
         );
         world.kill();
@@ -106,73 +118,79 @@
         world.until("both calls", |world| {
             ["b2", "c3"].iter().all(|id| world.came().contains(&(*id).to_owned()))
         });
-        assert_eq!(world.notices(), [""; 0], "{story}: given up early");
+        assert_eq!(world.notices(), [""; 0], "{scenario}: abandoned early");
     });
 }
 
-/// A packet that nobody takes ends when its time is over, by no more than a second late, and not before.
-fn a_deadline_is_a_span_of_real_time() {
-    for within in [false, true] {
-        for_each_step("deadline", within, |story, step| {
-            let (mut world, page) = World::under_faults(story, |_, _| {
+/// A packet that no endpoint accepts fails after its deadline: no more than a second late, and not early.
+fn deadline_is_measured_in_real_time() {
+    for while_running in [false, true] {
+        for_each_step("deadline", while_running, |scenario, step| {
+            let (mut world, page) = World::under_faults(scenario, |_, _| {
                 answer("429 Too Many Requests", "Retry-After: 1.9\r\n", "")
             });
             let start = Instant::now();
-            assert_eq!(put_for(&world, "a1", 5000), "+OK");
-            world.until("its wait", |world| world.log().contains("packet a1 from"));
+            assert_eq!(submit_with_deadline(&world, "a1", 5000), "+OK");
+            world.until("the Retry-After wait", |world| world.log().contains("packet a1 from"));
             step(&page, true);
             world.kill();
             sleep(Duration::from_millis(300));
             step(&page, false);
             world.start();
-            world.until("its end", |world| world.notices().iter().any(|line| line.contains("a1")));
-            let after = start.elapsed();
-            assert!(after > Duration::from_millis(3500), "{story}: given up after {after:?}");
-            assert!(after < Duration::from_millis(6000), "{story}: kept until {after:?}");
+            world.until("the completion", |world| world.notices().iter().any(|line| line.contains("a1")));
+            let elapsed = start.elapsed();
+            assert!(
+                elapsed > Duration::from_millis(3500),
+                "{scenario}: failed after {elapsed:?}, before its deadline"
+            );
+            assert!(elapsed < Duration::from_millis(6000), "{scenario}: failed only after {elapsed:?}");
         });
     }
 }
 
+/// Runs three scenarios concurrently, because each of them waits for real time to pass.
 #[test]
-fn nothing_is_given_up_early_or_kept_late_for_a_step() {
+fn packets_are_abandoned_neither_early_nor_late() {
     thread::scope(|scope| {
-        scope.spawn(what_may_go_again_is_not_given_up_for_a_step);
-        scope.spawn(what_was_taken_on_and_not_tried_is_tried_after_a_step);
-        scope.spawn(a_deadline_is_a_span_of_real_time);
+        scope.spawn(packets_are_repeated_within_the_deduplication_window);
+        scope.spawn(undispatched_packets_are_sent_after_a_step);
+        scope.spawn(deadline_is_measured_in_real_time);
     });
 }
 
-/// A told wait is a span of real time: no step within it cuts it short or makes it longer.
+/// A Retry-After wait is measured in real time: no step of the clock during the wait shortens or lengthens
+/// it.
 #[test]
-fn a_told_wait_is_kept_through_a_step() {
-    for_each_step("wait", true, |story, step| {
-        let (world, page) = World::under_faults(story, |number, _| match number {
+fn retry_after_wait_is_measured_in_real_time() {
+    for_each_step("wait", true, |scenario, step| {
+        let (world, page) = World::under_faults(scenario, |number, _| match number {
             0 => answer("429 Too Many Requests", "Retry-After: 2.0\r\n", ""),
             _ => answer("200 OK", "", ""),
         });
-        assert_eq!(put_for(&world, "a1", 20_000), "+OK");
-        world.until("its wait", |world| world.log().contains("packet a1 from"));
-        let told = Instant::now();
+        assert_eq!(submit_with_deadline(&world, "a1", 20_000), "+OK");
+        world.until("the Retry-After wait", |world| world.log().contains("packet a1 from"));
+        let wait_started_at = Instant::now();
         step(&page, true);
         world.until("the next call", |world| world.came().len() == 2);
-        let waited = told.elapsed();
-        assert!(waited > Duration::from_millis(1850), "{story}: called after {waited:?}");
-        assert!(waited < Duration::from_millis(3000), "{story}: called after {waited:?}");
+        let waited = wait_started_at.elapsed();
+        assert!(waited > Duration::from_millis(1850), "{scenario}: called after {waited:?}");
+        assert!(waited < Duration::from_millis(3000), "{scenario}: called after {waited:?}");
     });
 }
 
-/// The id of a packet that is over is known to the next life, whatever the clock says: nothing runs a second time for it.
+/// The id of a completed packet is known to the next process, whatever the wall clock says, so that a
+/// resubmission is not executed a second time.
 #[test]
-fn an_id_is_remembered_through_a_step() {
-    for_each_step("ids", false, |story, step| {
-        let (mut world, page) = World::under_faults(story, |_, _| answer("200 OK", "", ""));
-        assert_eq!(put_for(&world, "a1", 20_000), "+OK");
-        world.until("its end", |world| world.folder_shows().contains("0 packets not completed"));
+fn completed_id_is_remembered_after_a_step() {
+    for_each_step("ids", false, |scenario, step| {
+        let (mut world, page) = World::under_faults(scenario, |_, _| answer("200 OK", "", ""));
+        assert_eq!(submit_with_deadline(&world, "a1", 20_000), "+OK");
+        world.until("the completion", |world| world.folder_shows().contains("0 packets not completed"));
         world.kill();
         step(&page, false);
         world.start();
-        assert_eq!(put_for(&world, "a1", 20_000), "+OK");
+        assert_eq!(submit_with_deadline(&world, "a1", 20_000), "+OK");
         sleep(Duration::from_millis(500));
-        assert_eq!(world.came(), ["a1"], "{story}: called again");
+        assert_eq!(world.came(), ["a1"], "{scenario}: called a second time");
     });
 }
--- a/crates/sailcart-sender/tests/reload.rs
+++ b/crates/sailcart-sender/tests/reload.rs
@@ -1,36 +1,41 @@
-//! A large configuration at SIGHUP: clients are answered while it is read.
+//! Reload of a large configuration on SIGHUP: the sender keeps answering clients while it reads the file.
 
 use std::fmt::Write;
 use std::time::{Duration, Instant};
 
-#[allow(dead_code)] // other tests use the rest of it
+#[allow(dead_code)] // each test file uses a part of this module
 mod peer;
 
 use peer::world::World;
 use peer::{answer, entry, say};
 
-/// Lines of the list that the configuration brings.
-const LINES: usize = 100_000;
+/// Entries of the endpoint list in the reloaded configuration.
+const ENTRIES: usize = 100_000;
 
+/// A configuration with 100,000 entries takes long to parse; parsing it on the thread that serves clients
+/// would delay their answers. No PING may take longer than 200 ms.
 #[test]
-fn clients_are_answered_while_a_large_configuration_is_read() {
+fn clients_are_answered_during_a_large_reload() {
     let mut world = World::new("large-reload", |_, _| answer("200 OK", "", ""));
     let address = world.endpoint;
-    let mut known = String::new();
-    for number in 0..LINES {
+    let mut instances = String::new();
+    for number in 0..ENTRIES {
         let comma = if number > 0 { "," } else { "" };
-        let _ =
-            write!(known, "{comma}{}", entry(&format!("k{number}"), address, 1000 + number as u64, "Ready"));
+        let _ = write!(
+            instances,
+            "{comma}{}",
+            entry(&format!("k{number}"), address, 1000 + number as u64, "Ready")
+        );
     }
-    let large = world.config.replace(r#""instances": []"#, &format!(r#""instances": [{known}]"#));
+    let large = world.config.replace(r#""instances": []"#, &format!(r#""instances": [{instances}]"#));
     let moved = large.replace(&world.discovery.to_string(), "127.0.0.1:9");
     world.reload(&moved);
     let (start, mut longest) = (Instant::now(), Duration::ZERO);
     while !world.log().contains("reload: discovery at 127.0.0.1:9, code=moved") {
-        let asked = Instant::now();
+        let ping_sent_at = Instant::now();
         assert_eq!(say(world.listen, "*1\r\n$4\r\nPING\r\n").expect("an answer"), "+PONG");
-        longest = longest.max(asked.elapsed());
-        assert!(start.elapsed() < Duration::from_secs(60), "it is read in the end");
+        longest = longest.max(ping_sent_at.elapsed());
+        assert!(start.elapsed() < Duration::from_secs(60), "the configuration was not read within 60 s");
     }
     assert!(longest < Duration::from_millis(200), "a PING took {longest:?}");
     world.kill();
