--- a/crates/sailcart-sender/tests/store_command.rs
+++ b/crates/sailcart-sender/tests/store_command.rs
@@ -85,7 +85,7 @@
     let (success, output) = run_store(&["salvage"], &[&old, &new]);
     assert!(success && output.contains("given up: segment-0000000000000001"), "{output}");
     assert!(output.contains("19 records saved"), "{output}");
-    assert_eq!(fs::read(&segment).expect("a segment"), bytes, "the old folder is unchanged");
+    assert_eq!(fs::read(&segment).expect("a segment"), bytes, "salvage changed the old folder");
     let ledger = open(&new);
     let salvaged = ledger.uncompleted_packets();
     assert_eq!(salvaged.len(), 19);
