--- a/crates/sailcart-sender/tests/clock_steps.rs
+++ b/crates/sailcart-sender/tests/clock_steps.rs
@@ -5,10 +5,10 @@
 use std::time::{Duration, Instant};
 
 #[allow(dead_code)] // other tests use the rest of it
-mod peer;
+mod common;
 
-use peer::world::World;
-use peer::{Call, SubmitReply, answer, put};
+use common::harness::Harness;
+use common::{Call, HttpReply, http_response, submit};
 use sailcart_shim::{Page, Word};
 
 /// Seconds by which the clock is stepped.
@@ -17,16 +17,17 @@
 const WINDOW: &str = r#""dedup_window_ms": 25000"#;
 const SHORT_WINDOW: &str = r#""dedup_window_ms": 1000"#;
 
-fn put_for(world: &World, id: &str, span_ms: u32) -> String {
-    put(world.listen, id, &format!("c=notice,t=acme,d={span_ms},k={id},dest=7"), "hello").expect("an answer")
+fn put_for(world: &Harness, id: &str, span_ms: u32) -> String {
+    submit(world.listen_address, id, &format!("c=notice,t=acme,d={span_ms},k={id},dest=7"), "hello")
+        .expect("an answer")
 }
 
 /// An endpoint that reads its first call and never answers it.
-fn hangs_once(number: usize, _: &Call) -> SubmitReply {
+fn hangs_once(number: usize, _: &Call) -> HttpReply {
     if number == 0 {
         thread::park_timeout(Duration::from_secs(60));
     }
-    answer("200 OK", "", "")
+    http_response("200 OK", "", "")
 }
 
 /// Each step in a world of its own, side by side.
@@ -52,18 +53,18 @@
 fn no_repeat_goes_after_its_window_whatever_the_wall_clock_says() {
     for within in [false, true] {
         for_each_step("window-over", within, |story, step| {
-            let (mut world, page) = World::under_faults(story, hangs_once);
+            let (mut world, page) = Harness::with_fault_injection(story, hangs_once);
             world.restart_with(&[(WINDOW, SHORT_WINDOW)]);
             assert_eq!(put_for(&world, "a1", 20_000), "+OK");
-            world.until("its call", |world| world.came() == ["a1"]);
+            world.wait_until("its call", |world| world.received_ids() == ["a1"]);
             step(&page, true);
             world.kill();
             sleep(Duration::from_millis(1300));
             step(&page, false);
             world.start();
-            world.until("its end", |world| world.notices().iter().any(|line| line.contains("a1")));
+            world.wait_until("its end", |world| world.notices().iter().any(|line| line.contains("a1")));
             sleep(Duration::from_millis(500));
-            assert_eq!(world.came(), ["a1"], "{story}: an effect twice");
+            assert_eq!(world.received_ids(), ["a1"], "{story}: an effect twice");
         });
     }
 }
@@ -72,15 +73,15 @@
 fn what_may_go_again_is_not_given_up_for_a_step() {
     for within in [false, true] {
         for_each_step("window-open", within, |story, step| {
-            let (mut world, page) = World::under_faults(story, hangs_once);
+            let (mut world, page) = Harness::with_fault_injection(story, hangs_once);
             assert_eq!(put_for(&world, "a1", 20_000), "+OK");
-            world.until("its call", |world| world.came() == ["a1"]);
+            world.wait_until("its call", |world| world.received_ids() == ["a1"]);
             step(&page, true);
             world.kill();
             sleep(Duration::from_millis(300));
             step(&page, false);
             world.start();
-            world.until("its repeat", |world| world.came() == ["a1", "a1"]);
+            world.wait_until("its repeat", |world| world.received_ids() == ["a1", "a1"]);
             assert_eq!(world.notices(), [""; 0], "{story}: given up early");
         });
     }
@@ -89,12 +90,12 @@
 /// Taken on and untried behind a told wait: the next life tries both, as the restart ends the wait.
 fn what_was_taken_on_and_not_tried_is_tried_after_a_step() {
     for_each_step("untried", false, |story, step| {
-        let (mut world, page) = World::under_faults(story, |number, _| match number {
-            0 => answer("429 Too Many Requests", "Retry-After: 2.0\r\n", ""),
-            _ => answer("200 OK", "", ""),
+        let (mut world, page) = Harness::with_fault_injection(story, |number, _| match number {
+            0 => http_response("429 Too Many Requests", "Retry-After: 2.0\r\n", ""),
+            _ => http_response("200 OK", "", ""),
         });
         assert_eq!(put_for(&world, "a1", 20_000), "+OK");
-        world.until("its wait", |world| world.log().contains("packet a1 from"));
+        world.wait_until("its wait", |world| world.log().contains("packet a1 from"));
         assert_eq!(
             (put_for(&world, "b2", 20_000), put_for(&world, "c3", 20_000)),
             ("+OK".into(), "+OK".into())
@@ -103,8 +104,8 @@
         sleep(Duration::from_millis(300));
         step(&page, false);
         world.start();
-        world.until("both calls", |world| {
-            ["b2", "c3"].iter().all(|id| world.came().contains(&(*id).to_owned()))
+        world.wait_until("both calls", |world| {
+            ["b2", "c3"].iter().all(|id| world.received_ids().contains(&(*id).to_owned()))
         });
         assert_eq!(world.notices(), [""; 0], "{story}: given up early");
     });
@@ -114,18 +115,18 @@
 fn a_deadline_is_a_span_of_real_time() {
     for within in [false, true] {
         for_each_step("deadline", within, |story, step| {
-            let (mut world, page) = World::under_faults(story, |_, _| {
-                answer("429 Too Many Requests", "Retry-After: 1.9\r\n", "")
+            let (mut world, page) = Harness::with_fault_injection(story, |_, _| {
+                http_response("429 Too Many Requests", "Retry-After: 1.9\r\n", "")
             });
             let start = Instant::now();
             assert_eq!(put_for(&world, "a1", 5000), "+OK");
-            world.until("its wait", |world| world.log().contains("packet a1 from"));
+            world.wait_until("its wait", |world| world.log().contains("packet a1 from"));
             step(&page, true);
             world.kill();
             sleep(Duration::from_millis(300));
             step(&page, false);
             world.start();
-            world.until("its end", |world| world.notices().iter().any(|line| line.contains("a1")));
+            world.wait_until("its end", |world| world.notices().iter().any(|line| line.contains("a1")));
             let after = start.elapsed();
             assert!(after > Duration::from_millis(3500), "{story}: given up after {after:?}");
             assert!(after < Duration::from_millis(6000), "{story}: kept until {after:?}");
@@ -146,15 +147,15 @@
 #[test]
 fn a_told_wait_is_kept_through_a_step() {
     for_each_step("wait", true, |story, step| {
-        let (world, page) = World::under_faults(story, |number, _| match number {
-            0 => answer("429 Too Many Requests", "Retry-After: 2.0\r\n", ""),
-            _ => answer("200 OK", "", ""),
+        let (world, page) = Harness::with_fault_injection(story, |number, _| match number {
+            0 => http_response("429 Too Many Requests", "Retry-After: 2.0\r\n", ""),
+            _ => http_response("200 OK", "", ""),
         });
         assert_eq!(put_for(&world, "a1", 20_000), "+OK");
-        world.until("its wait", |world| world.log().contains("packet a1 from"));
+        world.wait_until("its wait", |world| world.log().contains("packet a1 from"));
         let told = Instant::now();
         step(&page, true);
-        world.until("the next call", |world| world.came().len() == 2);
+        world.wait_until("the next call", |world| world.received_ids().len() == 2);
         let waited = told.elapsed();
         assert!(waited > Duration::from_millis(1850), "{story}: called after {waited:?}");
         assert!(waited < Duration::from_millis(3000), "{story}: called after {waited:?}");
@@ -165,14 +166,14 @@
 #[test]
 fn an_id_is_remembered_through_a_step() {
     for_each_step("ids", false, |story, step| {
-        let (mut world, page) = World::under_faults(story, |_, _| answer("200 OK", "", ""));
+        let (mut world, page) = Harness::with_fault_injection(story, |_, _| http_response("200 OK", "", ""));
         assert_eq!(put_for(&world, "a1", 20_000), "+OK");
-        world.until("its end", |world| world.folder_shows().contains("0 packets not completed"));
+        world.wait_until("its end", |world| world.store_summary().contains("0 packets not completed"));
         world.kill();
         step(&page, false);
         world.start();
         assert_eq!(put_for(&world, "a1", 20_000), "+OK");
         sleep(Duration::from_millis(500));
-        assert_eq!(world.came(), ["a1"], "{story}: called again");
+        assert_eq!(world.received_ids(), ["a1"], "{story}: called again");
     });
 }
--- a/crates/sailcart-sender/tests/peer/moments.rs
+++ b/crates/sailcart-sender/tests/common/process_control.rs
@@ -6,26 +6,26 @@
 
 use sailcart_sender::inspect;
 
-use super::world::World;
+use super::harness::Harness;
 
 /// The signal that ends a process at its first write beyond the limit of a file's size, as suddenly as SIGKILL.
 const SIGXFSZ: i32 = 25;
 /// What is taken on and not over, where that is nothing.
 const NOTHING_OWED: &str = "0 packets not completed, 0 pending notices";
 
-impl World {
+impl Harness {
     /// What stands in the state folder, in words.
-    pub fn folder_shows(&self) -> String {
+    pub fn store_summary(&self) -> String {
         inspect::show(&self.folder).unwrap_or_default()
     }
 
     /// Until these words tell of what stands in the state folder.
-    pub fn until_folder_shows(&self, words: &str) {
-        self.until(words, |world| world.folder_shows().contains(words));
+    pub fn wait_until_store_shows(&self, words: &str) {
+        self.wait_until(words, |world| world.store_summary().contains(words));
     }
 
     /// Starts the process and waits for nothing. A limit of its open descriptors may be set before.
-    pub fn launch(&mut self, descriptors: Option<u32>) {
+    pub fn spawn_sender(&mut self, descriptors: Option<u32>) {
         let file = self.folder.join("config.json");
         fs::write(&file, &self.config).expect("a configuration");
         let log = OpenOptions::new().append(true).create(true).open(self.folder.join("log"));
@@ -37,7 +37,7 @@
         let mut command = Command::new("sh");
         command.args(["-c", script, &limit, env!("CARGO_BIN_EXE_sailcart"), "serve", "--config"]);
         command.arg(file).env("RUST_LOG", "debug").stderr(log.expect("a log"));
-        if let Some(page) = &self.page {
+        if let Some(page) = &self.control_page {
             command.envs(page.environment(sailcart_shim::library().expect("the shim")));
         }
         self.sender = Some(command.spawn().expect("the sender starts"));
@@ -54,7 +54,7 @@
     }
 
     /// The process ends at its next write beyond this size of a file.
-    pub fn end_at_write_beyond(&self, bytes: u64) {
+    pub fn limit_file_size(&self, bytes: u64) {
         let pid = self.sender.as_ref().expect("a sender").id().to_string();
         let limit = format!("--fsize={bytes}:unlimited");
         let set = Command::new("prlimit").args(["--pid", &pid, &limit, "--core=0:0"]).status();
@@ -62,24 +62,24 @@
     }
 
     /// Until the process has ended at that write.
-    pub fn ended_at_write(&mut self) {
+    pub fn wait_for_file_size_signal(&mut self) {
         let ended = self.sender.take().expect("a sender").wait().expect("an end");
         assert_eq!(ended.signal(), Some(SIGXFSZ), "{}", self.log());
     }
 
     /// Until nothing is owed any more, also for the life after that: none of its calls or notices follows.
-    pub fn over_for_good(&mut self) {
-        self.until_folder_shows(NOTHING_OWED);
-        let before = (self.came(), self.notices());
+    pub fn assert_nothing_pending_after_restart(&mut self) {
+        self.wait_until_store_shows(NOTHING_OWED);
+        let before = (self.received_ids(), self.notices());
         self.kill();
         let lives = self.log().matches("recovery: ").count();
         self.start();
         let last =
             self.log().lines().filter(|line| line.contains("recovery: ")).nth(lives).map(str::to_owned);
         assert!(last.is_some_and(|line| line.contains("recovery: 0 packets, 0 notices")), "{}", self.log());
-        assert_eq!(self.put("last"), "+OK");
-        self.until("a call of the last life", |world| world.came().len() > before.0.len());
-        let mut came = self.came();
+        assert_eq!(self.submit("last"), "+OK");
+        self.wait_until("a call of the last life", |world| world.received_ids().len() > before.0.len());
+        let mut came = self.received_ids();
         let more = came.split_off(before.0.len());
         assert_eq!(came, before.0);
         assert!(more.iter().all(|id| id == "last"), "{more:?}"); // which may go again, where it is answered so
--- a/crates/sailcart-sender/tests/early_answers.rs
+++ b/crates/sailcart-sender/tests/early_answers.rs
@@ -8,10 +8,10 @@
 use socket2::{Domain, SockRef, Socket, Type};
 
 #[allow(dead_code)] // other tests use the rest of it
-mod peer;
+mod common;
 
-use peer::world::World;
-use peer::{answer, entry, put};
+use common::harness::Harness;
+use common::{http_response, list_entry, submit};
 
 /// Longer than anything is waited for here.
 const LONGEST: Duration = Duration::from_secs(8);
@@ -63,7 +63,7 @@
     if number > 0 {
         let whole = read_call(&mut stream);
         stream
-            .write_all(answer("200 OK", "Connection: close\r\n", "").expect("words").as_bytes())
+            .write_all(http_response("200 OK", "Connection: close\r\n", "").expect("words").as_bytes())
             .expect("room");
         return usize::from(whole);
     }
@@ -100,19 +100,19 @@
     then: Then,
     connections: usize,
     changes: &[(&str, &str)],
-) -> (World, Vec<usize>) {
-    let mut world = World::new(story, |_, _| None);
+) -> (Harness, Vec<usize>) {
+    let mut world = Harness::new(story, |_, _| None);
     world.restart_with(changes);
     let endpoint = Early::new(first, then, connections);
-    world.platform.list(&[entry("f", endpoint.address, 7, "Ready")]);
-    world.until("the news", |world| world.log().contains("discovery: version 2"));
+    world.platform.set_list(&[list_entry("f", endpoint.address, 7, "Ready")]);
+    world.wait_until("the news", |world| world.log().contains("discovery: version 2"));
     let start = Instant::now();
     let body = "x".repeat(LARGE);
     assert_eq!(
-        put(world.listen, "a1", "c=notice,t=acme,d=8000,k=a1,dest=7", &body).expect("an answer"),
+        submit(world.listen_address, "a1", "c=notice,t=acme,d=8000,k=a1,dest=7", &body).expect("an answer"),
         "+OK"
     );
-    world.until_folder_shows("0 packets not completed");
+    world.wait_until_store_shows("0 packets not completed");
     assert!(
         start.elapsed() < Duration::from_secs(3),
         "the answer is not waited for: {:?}\n{}",
@@ -120,7 +120,7 @@
         world.log()
     );
     let calls = endpoint.calls.join().expect("a bounded number of calls");
-    world.until_folder_shows("0 packets not completed, 0 pending notices");
+    world.wait_until_store_shows("0 packets not completed, 0 pending notices");
     (world, calls)
 }
 
--- a/crates/sailcart-sender/tests/failing_folder.rs
+++ b/crates/sailcart-sender/tests/failing_folder.rs
@@ -6,28 +6,29 @@
 use std::time::{Duration, Instant};
 
 #[allow(dead_code)] // other tests use the rest of it
-mod peer;
+mod common;
 
-use peer::world::World;
-use peer::{Call, SubmitReply, answer, entry, put};
+use common::harness::Harness;
+use common::{Call, HttpReply, http_response, list_entry, submit};
 use sailcart_shim::{Count, EIO, ENOSPC, Page, Word};
 
 /// A sender that runs under a page of faults.
 fn world(
     story: &str,
-    reply: impl Fn(usize, &Call) -> SubmitReply + Send + Sync + 'static,
-) -> (World, Arc<Page>) {
-    let mut world = World::new(story, reply);
-    let page = world.with_faults();
+    reply: impl Fn(usize, &Call) -> HttpReply + Send + Sync + 'static,
+) -> (Harness, Arc<Page>) {
+    let mut world = Harness::new(story, reply);
+    let page = world.attach_control_page();
     world.restart_with(&[(r#""aim_ms": 3000"#, r#""aim_ms": 1000"#)]);
     (world, page)
 }
 
-fn put_for(world: &World, id: &str, span_ms: u32) -> String {
-    put(world.listen, id, &format!("c=notice,t=acme,d={span_ms},k={id},dest=7"), "hello").expect("an answer")
+fn put_for(world: &Harness, id: &str, span_ms: u32) -> String {
+    submit(world.listen_address, id, &format!("c=notice,t=acme,d={span_ms},k={id},dest=7"), "hello")
+        .expect("an answer")
 }
 
-fn notices_of(world: &World, id: &str) -> usize {
+fn notices_of(world: &Harness, id: &str) -> usize {
     world.notices().iter().filter(|line| line.contains(id)).count()
 }
 
@@ -36,24 +37,25 @@
 #[test]
 fn no_call_follows_an_acknowledged_end_that_was_not_recorded() {
     for errno in [ENOSPC, EIO] {
-        let (mut world, page) = world(&format!("end-unrecorded-{errno}"), |_, _| answer("200 OK", "", ""));
+        let (mut world, page) =
+            world(&format!("end-unrecorded-{errno}"), |_, _| http_response("200 OK", "", ""));
         // Its only endpoint drains: the packet is handed back after a soft limit, long before its time is over.
-        world.platform.list(&[entry("e", world.endpoint, 7, "Terminating")]);
-        world.until("the drain", |world| world.log().contains("discovery: version 2"));
+        world.platform.set_list(&[list_entry("e", world.endpoint_address, 7, "Terminating")]);
+        world.wait_until("the drain", |world| world.log().contains("discovery: version 2"));
         assert_eq!(put_for(&world, "a1", 20_000), "+OK");
         page.files_fail(errno).expect("a page");
-        world.until("its end", |world| world.log().contains("ends Dismissed"));
+        world.wait_until("its end", |world| world.log().contains("ends Dismissed"));
         sleep(Duration::from_millis(400)); // for a notice, should one go out
         assert!(page.count(Count::FileWrite) > 0, "writes failed");
         let told = notices_of(&world, "a1");
         world.kill();
         page.clear().expect("a page");
-        world.platform.list(&[entry("f", world.endpoint, 7, "Ready")]);
+        world.platform.set_list(&[list_entry("f", world.endpoint_address, 7, "Ready")]);
         world.start();
-        world.until("its end", |world| notices_of(world, "a1") > 0 || !world.came().is_empty());
+        world.wait_until("its end", |world| notices_of(world, "a1") > 0 || !world.received_ids().is_empty());
         sleep(Duration::from_millis(500));
-        assert!(told == 0 || world.came().is_empty(), "called after its end: {}", world.log());
-        assert!(told > 0 || world.came() == ["a1"], "not delivered: {}", world.log());
+        assert!(told == 0 || world.received_ids().is_empty(), "called after its end: {}", world.log());
+        assert!(told > 0 || world.received_ids() == ["a1"], "not delivered: {}", world.log());
     }
 }
 
@@ -62,12 +64,12 @@
 fn a_start_over_a_failing_folder_comes_up() {
     for owes in [false, true] {
         let (mut world, page) = world(&format!("failing-start-{owes}"), |number, _| match number {
-            0 => answer("503 Service Unavailable", "Retry-After: 0.5\r\n", ""),
-            _ => answer("200 OK", "", ""),
+            0 => http_response("503 Service Unavailable", "Retry-After: 0.5\r\n", ""),
+            _ => http_response("200 OK", "", ""),
         });
         if owes {
             assert_eq!(put_for(&world, "a1", 20_000), "+OK");
-            world.until("its call", |world| world.came() == ["a1"]);
+            world.wait_until("its call", |world| world.received_ids() == ["a1"]);
         }
         world.kill();
         if !owes {
@@ -88,12 +90,17 @@
         );
         sleep(Duration::from_millis(700));
         page.clear().expect("a page");
-        world.until("room", |world| put_for(world, "c3", 20_000) == "+OK");
-        world.until("its call", |world| world.came().contains(&"c3".to_owned()));
+        world.wait_until("room", |world| put_for(world, "c3", 20_000) == "+OK");
+        world.wait_until("its call", |world| world.received_ids().contains(&"c3".to_owned()));
         if owes {
-            world.until("what was owed", |world| world.came().iter().filter(|id| *id == "a1").count() == 2);
+            world.wait_until("what was owed", |world| {
+                world.received_ids().iter().filter(|id| *id == "a1").count() == 2
+            });
         }
-        assert!(!world.came().contains(&"b2".to_owned()), "refused, and sent elsewhere by its client");
+        assert!(
+            !world.received_ids().contains(&"b2".to_owned()),
+            "refused, and sent elsewhere by its client"
+        );
     }
 }
 
@@ -102,9 +109,9 @@
 #[test]
 fn what_waits_for_the_folder_is_bounded_and_told_later() {
     const KEPT: usize = 40;
-    let (mut world, page) = world("ten-seconds", |_, _| answer("200 OK", "", ""));
-    world.platform.list(&[entry("e", world.endpoint, 7, "Terminating")]);
-    world.until("the drain", |world| world.log().contains("discovery: version 2"));
+    let (mut world, page) = world("ten-seconds", |_, _| http_response("200 OK", "", ""));
+    world.platform.set_list(&[list_entry("e", world.endpoint_address, 7, "Terminating")]);
+    world.wait_until("the drain", |world| world.log().contains("discovery: version 2"));
     for number in 0..KEPT {
         assert_eq!(put_for(&world, &format!("kept-{number}-"), 20_000), "+OK");
     }
@@ -118,16 +125,16 @@
     assert!(refused > 500, "{refused} were answered");
     assert_eq!(world.notices().len(), 0, "none is told that the next life would not know of");
     page.clear().expect("a page");
-    world.until("the folder is well", |world| world.log().contains("code=written_again"));
+    world.wait_until("the folder is well", |world| world.log().contains("code=written_again"));
     let log = world.log();
     let waiting =
         log.split("code=written_again waiting=").nth(1).and_then(|rest| rest.split_whitespace().next());
     let waiting: usize = waiting.and_then(|word| word.parse().ok()).expect("a number");
     assert!(waiting <= 3 * KEPT, "{waiting} groups waited");
-    world.until("all notices", |world| {
+    world.wait_until("all notices", |world| {
         (0..KEPT).all(|number| notices_of(world, &format!("kept-{number}-")) == 1)
     });
-    world.until_folder_shows("0 packets not completed, 0 pending notices");
+    world.wait_until_store_shows("0 packets not completed, 0 pending notices");
     assert_eq!(log.matches("code=disk_full").count(), 1, "one line an outage");
     world.kill();
     world.start();
@@ -140,19 +147,19 @@
 fn busy_is_not_said_of_what_the_folder_has_as_taken() {
     const SLOW_PACE: (&str, &str) = (r#""period_ms": 5,"#, r#""period_ms": 1500,"#);
     let (mut world, page) =
-        world("busy-unrecorded", |_, _| answer("429 Too Many Requests", "Retry-After: 9\r\n", ""));
+        world("busy-unrecorded", |_, _| http_response("429 Too Many Requests", "Retry-After: 9\r\n", ""));
     world.restart_with(&[SLOW_PACE, (r#""max_open": 100"#, r#""max_open": 2"#)]);
     assert_eq!(put_for(&world, "a1", 20_000), "+OK");
-    world.until("its outcome", |world| world.log().contains("packet a1 from"));
-    let listen = world.listen;
+    world.wait_until("its outcome", |world| world.log().contains("packet a1 from"));
+    let listen = world.listen_address;
     let clients: Vec<_> = (0..6)
         .map(|number| {
             let id = format!("b{number}");
             let words = format!("c=notice,t=acme,d=20000,k={id},dest=7");
-            std::thread::spawn(move || (id.clone(), put(listen, &id, &words, "hello").expect("an answer")))
+            std::thread::spawn(move || (id.clone(), submit(listen, &id, &words, "hello").expect("an answer")))
         })
         .collect();
-    world.until("the last record", |world| world.folder_shows().matches("packet b").count() >= 6);
+    world.wait_until("the last record", |world| world.store_summary().matches("packet b").count() >= 6);
     page.files_fail(ENOSPC).expect("a page");
     let said: Vec<(String, String)> =
         clients.into_iter().map(|client| client.join().expect("no panic")).collect();
@@ -162,7 +169,7 @@
     page.clear().expect("a page");
     for (id, answer) in said.iter().filter(|(_, answer)| answer.starts_with("-BUSY")) {
         assert!(
-            !world.folder_shows().contains(&format!("packet {id}: ")),
+            !world.store_summary().contains(&format!("packet {id}: ")),
             "{id} heard {answer} and stands as taken"
         );
     }
@@ -173,50 +180,51 @@
 #[test]
 fn a_sync_that_fails_ends_no_process() {
     for sync in ["round", "each"] {
-        let (mut world, page) = world(&format!("failing-sync-{sync}"), |_, _| answer("200 OK", "", ""));
+        let (mut world, page) =
+            world(&format!("failing-sync-{sync}"), |_, _| http_response("200 OK", "", ""));
         world.restart_with(&[(r#""disk_mb": 3 "#, &format!(r#""disk_mb": 3, "sync": "{sync}" "#))]);
         assert_eq!(put_for(&world, "a1", 20_000), "+OK");
-        world.until("its call", |world| world.came() == ["a1"]);
+        world.wait_until("its call", |world| world.received_ids() == ["a1"]);
         page.set(Word::FileSync, EIO.into()).expect("a page");
-        let listen = world.listen;
+        let listen = world.listen_address;
         let client = std::thread::spawn(move || {
-            put(listen, "b2", "c=notice,t=acme,d=20000,k=b2,dest=7", "hello").unwrap_or_default()
+            submit(listen, "b2", "c=notice,t=acme,d=20000,k=b2,dest=7", "hello").unwrap_or_default()
         });
         sleep(Duration::from_millis(1500));
         assert!(page.count(Count::FileSync) > 0, "syncs failed");
-        assert!(!world.came().contains(&"b2".to_owned()), "no call that is not recorded for good");
+        assert!(!world.received_ids().contains(&"b2".to_owned()), "no call that is not recorded for good");
         let heard_early = client.is_finished();
         page.clear().expect("a page");
         let said = client.join().expect("no panic");
         assert!(!heard_early || said.starts_with("-BUSY"), "+OK of what is not synced");
         assert!(said == "+OK" || said.starts_with("-BUSY"), "{said}");
-        world.until("room", |world| put_for(world, "c3", 20_000) == "+OK");
-        world.until("its call", |world| world.came().contains(&"c3".to_owned()));
-        world.until("b2", |world| said != "+OK" || world.came().contains(&"b2".to_owned()));
+        world.wait_until("room", |world| put_for(world, "c3", 20_000) == "+OK");
+        world.wait_until("its call", |world| world.received_ids().contains(&"c3".to_owned()));
+        world.wait_until("b2", |world| said != "+OK" || world.received_ids().contains(&"b2".to_owned()));
         assert!(!world.log().contains("the sender ends"), "{}", world.log());
-        world.until_folder_shows("0 packets not completed, 0 pending notices");
+        world.wait_until_store_shows("0 packets not completed, 0 pending notices");
         world.kill();
         world.start();
-        assert_eq!(world.came().iter().filter(|id| *id == "b2").count(), usize::from(said == "+OK"));
+        assert_eq!(world.received_ids().iter().filter(|id| *id == "b2").count(), usize::from(said == "+OK"));
     }
 }
 
 /// The device fails its syncs through the whole of a stop: who was read hears of it, and the next life tries what stands.
 #[test]
 fn a_stop_over_failing_syncs_answers_whom_it_has_read() {
-    let (mut world, page) = world("failing-sync-stop", |_, _| answer("200 OK", "", ""));
+    let (mut world, page) = world("failing-sync-stop", |_, _| http_response("200 OK", "", ""));
     world.restart_with(&[(r#""disk_mb": 3 "#, r#""disk_mb": 3, "sync": "round" "#)]);
     page.set(Word::FileSync, EIO.into()).expect("a page");
-    let listen = world.listen;
+    let listen = world.listen_address;
     let client = std::thread::spawn(move || {
-        put(listen, "a1", "c=notice,t=acme,d=20000,k=a1,dest=7", "hello").unwrap_or_default()
+        submit(listen, "a1", "c=notice,t=acme,d=20000,k=a1,dest=7", "hello").unwrap_or_default()
     });
-    world.until_folder_shows("packet a1: ");
+    world.wait_until_store_shows("packet a1: ");
     assert!(world.terminate() < Duration::from_millis(3700), "it ends before it is killed");
     assert_eq!(client.join().expect("no panic"), "+OK", "{}", world.log());
     page.clear().expect("a page");
     world.start();
-    world.until("its call", |world| world.came() == ["a1"]);
+    world.wait_until("its call", |world| world.received_ids() == ["a1"]);
 }
 
 /// As above where each record is synced: the record of the end is written and its sync fails, so that it may stand. Whoever hears `+OK`
@@ -225,21 +233,21 @@
 fn who_hears_ok_has_a_packet_though_its_end_may_stand() {
     const SLOW_PACE: (&str, &str) = (r#""period_ms": 5,"#, r#""period_ms": 1500,"#);
     const EACH: (&str, &str) = (r#""disk_mb": 3 "#, r#""disk_mb": 3, "sync": "each" "#);
-    let (mut world, page) = world("ok-unsynced", |_, _| answer("200 OK", "", ""));
+    let (mut world, page) = world("ok-unsynced", |_, _| http_response("200 OK", "", ""));
     world.restart_with(&[SLOW_PACE, EACH, (r#""max_open": 100"#, r#""max_open": 2"#)]);
     assert_eq!(put_for(&world, "a1", 20_000), "+OK");
-    world.until("its delivery", |world| world.folder_shows().contains("0 packets not completed")); // a round has just been
-    let listen = world.listen;
+    world.wait_until("its delivery", |world| world.store_summary().contains("0 packets not completed")); // a round has just been
+    let listen = world.listen_address;
     let clients: Vec<_> = (0..6)
         .map(|number| {
             let id = format!("b{number}");
             let words = format!("c=notice,t=acme,d=20000,k={id},dest=7");
-            std::thread::spawn(move || (id.clone(), put(listen, &id, &words, "hello").unwrap_or_default()))
+            std::thread::spawn(move || (id.clone(), submit(listen, &id, &words, "hello").unwrap_or_default()))
         })
         .collect();
-    world.until("the last record", |world| world.folder_shows().matches("packet b").count() >= 6);
+    world.wait_until("the last record", |world| world.store_summary().matches("packet b").count() >= 6);
     page.set(Word::FileSync, EIO.into()).expect("a page");
-    world.until("an end that may stand", |world| {
+    world.wait_until("an end that may stand", |world| {
         page.count(Count::FileSync) > 0 && world.log().contains("ends Dismissed")
     });
     sleep(Duration::from_millis(200));
@@ -249,21 +257,21 @@
     let said: Vec<(String, String)> =
         clients.into_iter().map(|client| client.join().expect("no panic")).collect();
     for (id, _) in said.iter().filter(|(_, answer)| answer == "+OK") {
-        world.until("its end", |world| world.came().contains(id) || notices_of(world, id) > 0);
+        world.wait_until("its end", |world| world.received_ids().contains(id) || notices_of(world, id) > 0);
     }
 }
 
 /// Each record is synced, and the sync of a packet's first record fails: it may stand, so nobody hears that it was refused.
 #[test]
 fn who_hears_busy_has_no_packet_that_stands() {
-    let (mut world, page) = world("busy-unsynced", |_, _| answer("200 OK", "", ""));
+    let (mut world, page) = world("busy-unsynced", |_, _| http_response("200 OK", "", ""));
     world.restart_with(&[(r#""disk_mb": 3 "#, r#""disk_mb": 3, "sync": "each" "#)]);
     page.set(Word::FileSync, EIO.into()).expect("a page");
-    let listen = world.listen;
+    let listen = world.listen_address;
     let client = std::thread::spawn(move || {
-        put(listen, "a1", "c=notice,t=acme,d=20000,k=a1,dest=7", "hello").unwrap_or_default()
+        submit(listen, "a1", "c=notice,t=acme,d=20000,k=a1,dest=7", "hello").unwrap_or_default()
     });
-    world.until("a failed sync", |_| page.count(Count::FileSync) > 0);
+    world.wait_until("a failed sync", |_| page.count(Count::FileSync) > 0);
     sleep(Duration::from_millis(300));
     world.kill();
     let said = client.join().expect("no panic");
@@ -271,7 +279,7 @@
     world.start();
     sleep(Duration::from_millis(800));
     assert!(
-        !said.starts_with("-BUSY") || world.came().is_empty(),
+        !said.starts_with("-BUSY") || world.received_ids().is_empty(),
         "{said}, and it is called: {}",
         world.log()
     );
--- a/crates/sailcart-sender/tests/known_list.rs
+++ b/crates/sailcart-sender/tests/known_list.rs
@@ -6,10 +6,10 @@
 use std::process::Command;
 
 #[allow(dead_code)] // other tests use the rest of it
-mod peer;
+mod common;
 
-use peer::world::World;
-use peer::{answer, entry};
+use common::harness::Harness;
+use common::{http_response, list_entry};
 
 const CONFIG: &str = include_str!("../../../examples/config.json");
 const EMPTY: &str = r#"{ "generation": 0, "reset": true, "instances": [] }"#;
@@ -30,7 +30,7 @@
 
 fn line(number: usize) -> String {
     let address = ([127, 9, (number / 250 % 250) as u8, (number % 250) as u8], 9).into();
-    entry(&format!("many-{number}"), address, 8 + number as u64, "Ready")
+    list_entry(&format!("many-{number}"), address, 8 + number as u64, "Ready")
 }
 
 #[test]
@@ -79,20 +79,20 @@
 /// 200 MB; in force it takes 192 bytes an endpoint at most.
 #[test]
 fn a_large_list_starts_a_sender_and_does_not_stay_beside_the_directory() {
-    let mut world = World::new("known", |_, _| answer("200 OK", "", ""));
+    let mut world = Harness::new("known", |_, _| http_response("200 OK", "", ""));
     world.kill();
     let lines: Vec<String> = (0..MANY).map(line).collect();
-    let own = entry("e", world.endpoint, 7, "Ready");
+    let own = list_entry("e", world.endpoint_address, 7, "Ready");
     let known = format!(r#""generation": 5, "reset": true, "instances": [{own},{}]"#, lines.join(","));
     let nowhere =
         TcpListener::bind("127.83.2.1:0").and_then(|socket| socket.local_addr()).expect("an address");
     let config = world.config.replace(r#""generation": 0, "reset": true, "instances": []"#, &known);
     assert!(config.len() > known.len());
-    world.config = config.replace(&world.discovery.to_string(), &nowhere.to_string());
+    world.config = config.replace(&world.discovery_address.to_string(), &nowhere.to_string());
     fs::write(world.folder.join("log"), "").expect("an empty log");
     world.start();
-    assert_eq!(world.put("a1"), "+OK");
-    world.until("the call", |world| world.came() == ["a1"]);
+    assert_eq!(world.submit("a1"), "+OK");
+    world.wait_until("the call", |world| world.received_ids() == ["a1"]);
     let (resident, most) = (world.memory("VmRSS"), world.memory("VmHWM"));
     let listed = MANY * 192;
     assert!(resident < listed + 16_000_000, "{resident} bytes resident");
--- a/crates/sailcart-sender/tests/list_intake.rs
+++ b/crates/sailcart-sender/tests/list_intake.rs
@@ -11,10 +11,10 @@
 use std::time::{Duration, Instant};
 
 #[allow(dead_code)] // other tests use the rest of it
-mod peer;
+mod common;
 
-use peer::world::{CONFIG, World};
-use peer::{answer, entry, put};
+use common::harness::{CONFIG, Harness};
+use common::{http_response, list_entry, submit};
 
 const WATCH: &str = "/v1/servers?from=";
 const WHOLE: &str = "/v1/servers";
@@ -82,7 +82,7 @@
 
 /// A whole answer with its length.
 fn say(stream: &mut TcpStream, body: &str) -> io::Result<()> {
-    stream.write_all(answer("200 OK", "", body).unwrap_or_default().as_bytes())
+    stream.write_all(http_response("200 OK", "", body).unwrap_or_default().as_bytes())
 }
 
 /// The answer to a watch in which nothing changes: at the end of its wait.
@@ -95,7 +95,7 @@
 /// The n-th of many endpoints, where nobody listens.
 fn one_of_many(number: usize) -> String {
     let address = SocketAddr::from(([127, 9, (number / 250) as u8, (number % 250) as u8], 9));
-    entry(&format!("many-{number}"), address, 8 + number as u64 % 100, "Ready")
+    list_entry(&format!("many-{number}"), address, 8 + number as u64 % 100, "Ready")
 }
 
 fn many(numbers: std::ops::Range<usize>) -> String {
@@ -119,12 +119,12 @@
 }
 
 /// A sender that begins with another discovery, and this much memory.
-fn world(story: &str, discovery: &Discovery, memory_mb: u32) -> World {
-    let mut world = World::new(story, |_, _| answer("200 OK", "", ""));
+fn world(story: &str, discovery: &Discovery, memory_mb: u32) -> Harness {
+    let mut world = Harness::new(story, |_, _| http_response("200 OK", "", ""));
     world.kill();
     let limit = format!(r#""memory_mb": {memory_mb}"#);
     let config = world.config.replace(r#""memory_mb": 192"#, &limit);
-    world.config = config.replace(&world.discovery.to_string(), &discovery.address.to_string());
+    world.config = config.replace(&world.discovery_address.to_string(), &discovery.address.to_string());
     assert!(world.config.contains(&limit));
     fs::write(world.folder.join("log"), "").expect("an empty log");
     world.start();
@@ -139,45 +139,45 @@
     let start = Instant::now();
     loop {
         if let Some(address) = *endpoint.lock().expect("no panic") {
-            return entry("e", address, destination, "Ready");
+            return list_entry("e", address, destination, "Ready");
         }
         assert!(start.elapsed() < Duration::from_secs(10), "no endpoint");
         sleep(Duration::from_millis(1));
     }
 }
 
-fn put_to(world: &World, id: &str, destination: u64) -> String {
+fn put_to(world: &Harness, id: &str, destination: u64) -> String {
     let fields = format!("c=notice,t=acme,d=8000,k={id},dest={destination}");
-    put(world.listen, id, &fields, "hello").expect("an answer")
+    submit(world.listen_address, id, &fields, "hello").expect("an answer")
 }
 
 /// Hands a packet in and sees it delivered.
-fn delivers(world: &World, id: &str, destination: u64) {
+fn delivers(world: &Harness, id: &str, destination: u64) {
     assert_eq!(put_to(world, id, destination), "+OK");
-    world.until("the call", |world| world.came().iter().any(|came| came == id));
+    world.wait_until("the call", |world| world.received_ids().iter().any(|came| came == id));
 }
 
-fn count(world: &World, words: &str) -> usize {
+fn count(world: &Harness, words: &str) -> usize {
     world.log().matches(words).count()
 }
 
 /// Moves a world that has its first list to another discovery.
-fn move_to(world: &mut World, discovery: &Discovery) {
-    world.config = world.config.replace(&world.discovery.to_string(), &discovery.address.to_string());
+fn move_to(world: &mut Harness, discovery: &Discovery) {
+    world.config = world.config.replace(&world.discovery_address.to_string(), &discovery.address.to_string());
     world.reload(&world.config);
 }
 
 /// Cut in the middle, by its length and in a chunk: nothing of it counts, and the last good list serves.
 #[test]
 fn a_list_that_is_cut_changes_nothing() {
-    let mut world = World::new("cut", |_, _| answer("200 OK", "", ""));
-    let first = entry("e", world.endpoint, 7, "Ready");
+    let mut world = Harness::new("cut", |_, _| http_response("200 OK", "", ""));
+    let first = list_entry("e", world.endpoint_address, 7, "Ready");
     let gone_on = Arc::new(AtomicBool::new(false));
     let goes_on = gone_on.clone();
     let discovery = Discovery::start(move |number, path, stream| match number {
         0 => say(stream, &list(5, true, &first)),
         1 => {
-            let whole = answer("200 OK", "", &list(6, true, &many(0..2000))).unwrap_or_default();
+            let whole = http_response("200 OK", "", &list(6, true, &many(0..2000))).unwrap_or_default();
             stream.write_all(&whole.as_bytes()[..whole.len() / 2])?;
             Err(io::ErrorKind::BrokenPipe.into())
         }
@@ -190,28 +190,28 @@
         _ => say(stream, &list(8, true, &first)),
     });
     move_to(&mut world, &discovery);
-    world.until("both cuts", |_| discovery.asked().len() > 3);
+    world.wait_until("both cuts", |_| discovery.asked().len() > 3);
     assert_eq!(count(&world, "code=no_list"), 1, "one line for the outage");
     assert!(discovery.asked()[1..4].iter().all(|asked| asked.path.starts_with(WATCH)), "the version stands");
     delivers(&world, "a1", 7);
     assert_eq!(put_to(&world, "a2", 8), "-ERR unknown destination", "nothing of the half counts");
     gone_on.store(true, Ordering::SeqCst);
-    world.until("the list after it", |world| world.log().contains("discovery: version 8, 1 entries"));
+    world.wait_until("the list after it", |world| world.log().contains("discovery: version 8, 1 entries"));
     assert!(!world.log().contains("discovery: version 6") && !world.log().contains("discovery: version 7"));
 }
 
 /// Two documents in a body, and the same member twice.
 #[test]
 fn a_list_that_is_doubled_changes_nothing() {
-    let world = World::new("doubled", |_, _| answer("200 OK", "", ""));
+    let world = Harness::new("doubled", |_, _| http_response("200 OK", "", ""));
     let other = list(9, true, &many(0..100));
     let slips = [other.repeat(2), other.replace(r#""reset""#, r#""instances":[],"reset""#)];
     for (nth, slip) in slips.into_iter().enumerate() {
-        *world.platform.slip.lock().expect("no panic") = Some(slip);
+        *world.platform.next_list_response.lock().expect("no panic") = Some(slip);
         // A watch that is out hears of this first, and the call after it meets the slip; or else the next call does.
-        world.platform.list(&[entry("e", world.endpoint, 7, "Ready")]);
+        world.platform.set_list(&[list_entry("e", world.endpoint_address, 7, "Ready")]);
         let version = format!("discovery: version {}, 1 entries", nth + 2);
-        world.until("the whole list after the slip", |world| {
+        world.wait_until("the whole list after the slip", |world| {
             let log = world.log();
             let slips: Vec<&str> = log.split("code=no_list").collect();
             slips.len() == nth + 2 && slips[nth + 1].contains(&version)
@@ -233,13 +233,13 @@
         _ if fitting.load(Ordering::SeqCst) => say(stream, &list(3, true, &first_entry(&own, 9))),
         _ => say_many(stream, 2, 1_000_000),
     });
-    let mut world = World::new("million", |_, _| answer("200 OK", "", ""));
-    *endpoint.lock().expect("no panic") = Some(world.endpoint);
+    let mut world = Harness::new("million", |_, _| http_response("200 OK", "", ""));
+    *endpoint.lock().expect("no panic") = Some(world.endpoint_address);
     world.kill();
     let small = world.config.replace(r#""memory_mb": 192"#, r#""memory_mb": 16"#);
-    world.config = small.replace(&world.discovery.to_string(), &discovery.address.to_string());
+    world.config = small.replace(&world.discovery_address.to_string(), &discovery.address.to_string());
     world.start();
-    world.until("the refusal", |world| world.log().contains("discovery: code=list_too_large"));
+    world.wait_until("the refusal", |world| world.log().contains("discovery: code=list_too_large"));
     let start = Instant::now();
     let mut sent = 0;
     while discovery.asked().len() < 4 {
@@ -278,22 +278,22 @@
         1 => say(stream, "{}"),
         _ if path == WHOLE => say_many(stream, 3, 1_000_000),
         _ if !told.swap(true, Ordering::SeqCst) => {
-            let change = entry("f", own.lock().expect("no panic").expect("an endpoint"), 9, "Ready");
+            let change = list_entry("f", own.lock().expect("no panic").expect("an endpoint"), 9, "Ready");
             say(stream, &list(2, false, &change))
         }
         _ => nothing_new(stream, path, 2),
     });
-    let mut world = World::new("meanwhile", |_, _| answer("200 OK", "", ""));
-    *endpoint.lock().expect("no panic") = Some(world.endpoint);
+    let mut world = Harness::new("meanwhile", |_, _| http_response("200 OK", "", ""));
+    *endpoint.lock().expect("no panic") = Some(world.endpoint_address);
     world.kill();
     let small = world.config.replace(r#""memory_mb": 192"#, r#""memory_mb": 4"#);
-    world.config = small.replace(&world.discovery.to_string(), &discovery.address.to_string());
+    world.config = small.replace(&world.discovery_address.to_string(), &discovery.address.to_string());
     world.start();
-    world.until("the change", |world| world.log().contains("discovery: version 2, 1 entries"));
+    world.wait_until("the change", |world| world.log().contains("discovery: version 2, 1 entries"));
     delivers(&world, "a1", 9);
     delivers(&world, "a2", 7);
     let whole = || discovery.asked().into_iter().filter(|asked| asked.path == WHOLE).collect::<Vec<_>>();
-    world.until("the whole again", |_| whole().len() > 2);
+    world.wait_until("the whole again", |_| whole().len() > 2);
     let asked = whole();
     let pauses = [asked[1].at - asked[0].at, asked[2].at - asked[1].at];
     assert!(pauses.iter().all(|pause| *pause >= Duration::from_secs(1)), "{pauses:?}");
@@ -308,14 +308,15 @@
 fn a_start_with_a_list_that_is_too_large_lets_clients_in() {
     let discovery = Discovery::start(|_, _, stream| say_many(stream, 2, 1_000_000));
     let world = world("start", &discovery, 4);
-    world.until("the refusal", |world| world.log().contains("discovery: code=list_too_large"));
-    assert_eq!(world.put("a1"), "+OK", "no list was ever told: any destination may be one");
+    world.wait_until("the refusal", |world| world.log().contains("discovery: code=list_too_large"));
+    assert_eq!(world.submit("a1"), "+OK", "no list was ever told: any destination may be one");
 }
 
 /// A discovery whose second list never ends: so many bytes of it were written when it was refused.
 fn written_until_refused(name: &str, row: &str) -> usize {
-    let mut world = World::new(name, |_, _| answer("200 OK", "", ""));
-    let (first, written) = (entry("e", world.endpoint, 7, "Ready"), Arc::new(AtomicUsize::new(0)));
+    let mut world = Harness::new(name, |_, _| http_response("200 OK", "", ""));
+    let (first, written) =
+        (list_entry("e", world.endpoint_address, 7, "Ready"), Arc::new(AtomicUsize::new(0)));
     let (bytes, row) = (written.clone(), row.repeat(200));
     let discovery = Discovery::start(move |number, _, stream| {
         if number == 0 {
@@ -330,9 +331,9 @@
     });
     world.kill();
     let small = world.config.replace(r#""memory_mb": 192"#, r#""memory_mb": 1"#);
-    world.config = small.replace(&world.discovery.to_string(), &discovery.address.to_string());
+    world.config = small.replace(&world.discovery_address.to_string(), &discovery.address.to_string());
     world.start();
-    world.until("the refusal", |world| world.log().contains("discovery: code=list_too_large"));
+    world.wait_until("the refusal", |world| world.log().contains("discovery: code=list_too_large"));
     let written = written.load(Ordering::SeqCst);
     delivers(&world, "a1", 7);
     written
@@ -360,8 +361,8 @@
 /// A list that dribbles is given up in the time of its call, as before.
 #[test]
 fn a_list_that_dribbles_is_given_up() {
-    let mut world = World::new("dribbles", |_, _| answer("200 OK", "", ""));
-    let first = entry("e", world.endpoint, 7, "Ready");
+    let mut world = Harness::new("dribbles", |_, _| http_response("200 OK", "", ""));
+    let first = list_entry("e", world.endpoint_address, 7, "Ready");
     let discovery = Discovery::start(move |number, path, stream| match number {
         0 => say(stream, &list(1, true, &first)),
         1 => {
@@ -374,7 +375,7 @@
         _ => nothing_new(stream, path, 1),
     });
     move_to(&mut world, &discovery);
-    world.until("the next call", |_| discovery.asked().len() > 2);
+    world.wait_until("the next call", |_| discovery.asked().len() > 2);
     let asked = discovery.asked();
     let took = asked[2].at - asked[1].at;
     assert!(took < Duration::from_secs(6), "given up after {took:?}");
@@ -385,12 +386,16 @@
 /// It is passed over with a line of its own; the rest of the list counts.
 #[test]
 fn an_entry_of_sixty_kilobytes_hides_no_other() {
-    let world = World::new("sixty", |_, _| answer("200 OK", "", ""));
-    let large =
-        entry("l", world.endpoint, 8, "Ready").replace('{', &format!(r#"{{"x":"{}","#, "x".repeat(60_000)));
-    let entries = [entry("e", world.endpoint, 7, "Ready"), large, entry("f", world.endpoint, 9, "Ready")];
-    world.platform.list(&entries);
-    world.until("the list", |world| world.log().contains("discovery: version 2, 2 entries"));
+    let world = Harness::new("sixty", |_, _| http_response("200 OK", "", ""));
+    let large = list_entry("l", world.endpoint_address, 8, "Ready")
+        .replace('{', &format!(r#"{{"x":"{}","#, "x".repeat(60_000)));
+    let entries = [
+        list_entry("e", world.endpoint_address, 7, "Ready"),
+        large,
+        list_entry("f", world.endpoint_address, 9, "Ready"),
+    ];
+    world.platform.set_list(&entries);
+    world.wait_until("the list", |world| world.log().contains("discovery: version 2, 2 entries"));
     assert_eq!(count(&world, "discovery: code=entry_too_large"), 1);
     delivers(&world, "a1", 7);
     delivers(&world, "a2", 9);
@@ -400,11 +405,11 @@
 /// Of entries that cannot be read the first few have a line each, all are counted.
 #[test]
 fn entries_that_cannot_be_read_are_counted() {
-    let world = World::new("unread", |_, _| answer("200 OK", "", ""));
+    let world = Harness::new("unread", |_, _| http_response("200 OK", "", ""));
     let mut entries = vec![r#"{"instanceId":"no address"}"#.to_owned(); 1000];
-    entries.push(entry("e", world.endpoint, 7, "Ready"));
-    world.platform.list(&entries);
-    world.until("the list", |world| world.log().contains("discovery: version 2, 1 entries"));
+    entries.push(list_entry("e", world.endpoint_address, 7, "Ready"));
+    world.platform.set_list(&entries);
+    world.wait_until("the list", |world| world.log().contains("discovery: version 2, 1 entries"));
     assert!(world.log().contains("discovery: code=entry 1000 entries skipped"));
     assert_eq!(count(&world, "code=entry"), 4);
     delivers(&world, "a1", 7);
@@ -413,15 +418,15 @@
 /// Each list names other endpoints: those of the lists before leave nothing.
 #[test]
 fn ids_that_change_with_each_list_take_no_more_memory() {
-    let world = World::new("changing", |_, _| answer("200 OK", "", ""));
+    let world = Harness::new("changing", |_, _| http_response("200 OK", "", ""));
     let mut early = 0;
     for nth in 0..16 {
         let names: String = (0..2000)
             .map(|number| one_of_many(number).replace("many-", &format!("{nth}-of-many-{number}-")) + ",")
             .collect();
-        world.platform.list(&[names + &entry("e", world.endpoint, 7, "Ready")]);
+        world.platform.set_list(&[names + &list_entry("e", world.endpoint_address, 7, "Ready")]);
         let version = format!("discovery: version {}, 2001 entries", nth + 2);
-        world.until("the list", |world| world.log().contains(&version));
+        world.wait_until("the list", |world| world.log().contains(&version));
         if nth == 5 {
             early = world.memory("VmHWM");
         }
@@ -436,8 +441,8 @@
 /// 20,000 endpoints: half of them come, then the rest only when twenty packets more were answered and delivered.
 #[test]
 fn clients_are_answered_while_a_large_list_comes() {
-    let mut world = World::new("throughout", |_, _| answer("200 OK", "", ""));
-    let first = entry("e", world.endpoint, 7, "Ready");
+    let mut world = Harness::new("throughout", |_, _| http_response("200 OK", "", ""));
+    let first = list_entry("e", world.endpoint_address, 7, "Ready");
     let answered = Arc::new(AtomicUsize::new(0));
     let (seen, listed) = (answered.clone(), Arc::new(AtomicBool::new(false)));
     let reached = listed.clone();
@@ -445,7 +450,7 @@
         0 => say(stream, &list(1, true, &first)),
         1 => {
             let body = list(2, true, &format!("{first},{}", many(0..20_000)));
-            let whole = answer("200 OK", "", &body).unwrap_or_default();
+            let whole = http_response("200 OK", "", &body).unwrap_or_default();
             let (front, back) = whole.as_bytes().split_at(whole.len() / 2);
             stream.write_all(front)?;
             let before = seen.load(Ordering::SeqCst);
@@ -459,7 +464,7 @@
         _ => nothing_new(stream, path, 2),
     });
     move_to(&mut world, &discovery);
-    world.until("the first list", |world| world.log().contains("discovery: version 1, 1 entries"));
+    world.wait_until("the first list", |world| world.log().contains("discovery: version 1, 1 entries"));
     let mut sent = 0;
     let mut longest = Duration::ZERO;
     while !world.log().contains("discovery: version 2, 20001 entries") {
@@ -479,15 +484,15 @@
 /// Discovery moves in the midst of a list: nothing of it counts, and the new one's list is in force.
 #[test]
 fn a_move_in_the_midst_of_a_list_leaves_nothing_of_it() {
-    let mut world = World::new("midst", |_, _| answer("200 OK", "", ""));
-    let first = entry("e", world.endpoint, 7, "Ready");
+    let mut world = Harness::new("midst", |_, _| http_response("200 OK", "", ""));
+    let first = list_entry("e", world.endpoint_address, 7, "Ready");
     let half = Arc::new(AtomicBool::new(false));
     let (own, sent) = (first.clone(), half.clone());
     let left = Discovery::start(move |number, _, stream| {
         if number == 0 {
             return say(stream, &list(4, true, &own));
         }
-        let whole = answer("200 OK", "", &list(5, true, &many(0..2000))).unwrap_or_default();
+        let whole = http_response("200 OK", "", &list(5, true, &many(0..2000))).unwrap_or_default();
         stream.write_all(&whole.as_bytes()[..whole.len() / 2])?;
         sent.store(true, Ordering::SeqCst);
         loop {
@@ -499,10 +504,10 @@
         _ => nothing_new(stream, path, 2),
     });
     move_to(&mut world, &left);
-    world.until("half of a list", |_| half.load(Ordering::SeqCst));
+    world.wait_until("half of a list", |_| half.load(Ordering::SeqCst));
     world.config = world.config.replace(&left.address.to_string(), &moved.address.to_string());
     world.reload(&world.config);
-    world.until("the new list", |world| world.log().contains("discovery: version 2, 1 entries"));
+    world.wait_until("the new list", |world| world.log().contains("discovery: version 2, 1 entries"));
     assert_eq!(moved.asked()[0].path, WHOLE);
     delivers(&world, "a1", 7);
     assert_eq!(put_to(&world, "a2", 8), "-ERR unknown destination");
--- a/crates/sailcart-sender/tests/listed.rs
+++ b/crates/sailcart-sender/tests/listed.rs
@@ -1,7 +1,7 @@
 //! A sender on a list of its own, without a platform.
 
 #[allow(dead_code)]
-mod peer;
+mod common;
 
 use std::fs;
 use std::net::{SocketAddr, TcpListener};
@@ -10,7 +10,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-use peer::{answer, listen, put, say};
+use common::{http_response, send_command, serve_http, submit};
 
 const EXAMPLE: &str = include_str!("../../../examples/sailcart.toml");
 
@@ -32,9 +32,9 @@
     fn new() -> World {
         let came = Arc::new(Mutex::new(Vec::new()));
         let own = came.clone();
-        let there = listen("127.0.0.1:0", move |call| {
+        let there = serve_http("127.0.0.1:0", move |call| {
             own.lock().expect("no panic").push(call.header("X-Call-Id").to_owned());
-            answer("200 OK", "", "")
+            http_response("200 OK", "", "")
         });
         let free = |address: &str| {
             let listener = TcpListener::bind(address).expect("a free address");
@@ -67,7 +67,7 @@
             .spawn()
             .expect("a sender");
         let world = World { folder, at, sender, came, text };
-        world.until("it is ready", |world| say(world.at, "*1\r\n$4\r\nPING\r\n").is_ok());
+        world.until("it is ready", |world| send_command(world.at, "*1\r\n$4\r\nPING\r\n").is_ok());
         world
     }
 
@@ -84,7 +84,7 @@
     }
 
     fn put(&self, id: &str, to: u64) -> String {
-        put(self.at, id, &format!("c=notice,t=acme,d=8000,k={id},dest={to}"), "hello").expect("an answer")
+        submit(self.at, id, &format!("c=notice,t=acme,d=8000,k={id},dest={to}"), "hello").expect("an answer")
     }
 
     fn came(&self) -> Vec<String> {
--- a/crates/sailcart-sender/tests/notices.rs
+++ b/crates/sailcart-sender/tests/notices.rs
@@ -8,10 +8,10 @@
 use std::time::{Duration, Instant};
 
 #[allow(dead_code)] // other tests use the rest of it
-mod peer;
+mod common;
 
-use peer::world::World;
-use peer::{Call, answer, entry, listen, put};
+use common::harness::Harness;
+use common::{Call, http_response, list_entry, serve_http, submit};
 
 /// One notice that the platform says it cannot read takes none of the others with it, and a 400 that was said once is no end: the
 /// notice is told again.
@@ -20,37 +20,38 @@
     let told = Arc::new(Mutex::new(Vec::<String>::new()));
     let refused = Arc::new(Mutex::new(0));
     let (own, count) = (told.clone(), refused.clone());
-    let mut world = World::new("notice-400", |_, _| answer("200 OK", "", ""));
+    let mut world = Harness::new("notice-400", |_, _| http_response("200 OK", "", ""));
     let list = format!(
         r#"{{"generation":1,"reset":true,"instances":[{}]}}"#,
-        entry("e", world.endpoint, 7, "Terminating")
+        list_entry("e", world.endpoint_address, 7, "Terminating")
     );
-    let platform = listen("127.0.0.1:0", move |call: &Call| {
+    let platform = serve_http("127.0.0.1:0", move |call: &Call| {
         if !call.start.starts_with("POST /status ") {
             thread::sleep(Duration::from_millis(200));
-            return answer("200 OK", "", &list);
+            return http_response("200 OK", "", &list);
         }
         let body = String::from_utf8_lossy(&call.body).into_owned();
         let mut refused = count.lock().expect("no panic");
         if body.contains("bad") && *refused < 3 {
             *refused += 1;
-            return answer("400 Bad Request", "", "");
+            return http_response("400 Bad Request", "", "");
         }
         own.lock().expect("no panic").extend(body.lines().map(str::to_owned));
         Some("HTTP/1.1 204 No Content\r\n\r\n".to_owned())
     });
-    let discovery = world.discovery.to_string();
+    let discovery = world.discovery_address.to_string();
     world.restart_with(&[(&discovery, &platform.to_string()), (r#""aim_ms": 3000"#, r#""aim_ms": 500"#)]);
     for id in ["good-1", "bad-1", "good-2", "good-3"] {
-        let said = put(world.listen, id, &format!("c=notice,t=acme,d=20000,k={id},dest=7"), "hello");
+        let said =
+            submit(world.listen_address, id, &format!("c=notice,t=acme,d=20000,k={id},dest=7"), "hello");
         assert_eq!(said.expect("an answer"), "+OK");
     }
     let heard = |id: &str| told.lock().expect("no panic").iter().filter(|line| line.contains(id)).count();
     for id in ["good-1", "good-2", "good-3", "bad-1"] {
-        world.until("its notice", |_| heard(id) == 1);
+        world.wait_until("its notice", |_| heard(id) == 1);
     }
     assert_eq!(*refused.lock().expect("no panic"), 3);
-    world.until_folder_shows("0 packets not completed, 0 pending notices");
+    world.wait_until_store_shows("0 packets not completed, 0 pending notices");
 }
 
 /// A peer that writes answers below 200 without end is given up in the time of its call.
@@ -66,15 +67,16 @@
             );
         }
     });
-    let mut world = World::new("endless-100", |_, _| answer("200 OK", "", ""));
-    let discovery = world.discovery.to_string();
+    let mut world = Harness::new("endless-100", |_, _| http_response("200 OK", "", ""));
+    let discovery = world.discovery_address.to_string();
     world.kill();
     world.config = world.config.replace(&discovery, &address.to_string());
     world.start();
-    world.until("a call given up", |world| world.log().contains("code=no_list"));
+    world.wait_until("a call given up", |world| world.log().contains("code=no_list"));
     let id = "a1";
     assert_eq!(
-        put(world.listen, id, &format!("c=notice,t=acme,d=8000,k={id},dest=7"), "").expect("an answer"),
+        submit(world.listen_address, id, &format!("c=notice,t=acme,d=8000,k={id},dest=7"), "")
+            .expect("an answer"),
         "+OK"
     );
 }
@@ -84,23 +86,24 @@
 #[test]
 fn a_notice_does_not_wait_behind_one_that_is_not_acknowledged() {
     const PACKETS: usize = 6;
-    let mut world = World::new("notice-behind", |_, _| answer("200 OK", "", ""));
+    let mut world = Harness::new("notice-behind", |_, _| http_response("200 OK", "", ""));
     world.restart_with(&[(r#""aim_ms": 3000"#, r#""aim_ms": 2000"#)]);
-    world.platform.list(&[entry("e", world.endpoint, 7, "Terminating")]);
-    world.until("the drain", |world| world.log().contains("discovery: version 2"));
-    world.platform.mute.store(true, Ordering::SeqCst);
+    world.platform.set_list(&[list_entry("e", world.endpoint_address, 7, "Terminating")]);
+    world.wait_until("the drain", |world| world.log().contains("discovery: version 2"));
+    world.platform.withhold_acknowledgements.store(true, Ordering::SeqCst);
     for number in 0..PACKETS {
         let id = format!("p{number}-");
         assert_eq!(
-            put(world.listen, &id, &format!("c=notice,t=acme,d=20000,k={id},dest=7"), "").expect("an answer"),
+            submit(world.listen_address, &id, &format!("c=notice,t=acme,d=20000,k={id},dest=7"), "")
+                .expect("an answer"),
             "+OK"
         );
         thread::sleep(Duration::from_millis(370)); // so that they end at each phase of the calls
     }
     for number in 0..PACKETS {
-        world.until("its end", |world| world.log().matches("ends Dismissed").count() > number);
+        world.wait_until("its end", |world| world.log().matches("ends Dismissed").count() > number);
         let ended = Instant::now();
-        world.until("its notice", |world| {
+        world.wait_until("its notice", |world| {
             world.notices().iter().any(|line| line.contains(&format!("p{number}-")))
         });
         let waited = ended.elapsed();
--- a/crates/sailcart-sender/tests/other_boot.rs
+++ b/crates/sailcart-sender/tests/other_boot.rs
@@ -9,16 +9,16 @@
 use sailcart_store::SyncPolicy;
 
 #[allow(dead_code)] // other tests use the rest of it
-mod peer;
+mod common;
 
-use peer::answer;
-use peer::world::World;
+use common::harness::Harness;
+use common::http_response;
 
 /// The kernel's boot id is another: how long ago the call went nobody can tell, whatever the wall clock says. So it does not go again
 /// where its key may be forgotten; what was never called is.
 #[test]
 fn a_machine_that_was_started_anew_repeats_nothing_and_tries_what_is_untried() {
-    let mut world = World::new("other-boot", |_, _| answer("200 OK", "", ""));
+    let mut world = Harness::new("other-boot", |_, _| http_response("200 OK", "", ""));
     world.kill();
     let mut ledger = Ledger::open(&world.folder, 1_000_000, 16, SyncPolicy::None).expect("a journal");
     let other = |moment: Moment| Moment {
@@ -49,7 +49,7 @@
     ledger.record_dispatch(&[called], other(now)).expect("room");
     drop(ledger);
     world.start();
-    world.until("the call", |world| world.came() == ["untried"]);
-    world.until("the end", |world| world.notices().iter().any(|line| line.contains("called")));
-    assert_eq!(world.came(), ["untried"]);
+    world.wait_until("the call", |world| world.received_ids() == ["untried"]);
+    world.wait_until("the end", |world| world.notices().iter().any(|line| line.contains("called")));
+    assert_eq!(world.received_ids(), ["untried"]);
 }
--- a/crates/sailcart-sender/tests/own_faults.rs
+++ b/crates/sailcart-sender/tests/own_faults.rs
@@ -7,10 +7,10 @@
 use std::time::{Duration, Instant};
 
 #[allow(dead_code)] // other tests use the rest of it
-mod peer;
+mod common;
 
-use peer::world::World;
-use peer::{answer, entry, put, say};
+use common::harness::Harness;
+use common::{http_response, list_entry, send_command, submit};
 use sailcart_shim::{Count, EADDRNOTAVAIL, ECONNABORTED, EINTR, EMFILE, ENETUNREACH, ENFILE, ENOBUFS, Word};
 
 const PING: &str = "*1\r\n$4\r\nPING\r\n";
@@ -24,10 +24,12 @@
 #[test]
 fn a_connect_that_fails_for_this_machine_is_no_dispatch() {
     for errno in [EADDRNOTAVAIL, ENOBUFS, ENETUNREACH, EMFILE] {
-        let (world, page) =
-            World::under_faults(&format!("own-connect-{errno}"), |_, _| answer("200 OK", "", ""));
+        let (world, page) = Harness::with_fault_injection(&format!("own-connect-{errno}"), |_, _| {
+            http_response("200 OK", "", "")
+        });
         page.share((Word::Connect, errno), (Word::ConnectPerMille, 1000)).expect("a page");
-        let said = put(world.listen, "a1", "c=notice,t=acme,d=8000,k=a1,dest=7", "hello").expect("an answer");
+        let said = submit(world.listen_address, "a1", "c=notice,t=acme,d=8000,k=a1,dest=7", "hello")
+            .expect("an answer");
         assert_eq!(said, "+OK");
         sleep(ROW);
         let failed = page.count(Count::Connect);
@@ -36,7 +38,7 @@
         assert_eq!(world.notices(), [""; 0], "{}", world.log());
         page.clear().expect("a page");
         let well = Instant::now();
-        world.until("its call", |world| world.came() == ["a1"]);
+        world.wait_until("its call", |world| world.received_ids() == ["a1"]);
         assert!(well.elapsed() < Duration::from_millis(800), "called {:?} later", well.elapsed());
     }
 }
@@ -46,18 +48,19 @@
 #[test]
 fn accepts_that_fail_for_a_moment_lose_nobody() {
     for errno in [ECONNABORTED, ENFILE, ENOBUFS] {
-        let (mut world, page) =
-            World::under_faults(&format!("own-accept-{errno}"), |_, _| answer("200 OK", "", ""));
+        let (mut world, page) = Harness::with_fault_injection(&format!("own-accept-{errno}"), |_, _| {
+            http_response("200 OK", "", "")
+        });
         page.share((Word::Accept, errno), (Word::AcceptPerMille, 500)).expect("a page");
         for _ in 0..40 {
-            assert_eq!(say(world.listen, PING).expect("an answer"), "+PONG");
+            assert_eq!(send_command(world.listen_address, PING).expect("an answer"), "+PONG");
         }
         // All that come while the sender stops wait in the queue, and each is heard.
         page.set(Word::AcceptPerMille, 1000).expect("a page");
         world.signal("-TERM");
         let clients: Vec<TcpStream> = (0..CLIENTS)
             .map(|_| {
-                let mut client = TcpStream::connect(world.listen).expect("a place");
+                let mut client = TcpStream::connect(world.listen_address).expect("a place");
                 client.write_all(PING.as_bytes()).expect("room");
                 client
             })
@@ -71,7 +74,7 @@
             said
         });
         assert!(heard.filter(|said| said == "+PONG\r\n").count() == CLIENTS, "{}", world.log());
-        world.ended();
+        world.wait_for_exit();
         assert!(page.count(Count::Accept) > 20, "accepts failed");
         assert!(world.log().matches("code=not_accepted").count() < 16, "a line for each: {}", world.log());
     }
@@ -81,24 +84,26 @@
 #[test]
 fn a_platform_that_cannot_be_called_is_not_asked_without_a_pause() {
     for errno in [EINTR, EMFILE] {
-        let (world, page) =
-            World::under_faults(&format!("own-platform-{errno}"), |_, _| answer("200 OK", "", ""));
+        let (world, page) = Harness::with_fault_injection(&format!("own-platform-{errno}"), |_, _| {
+            http_response("200 OK", "", "")
+        });
         page.share((Word::Connect, errno), (Word::ConnectPerMille, 1000)).expect("a page");
         // What stands is cut, so that both are to connect again; a notice is owed as well.
-        world.platform.list(&[entry("e", world.endpoint, 7, "Terminating")]);
+        world.platform.set_list(&[list_entry("e", world.endpoint_address, 7, "Terminating")]);
         assert_eq!(
-            put(world.listen, "a1", "c=notice,t=acme,d=500,k=a1,dest=7", "hello").expect("an answer"),
+            submit(world.listen_address, "a1", "c=notice,t=acme,d=500,k=a1,dest=7", "hello")
+                .expect("an answer"),
             "+OK"
         );
-        world.platform.silent.store(true, Ordering::SeqCst);
+        world.platform.unresponsive.store(true, Ordering::SeqCst);
         sleep(Duration::from_secs(4));
         let before = page.count(Count::Connect);
         sleep(Duration::from_secs(1));
         let more = page.count(Count::Connect) - before;
         assert!(more < 60, "{more} connects in a second");
         page.clear().expect("a page");
-        world.platform.silent.store(false, Ordering::SeqCst);
-        world.until("its notice", |world| world.notices().iter().any(|line| line.contains("a1")));
+        world.platform.unresponsive.store(false, Ordering::SeqCst);
+        world.wait_until("its notice", |world| world.notices().iter().any(|line| line.contains("a1")));
     }
 }
 
@@ -106,17 +111,18 @@
 #[test]
 fn a_start_whose_sockets_fail_for_a_moment_comes_up() {
     for errno in [EMFILE, ENFILE, ENOBUFS] {
-        let mut world = World::new(&format!("own-listen-{errno}"), |_, _| answer("200 OK", "", ""));
-        let page = world.with_faults();
+        let mut world = Harness::new(&format!("own-listen-{errno}"), |_, _| http_response("200 OK", "", ""));
+        let page = world.attach_control_page();
         world.kill();
         page.share((Word::Socket, errno), (Word::SocketPerMille, 1000)).expect("a page");
-        world.launch(None);
+        world.spawn_sender(None);
         sleep(Duration::from_secs(1));
         assert!(page.count(Count::Socket) > 0, "no socket was to be had");
         page.clear().expect("a page");
-        world.until("it answers", |world| say(world.listen, PING).is_ok());
-        let said = put(world.listen, "a1", "c=notice,t=acme,d=8000,k=a1,dest=7", "hello").expect("an answer");
+        world.wait_until("it answers", |world| send_command(world.listen_address, PING).is_ok());
+        let said = submit(world.listen_address, "a1", "c=notice,t=acme,d=8000,k=a1,dest=7", "hello")
+            .expect("an answer");
         assert_eq!(said, "+OK");
-        world.until("its call", |world| world.came() == ["a1"]);
+        world.wait_until("its call", |world| world.received_ids() == ["a1"]);
     }
 }
--- a/crates/sailcart-sender/tests/short_calls.rs
+++ b/crates/sailcart-sender/tests/short_calls.rs
@@ -6,10 +6,10 @@
 use std::time::{Duration, Instant};
 
 #[allow(dead_code)] // other tests use the rest of it
-mod peer;
+mod common;
 
-use peer::world::World;
-use peer::{answer, command};
+use common::harness::Harness;
+use common::{http_response, submit_command};
 use sailcart_shim::{Count, Word};
 
 /// A fifth of the reads takes at most forty bytes, a fifth of the writes is cut anywhere.
@@ -18,19 +18,19 @@
     const PACKETS: usize = 200;
     /// The listed rate of the destination is 50 a second, and the hold is smaller than all of them.
     const PACE: Duration = Duration::from_millis(21);
-    let (world, page) = World::under_faults("short-calls", |_, _| {
-        answer("200 OK", "X-Some: header of an answer\r\n", "and a body")
+    let (world, page) = Harness::with_fault_injection("short-calls", |_, _| {
+        http_response("200 OK", "X-Some: header of an answer\r\n", "and a body")
     });
     for (word, value) in
         [(Word::ReadCut, 200), (Word::ReadCutMost, 40), (Word::WriteCut, 200), (Word::WaitInterrupted, 100)]
     {
         page.set(word, value).expect("a page");
     }
-    let mut client = TcpStream::connect(world.listen).expect("a connection");
+    let mut client = TcpStream::connect(world.listen_address).expect("a connection");
     client.set_read_timeout(Some(Duration::from_secs(5))).expect("a time-out");
     for number in 0..PACKETS {
         let id = format!("p{number}");
-        let words = command(&id, &format!("c=notice,t=acme,d=8000,k={id},dest=7"), &"body".repeat(50));
+        let words = submit_command(&id, &format!("c=notice,t=acme,d=8000,k={id},dest=7"), &"body".repeat(50));
         let start = Instant::now();
         client.write_all(words.as_bytes()).expect("room");
         let mut answer = [0; 5];
@@ -40,8 +40,8 @@
         assert!(took < Duration::from_millis(400), "packet {number} answered after {took:?}");
         std::thread::sleep(PACE);
     }
-    world.until("all calls", |world| world.came().len() >= PACKETS);
-    assert_eq!(world.came().len(), PACKETS, "none was sent again");
+    world.wait_until("all calls", |world| world.received_ids().len() >= PACKETS);
+    assert_eq!(world.received_ids().len(), PACKETS, "none was sent again");
     assert_eq!(world.notices(), [""; 0]);
     for count in [Count::ReadCut, Count::WriteCut, Count::WaitInterrupted] {
         assert!(page.count(count) > 20, "{count:?}: {}", page.count(count));
--- a/crates/sailcart-sender/tests/told.rs
+++ b/crates/sailcart-sender/tests/told.rs
@@ -4,40 +4,40 @@
 use std::time::{Duration, Instant};
 
 #[allow(dead_code)] // other tests use the rest of it
-mod peer;
+mod common;
 
-use peer::world::World;
-use peer::{answer, entry};
+use common::harness::Harness;
+use common::{http_response, list_entry};
 
 const TOLD: Duration = Duration::from_secs(6);
 
-fn asked(world: &World) -> usize {
-    world.platform.asked.load(Ordering::SeqCst)
+fn asked(world: &Harness) -> usize {
+    world.platform.list_requests.load(Ordering::SeqCst)
 }
 
 /// Day calm+brink: open watches fall silent. The change that a watch missed was known after its 21 s.
 #[test]
 fn what_a_silent_watch_missed_is_known_in_time() {
-    let world = World::new("watch", |_, _| answer("200 OK", "", ""));
-    world.until("a watch after the first list", |world| asked(world) > 1);
-    world.platform.deaf_before.store(asked(&world), Ordering::SeqCst);
+    let world = Harness::new("watch", |_, _| http_response("200 OK", "", ""));
+    world.wait_until("a watch after the first list", |world| asked(world) > 1);
+    world.platform.ignore_watches_before.store(asked(&world), Ordering::SeqCst);
     let start = Instant::now();
-    world.platform.list(&[entry("f", world.endpoint, 7, "Ready")]);
-    world.until("the change", |world| world.log().contains("discovery: version 2, 1 entries"));
+    world.platform.set_list(&[list_entry("f", world.endpoint_address, 7, "Ready")]);
+    world.wait_until("the change", |world| world.log().contains("discovery: version 2, 1 entries"));
     assert!(start.elapsed() < TOLD, "{:?}", start.elapsed());
 }
 
 /// Day herd+brink: discovery is silent for seconds, then there again. Pauses had grown meanwhile.
 #[test]
 fn what_a_discovery_has_at_its_return_is_known_in_time() {
-    let world = World::new("return", |_, _| answer("200 OK", "", ""));
-    world.platform.silent.store(true, Ordering::SeqCst);
-    world.platform.list(&[entry("f", world.endpoint, 7, "Ready")]);
+    let world = Harness::new("return", |_, _| http_response("200 OK", "", ""));
+    world.platform.unresponsive.store(true, Ordering::SeqCst);
+    world.platform.set_list(&[list_entry("f", world.endpoint_address, 7, "Ready")]);
     let silent = asked(&world);
-    world.until("a row of lost calls", |world| asked(world) > silent + 4);
-    world.platform.silent.store(false, Ordering::SeqCst);
+    world.wait_until("a row of lost calls", |world| asked(world) > silent + 4);
+    world.platform.unresponsive.store(false, Ordering::SeqCst);
     let start = Instant::now();
-    world.until("the change", |world| world.log().contains("discovery: version 2, 1 entries"));
+    world.wait_until("the change", |world| world.log().contains("discovery: version 2, 1 entries"));
     assert!(start.elapsed() < TOLD, "{:?}", start.elapsed());
     assert_eq!(world.log().matches("code=no_list").count(), 1, "one line for the outage");
 }
@@ -46,31 +46,31 @@
 /// down gets nothing, although the list of the life before names it as ready.
 #[test]
 fn a_start_hears_the_list_before_it_sends() {
-    let mut world = World::new("first", |_, _| answer("200 OK", "", ""));
-    world.platform.list(&[entry("e", world.endpoint, 7, "Terminating")]);
-    world.until("the news", |world| world.log().contains("discovery: version 2"));
-    assert_eq!(world.put("a1"), "+OK");
+    let mut world = Harness::new("first", |_, _| http_response("200 OK", "", ""));
+    world.platform.set_list(&[list_entry("e", world.endpoint_address, 7, "Terminating")]);
+    world.wait_until("the news", |world| world.log().contains("discovery: version 2"));
+    assert_eq!(world.submit("a1"), "+OK");
     world.kill();
-    let ready = entry("e", world.endpoint, 7, "Ready");
+    let ready = list_entry("e", world.endpoint_address, 7, "Ready");
     let known = format!(r#""known": {{ "generation": 1, "reset": true, "instances": [{ready}] }}"#);
     world.config =
         world.config.replace(r#""known": { "generation": 0, "reset": true, "instances": [] }"#, &known);
     assert!(world.config.contains(&known));
-    *world.platform.slow.lock().expect("no panic") = Duration::from_millis(300);
+    *world.platform.list_delay.lock().expect("no panic") = Duration::from_millis(300);
     world.start();
-    world.until("the list", |world| world.log().matches("discovery: version 2").count() == 2);
+    world.wait_until("the list", |world| world.log().matches("discovery: version 2").count() == 2);
     assert!(world.log().contains("recovery: 1 packets"));
-    assert_eq!(world.came(), [""; 0], "nothing to an endpoint that drains");
-    world.platform.list(&[entry("f", world.endpoint, 7, "Ready")]);
-    world.until("the call", |world| world.came() == ["a1"]);
+    assert_eq!(world.received_ids(), [""; 0], "nothing to an endpoint that drains");
+    world.platform.set_list(&[list_entry("f", world.endpoint_address, 7, "Ready")]);
+    world.wait_until("the call", |world| world.received_ids() == ["a1"]);
 }
 
 /// A silent agent is no reason not to start: the list of the life before serves.
 #[test]
 fn a_start_waits_for_a_silent_agent_no_longer_than_a_call() {
-    let mut world = World::new("mute", |_, _| answer("200 OK", "", ""));
+    let mut world = Harness::new("mute", |_, _| http_response("200 OK", "", ""));
     world.kill();
-    world.platform.silent.store(true, Ordering::SeqCst);
+    world.platform.unresponsive.store(true, Ordering::SeqCst);
     let start = Instant::now();
     world.start();
     assert!(start.elapsed() < Duration::from_secs(2), "{:?}", start.elapsed());
