--- a/crates/sailcart-sender/tests/common/delayed_connect.rs
+++ b/crates/sailcart-sender/tests/common/delayed_connect.rs
@@ -1,13 +1,15 @@
-//! An endpoint whose connections come up late: its queue is full, so that the system drops what knocks until there is room.
+//! An endpoint at which connections are established late: its accept queue is full, so the kernel drops SYN
+//! segments until an entry is accepted.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
 use socket2::{Domain, Socket, Type};
 
-/// Nobody connects any more after this time.
-const LONGEST: Duration = Duration::from_secs(8);
+/// Limits each accept, so that a test fails instead of hanging when no connection arrives.
+const ACCEPT_TIMEOUT: Duration = Duration::from_secs(8);
 
+/// A listener with a backlog of 0, whose accept queue holds one connection.
 pub struct DelayedConnectEndpoint {
     pub listener: TcpListener,
     pub address: SocketAddr,
@@ -15,33 +17,34 @@
 
 impl DelayedConnectEndpoint {
     pub fn new() -> DelayedConnectEndpoint {
-        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-        socket.set_read_timeout(Some(LONGEST)).expect("a bounded wait for who connects");
-        let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
-        socket.bind(&any.into()).and_then(|()| socket.listen(0)).expect("a listener");
+        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("create a socket");
+        socket.set_read_timeout(Some(ACCEPT_TIMEOUT)).expect("set the accept timeout");
+        let any: SocketAddr = "127.0.0.1:0".parse().expect("local address");
+        socket.bind(&any.into()).and_then(|()| socket.listen(0)).expect("bind and listen");
         let listener: TcpListener = socket.into();
-        let address = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("local address");
         DelayedConnectEndpoint { listener, address }
     }
 
-    /// From here on nobody gets in.
+    /// Occupies the only entry of the accept queue; later connections are not established.
     pub fn fill_backlog(&self) -> TcpStream {
-        TcpStream::connect(self.address).expect("the last place")
+        TcpStream::connect(self.address).expect("connect to the listener")
     }
 
-    /// Until somebody has knocked in vain.
+    /// Waits until a connection to this endpoint is in state SYN_SENT (02), at most 5 s.
     pub fn wait_for_pending_connect(&self) {
         let start = Instant::now();
         let port = format!(":{:04X} 02 ", self.address.port());
-        while !std::fs::read_to_string("/proc/net/tcp").expect("a table").contains(&port) {
-            assert!(start.elapsed() < Duration::from_secs(5), "nobody knocked");
+        while !std::fs::read_to_string("/proc/net/tcp").expect("read /proc/net/tcp").contains(&port) {
+            assert!(start.elapsed() < Duration::from_secs(5), "no connection attempt within 5 s");
             std::thread::yield_now();
         }
     }
 
-    /// Takes the place of who filled it: the next knock, a second after the first, is let in.
+    /// Accepts and drops the connection that filled the queue, then accepts the pending one. The kernel
+    /// retransmits its SYN 1 s after the first.
     pub fn accept_pending(&self) -> TcpStream {
-        drop(self.listener.accept().expect("who filled it"));
-        self.listener.accept().expect("who knocked").0
+        drop(self.listener.accept().expect("accept the connection that fills the queue"));
+        self.listener.accept().expect("accept the pending connection").0
     }
 }
--- a/crates/sailcart-sender/tests/common/harness.rs
+++ b/crates/sailcart-sender/tests/common/harness.rs
@@ -1,4 +1,4 @@
-//! A sender and what it meets, all on loopback.
+//! The test harness: a sender process together with mock discovery, platform and endpoint, all on loopback.
 
 use std::fs;
 use std::net::{SocketAddr, TcpListener};
@@ -17,32 +17,35 @@
 
 static HARNESS_COUNT: AtomicU8 = AtomicU8::new(0);
 
-/// A sender and what it meets.
+/// A sender process and the mock servers that it talks to. Dropping it kills the process and deletes its folder.
 pub struct Harness {
+    /// Holds the configuration, the log and the state of the sender.
     pub folder: PathBuf,
     pub config: String,
+    /// Where the sender accepts clients.
     pub listen_address: SocketAddr,
     pub sender: Option<Child>,
     pub discovery_address: SocketAddr,
     pub platform: Arc<Platform>,
     pub endpoint_address: SocketAddr,
-    /// Ids of the packets that came, in order.
+    /// Ids of the packets that the endpoint received, in order of arrival; a repeated call appears again.
     pub received_ids: Arc<Mutex<Vec<String>>>,
-    /// Where set, the sender's next lives run under this page of faults.
+    /// If set, the sender is started with fault injection under this control page.
     pub control_page: Option<Arc<Page>>,
 }
 
 impl Harness {
-    /// The one endpoint answers the n-th call, from 0, with what `reply` makes of it.
-    pub fn new(story: &str, reply: impl Fn(usize, &Call) -> HttpReply + Send + Sync + 'static) -> Harness {
-        let folder = std::env::temp_dir().join(format!("sailcart-{}-{story}", std::process::id()));
+    /// Starts a sender with one endpoint, which replies to the n-th call, counted from 0, with `reply(n, call)`.
+    /// `scenario` names the folder and must be unique in the test program.
+    pub fn new(scenario: &str, reply: impl Fn(usize, &Call) -> HttpReply + Send + Sync + 'static) -> Harness {
+        let folder = std::env::temp_dir().join(format!("sailcart-{}-{scenario}", std::process::id()));
         let _ = fs::remove_dir_all(&folder);
-        fs::create_dir_all(&folder).expect("a folder");
+        fs::create_dir_all(&folder).expect("create the folder");
         let received_ids = Arc::new(Mutex::new(Vec::new()));
-        let own = received_ids.clone();
+        let ids = received_ids.clone();
         let endpoint_address = serve_http("127.0.0.1:0", move |call| {
             let number = {
-                let mut came = own.lock().expect("no panic");
+                let mut came = ids.lock().expect("mutex is not poisoned");
                 came.push(call.header("X-Call-Id").to_owned());
                 came.len() - 1
             };
@@ -50,17 +53,17 @@
         });
         let (discovery_address, platform) = Platform::start("127.0.0.1:0");
         platform.set_list(&[list_entry("e", endpoint_address, 7, "Ready")]);
-        // An address of this story's own: nobody else takes the port while the sender is down.
-        let own = format!("127.83.1.{}:0", 1 + HARNESS_COUNT.fetch_add(1, Ordering::Relaxed));
-        let free = TcpListener::bind(own).and_then(|socket| socket.local_addr());
-        let listen_address = free.expect("a free address");
-        let state = folder.to_str().expect("a plain path");
+        // A loopback address of its own, so that no other test takes the port while the sender is down.
+        let address = format!("127.83.1.{}:0", 1 + HARNESS_COUNT.fetch_add(1, Ordering::Relaxed));
+        let free = TcpListener::bind(address).and_then(|socket| socket.local_addr());
+        let listen_address = free.expect("bind a listener");
+        let state = folder.to_str().expect("the path is UTF-8");
         let config = CONFIG
             .replace("127.0.0.1:6379", &listen_address.to_string())
             .replace(r#""name": "n1","#, r#""name": "n1", "seed": "5eed","#)
             .replace("127.0.0.1:8500", &discovery_address.to_string())
             .replace("examples/state", state);
-        let mut world = Harness {
+        let mut harness = Harness {
             folder,
             config,
             listen_address,
@@ -71,61 +74,75 @@
             received_ids,
             control_page: None,
         };
-        world.start();
-        // A story that changes the list or discovery begins with a sender that knows the first list.
-        world.wait_until("the first list", |world| world.log().contains("discovery: version 1, 1 entries"));
-        world
+        harness.start();
+        // The sender must have the first list before a test changes the list or discovery.
+        harness.wait_until("the first list", |harness| {
+            harness.log().contains("discovery: version 1, 1 entries")
+        });
+        harness
     }
 
+    /// Starts the sender with the current configuration and waits until it replies to a PING.
     pub fn start(&mut self) {
         let file = self.folder.join("config.json");
-        fs::write(&file, &self.config).expect("a configuration");
+        fs::write(&file, &self.config).expect("write the configuration file");
         let log = fs::OpenOptions::new().append(true).create(true).open(self.folder.join("log"));
         let mut command = Command::new(env!("CARGO_BIN_EXE_sailcart"));
-        command.arg("serve").arg("--config").arg(file).env("RUST_LOG", "debug").stderr(log.expect("a log"));
+        command
+            .arg("serve")
+            .arg("--config")
+            .arg(file)
+            .env("RUST_LOG", "debug")
+            .stderr(log.expect("open the log"));
         if let Some(page) = &self.control_page {
-            command.envs(page.environment(sailcart_shim::library().expect("the shim")));
+            command.envs(page.environment(sailcart_shim::library().expect("the shim library is built")));
         }
-        self.sender = Some(command.spawn().expect("the sender starts"));
-        self.wait_until("the sender is ready", |world| {
-            send_command(world.listen_address, "*1\r\n$4\r\nPING\r\n").is_ok()
+        self.sender = Some(command.spawn().expect("start the sender process"));
+        self.wait_until("the sender is ready", |harness| {
+            send_command(harness.listen_address, "*1\r\n$4\r\nPING\r\n").is_ok()
         });
     }
 
-    /// The same with a sender that runs under a page of faults, and knows the list.
+    /// Like [`Harness::new`], with a sender that runs with fault injection and has the list.
     pub fn with_fault_injection(
-        story: &str,
+        scenario: &str,
         reply: impl Fn(usize, &Call) -> HttpReply + Send + Sync + 'static,
     ) -> (Harness, Arc<Page>) {
-        let mut world = Harness::new(story, reply);
-        let page = world.attach_control_page();
-        world.kill();
-        world.start();
-        world.wait_until("the list", |world| world.log().matches("discovery: version 1").count() == 2);
-        (world, page)
+        let mut harness = Harness::new(scenario, reply);
+        let page = harness.attach_control_page();
+        harness.kill();
+        harness.start();
+        harness.wait_until("the list", |harness| harness.log().matches("discovery: version 1").count() == 2);
+        (harness, page)
     }
 
-    /// The sender's next lives run under a page of faults; none are set yet.
+    /// Enables fault injection from the next start of the sender on; the control page sets no faults yet.
     pub fn attach_control_page(&mut self) -> Arc<Page> {
-        let page = Arc::new(Page::new(&self.folder.join("shim-page")).expect("a page"));
+        let page = Arc::new(Page::new(&self.folder.join("shim-page")).expect("create the control page"));
         self.control_page = Some(page.clone());
         page
     }
 
+    /// Polls `check` until it holds; fails after 10 s with `what` and the log.
     pub fn wait_until(&self, what: &str, check: impl Fn(&Harness) -> bool) {
         let start = Instant::now();
         while !check(self) {
-            assert!(start.elapsed() < Duration::from_secs(10), "not seen: {what}\n{}", self.log());
+            assert!(
+                start.elapsed() < Duration::from_secs(10),
+                "not seen within 10 s: {what}\n{}",
+                self.log()
+            );
             sleep(Duration::from_millis(5));
         }
     }
 
-    /// Bytes of the sender's memory, as the system counts them: `VmRSS` now, `VmHWM` at the most.
+    /// Resident memory of the sender in bytes, from `/proc`: `VmRSS` is the current size, `VmHWM` the peak.
     pub fn memory(&self, field: &str) -> usize {
-        let pid = self.sender.as_ref().expect("a sender").id();
-        let status = fs::read_to_string(format!("/proc/{pid}/status")).expect("its status");
-        let line = status.lines().find(|line| line.starts_with(field)).expect("a line");
-        let kilobytes: usize = line.split_whitespace().nth(1).and_then(|word| word.parse().ok()).expect("kB");
+        let pid = self.sender.as_ref().expect("the sender is running").id();
+        let status = fs::read_to_string(format!("/proc/{pid}/status")).expect("read /proc/PID/status");
+        let line = status.lines().find(|line| line.starts_with(field)).expect("the status has the field");
+        let kilobytes: usize =
+            line.split_whitespace().nth(1).and_then(|word| word.parse().ok()).expect("a size in kB");
         kilobytes * 1024
     }
 
@@ -133,36 +150,37 @@
         fs::read_to_string(self.folder.join("log")).unwrap_or_default()
     }
 
+    /// Submits a packet to destination 7 with a patience of 8 s; returns the reply.
     pub fn submit(&self, id: &str) -> String {
         submit(self.listen_address, id, &format!("c=notice,t=acme,d=8000,k={id},dest=7"), "hello")
-            .expect("an answer")
+            .expect("the sender replies")
     }
 
     pub fn received_ids(&self) -> Vec<String> {
-        self.received_ids.lock().expect("no panic").clone()
+        self.received_ids.lock().expect("mutex is not poisoned").clone()
     }
 
     pub fn notices(&self) -> Vec<String> {
-        self.platform.notices.lock().expect("no panic").clone()
+        self.platform.notices.lock().expect("mutex is not poisoned").clone()
     }
 
-    /// SIGHUP, with another configuration in the file.
+    /// Writes another configuration to the file and sends SIGHUP.
     pub fn reload(&self, config: &str) {
-        fs::write(self.folder.join("config.json"), config).expect("a configuration");
+        fs::write(self.folder.join("config.json"), config).expect("write the configuration file");
         self.signal("-HUP");
     }
 
     pub fn signal(&self, signal: &str) {
-        let pid = self.sender.as_ref().expect("a sender").id().to_string();
-        assert!(Command::new("kill").args([signal, &pid]).status().expect("a signal").success());
+        let pid = self.sender.as_ref().expect("the sender is running").id().to_string();
+        assert!(Command::new("kill").args([signal, &pid]).status().expect("run kill").success());
     }
 
     pub fn kill(&mut self) {
-        let mut sender = self.sender.take().expect("a sender");
-        sender.kill().and_then(|()| sender.wait()).expect("the sender ends");
+        let mut sender = self.sender.take().expect("the sender is running");
+        sender.kill().and_then(|()| sender.wait()).expect("kill the sender");
     }
 
-    /// Kills the sender and starts it anew with each `(from, to)` of its configuration replaced.
+    /// Kills the sender and restarts it with each `(from, to)` replaced in its configuration.
     pub fn restart_with(&mut self, changes: &[(&str, &str)]) {
         self.kill();
         for (from, to) in changes {
@@ -172,12 +190,19 @@
         self.start();
     }
 
-    /// Until the process has ended by itself.
+    /// Waits until the process has exited with status 0.
     pub fn wait_for_exit(&mut self) {
-        assert!(self.sender.take().expect("a sender").wait().expect("an end").success());
+        assert!(
+            self.sender
+                .take()
+                .expect("the sender is running")
+                .wait()
+                .expect("wait for the process")
+                .success()
+        );
     }
 
-    /// SIGTERM, until the process has ended by itself; tells how long it took.
+    /// Sends SIGTERM and waits for the process to exit; returns the time that it took.
     pub fn terminate(&mut self) -> Duration {
         let start = Instant::now();
         self.signal("-TERM");
