--- a/crates/sailcart-sender/tests/busy_loops.rs
+++ b/crates/sailcart-sender/tests/busy_loops.rs
@@ -1,4 +1,4 @@
-//! Peers that answer at once, again and again: nothing runs in a loop without a pause for them.
+//! Peers whose behaviour could make the sender run in a busy loop or flood its log.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -11,43 +11,44 @@
 use common::harness::Harness;
 use common::{Call, http_response, list_entry, serve_http};
 
-/// An agent that answers each watch at once, and with nothing new.
+/// Discovery answers each watch at once and without a change.
 #[test]
-fn a_watch_that_ends_at_once_is_not_asked_again_without_a_pause() {
-    let mut world = Harness::new("watch-at-once", |_, _| http_response("200 OK", "", ""));
-    let asked = Arc::new(AtomicUsize::new(0));
-    let (own, line) = (asked.clone(), list_entry("e", world.endpoint_address, 7, "Ready"));
-    let agent = serve_http("127.0.0.1:0", move |call: &Call| {
-        own.fetch_add(1, Ordering::SeqCst);
-        let whole = !call.start.contains("from=1");
-        let line = if whole { line.as_str() } else { "" };
-        http_response("200 OK", "", &format!(r#"{{"generation":1,"reset":{whole},"instances":[{line}]}}"#))
+fn a_watch_answered_at_once_is_repeated_with_a_delay() {
+    let mut harness = Harness::new("watch-at-once", |_, _| http_response("200 OK", "", ""));
+    let request_count = Arc::new(AtomicUsize::new(0));
+    let (counter, entry) = (request_count.clone(), list_entry("e", harness.endpoint_address, 7, "Ready"));
+    let discovery = serve_http("127.0.0.1:0", move |call: &Call| {
+        counter.fetch_add(1, Ordering::SeqCst);
+        let reset = !call.start.contains("from=1");
+        let entry = if reset { entry.as_str() } else { "" };
+        http_response("200 OK", "", &format!(r#"{{"generation":1,"reset":{reset},"instances":[{entry}]}}"#))
     });
-    let discovery = world.discovery_address.to_string();
-    world.restart_with(&[(&discovery, &agent.to_string())]);
+    let old_address = harness.discovery_address.to_string();
+    harness.restart_with(&[(&old_address, &discovery.to_string())]);
     sleep(Duration::from_millis(500));
-    let before = asked.load(Ordering::SeqCst);
+    let requests_before = request_count.load(Ordering::SeqCst);
     sleep(Duration::from_secs(1));
-    let more = asked.load(Ordering::SeqCst) - before;
-    assert!(more > 5, "it is asked all the same");
-    assert!(more < 30, "asked {more} times in a second");
+    let new_requests = request_count.load(Ordering::SeqCst) - requests_before;
+    assert!(new_requests > 5, "the watch was not repeated");
+    assert!(new_requests < 30, "{new_requests} list requests in a second");
 }
 
-/// A list with many entries of kinds that the settings do not know: a few lines and their number, not a line each.
+/// A list has many entries of kinds that are not configured: the log gets a few lines and their number, not
+/// one line per entry.
 #[test]
 fn entries_of_unknown_kinds_do_not_flood_the_log() {
     const ENTRIES: usize = 500;
-    let world = Harness::new("unknown-kinds", |_, _| http_response("200 OK", "", ""));
-    let line = |number: usize| {
+    let harness = Harness::new("unknown-kinds", |_, _| http_response("200 OK", "", ""));
+    let entry_of = |number: usize| {
         let name = format!("u{number}");
-        list_entry(&name, world.endpoint_address, 7, "Ready")
+        list_entry(&name, harness.endpoint_address, 7, "Ready")
             .replace(r#""machineType":"k""#, r#""machineType":"other""#)
     };
-    let mut all: Vec<String> = (0..ENTRIES).map(line).collect();
-    all.push(list_entry("e", world.endpoint_address, 7, "Ready"));
-    world.platform.set_list(&all);
-    world.wait_until("the list", |world| world.log().contains("discovery: version 2"));
-    let lines = world.log().matches("unknown kind").count();
-    assert!((1..6).contains(&lines), "{lines} lines");
-    assert!(world.log().contains("500 entries"), "their number is told");
+    let mut entries: Vec<String> = (0..ENTRIES).map(entry_of).collect();
+    entries.push(list_entry("e", harness.endpoint_address, 7, "Ready"));
+    harness.platform.set_list(&entries);
+    harness.wait_until("the list", |harness| harness.log().contains("discovery: version 2"));
+    let log_lines = harness.log().matches("unknown kind").count();
+    assert!((1..6).contains(&log_lines), "{log_lines} log lines");
+    assert!(harness.log().contains("500 entries"), "the number of entries is not logged");
 }
--- a/crates/sailcart-sender/tests/client_disconnects.rs
+++ b/crates/sailcart-sender/tests/client_disconnects.rs
@@ -1,4 +1,4 @@
-//! What crosses an end from outside: descriptors that run out, a client that goes before its answer.
+//! Clients that use up the descriptors of the sender or disconnect before they get a reply.
 
 use std::fs;
 use std::io::{ErrorKind, Read, Write};
@@ -15,219 +15,247 @@
 use common::{http_response, list_entry, submit, submit_command};
 
 const PING: &str = "*1\r\n$4\r\nPING\r\n";
-/// Longer than anything is waited for here.
-const LONGEST: Duration = Duration::from_secs(8);
-/// An answer waits for the next round, up to this long after the one before.
-const SLOW_PACE: (&str, &str) = (r#""period_ms": 5,"#, r#""period_ms": 3000,"#);
+/// Longer than any expected wait in these tests.
+const READ_TIMEOUT: Duration = Duration::from_secs(8);
+/// Rounds every 3 s instead of 5 ms: the reply to a submission waits for the next round.
+const SLOW_ROUNDS: (&str, &str) = (r#""period_ms": 5,"#, r#""period_ms": 3000,"#);
 
-fn delivers(story: &str) -> Harness {
-    Harness::new(story, |_, _| http_response("200 OK", "", ""))
+fn start_delivering(scenario: &str) -> Harness {
+    Harness::new(scenario, |_, _| http_response("200 OK", "", ""))
 }
 
-/// From the next start on.
-fn usual_pace(world: &mut Harness) {
-    world.config = world.config.replace(SLOW_PACE.1, SLOW_PACE.0);
+/// Restores the usual round period; takes effect with the next start.
+fn restore_round_period(harness: &mut Harness) {
+    harness.config = harness.config.replace(SLOW_ROUNDS.1, SLOW_ROUNDS.0);
 }
 
-/// A packet's patience in milliseconds; the shorter one is over before the next round of a slow pace.
-const USUAL: u32 = 8000;
-const SHORT: u32 = 400;
+/// The patience of a packet; the short one is over before the next round under [`SLOW_ROUNDS`].
+const USUAL_PATIENCE_MS: u32 = 8000;
+const SHORT_PATIENCE_MS: u32 = 400;
 
-fn fields(id: &str, patience: u32) -> String {
-    format!("c=notice,t=acme,d={patience},k={id},dest=7")
+fn fields(id: &str, patience_ms: u32) -> String {
+    format!("c=notice,t=acme,d={patience_ms},k={id},dest=7")
 }
 
-fn connect(world: &Harness) -> TcpStream {
-    let stream = TcpStream::connect(world.listen_address).expect("a connection");
-    stream.set_read_timeout(Some(LONGEST)).expect("a time-out");
-    stream.set_nodelay(true).expect("small writes go at once");
+fn connect(harness: &Harness) -> TcpStream {
+    let stream = TcpStream::connect(harness.listen_address).expect("establish a connection");
+    stream.set_read_timeout(Some(READ_TIMEOUT)).expect("set the read timeout");
+    stream.set_nodelay(true).expect("set TCP_NODELAY");
     stream
 }
 
-fn said(stream: &mut TcpStream) -> String {
-    let mut word = [0; 64];
-    let read = stream.read(&mut word).expect("an answer");
-    String::from_utf8_lossy(&word[..read]).into_owned()
+fn read_reply(stream: &mut TcpStream) -> String {
+    let mut buffer = [0; 64];
+    let read = stream.read(&mut buffer).expect("the sender replies");
+    String::from_utf8_lossy(&buffer[..read]).into_owned()
 }
 
-/// Processor time that the sender has used, in hundredths of a second.
-fn processor_ticks(world: &Harness) -> u64 {
-    let pid = world.sender.as_ref().expect("a sender").id();
-    let line = fs::read_to_string(format!("/proc/{pid}/stat")).expect("a process");
-    let after_name = line.rsplit_once(") ").expect("a name in brackets").1;
-    after_name.split(' ').skip(11).take(2).map(|ticks| ticks.parse::<u64>().expect("a number")).sum()
+/// Processor time that the sender has used, in clock ticks of 10 ms.
+fn processor_ticks(harness: &Harness) -> u64 {
+    let pid = harness.sender.as_ref().expect("the sender is running").id();
+    let line = fs::read_to_string(format!("/proc/{pid}/stat")).expect("read /proc/PID/stat");
+    let fields_after_name = line.rsplit_once(") ").expect("a process name in parentheses").1;
+    fields_after_name
+        .split(' ')
+        .skip(11)
+        .take(2)
+        .map(|ticks| ticks.parse::<u64>().expect("a number of ticks"))
+        .sum()
 }
 
-/// The system's limit of descriptors is far below what the configuration claims, and clients use all of them: the sender serves whom
-/// it has, tries again at a bounded pace, and lets others in once there is room.
+/// The descriptor limit of the process is far below the configured one, and clients use all descriptors: the
+/// sender serves the connected clients, retries accept at a bounded rate, and accepts others once descriptors
+/// are free.
 #[test]
-fn a_sender_without_descriptors_neither_ends_nor_spins() {
+fn a_sender_without_descriptors_neither_exits_nor_spins() {
     const DESCRIPTORS: u32 = 64;
-    /// One every 10 ms, by the guard, and what a second more may have in it.
-    const MOST_TRIES: u128 = 105;
-    let mut world = delivers("descriptors");
-    world.kill();
-    world.spawn_sender(Some(DESCRIPTORS));
-    world.wait_until("it listens", |world| world.log().matches(" listens on ").count() == 2);
-    let mut first = connect(&world);
-    first.write_all(PING.as_bytes()).expect("room");
-    assert_eq!(said(&mut first), "+PONG\r\n");
-    let others: Vec<TcpStream> = (0..DESCRIPTORS).map(|_| connect(&world)).collect();
-    world.wait_until("a client that is not let in", |world| world.log().contains("code=not_accepted"));
-
-    // A line for the first and for each that doubles their number.
-    let told = |world: &Harness| world.log().matches("code=not_accepted").count();
-    let tries = |world: &Harness| 1u128 << (told(world) - 1);
-    let (start, ticks, before) = (Instant::now(), processor_ticks(&world), tries(&world));
-    thread::sleep(Duration::from_secs(1)); // what is measured: a second of it
-    let (ticks, after) = (processor_ticks(&world) - ticks, tries(&world));
-    // What is told is half of what was tried at least, and was told last at `before`, so what came since is less than this.
-    let most = before * 2 + MOST_TRIES * start.elapsed().as_millis() / 1000;
-    assert!(after <= most, "{after} tries after {before} in {:?}", start.elapsed());
-    assert!(told(&world) < 16, "no line for each");
-    assert!(ticks < 40, "{ticks} hundredths of a second in {:?}", start.elapsed());
-
-    // A client that it has is served; its packet waits until there is a descriptor for its call.
-    first.write_all(submit_command("a1", &fields("a1", USUAL), "hello").as_bytes()).expect("room");
-    assert_eq!(said(&mut first), "+OK\r\n");
-    world.wait_until("a call without a descriptor", |world| {
-        world.log().contains("no connection, code=own_fault")
+    /// One attempt every 10 ms, the pause after a failed accept, and a margin of 5.
+    const MAX_ATTEMPTS_PER_SECOND: u128 = 105;
+    let mut harness = start_delivering("descriptors");
+    harness.kill();
+    harness.spawn_sender(Some(DESCRIPTORS));
+    harness.wait_until("the listener", |harness| harness.log().matches(" listens on ").count() == 2);
+    let mut first = connect(&harness);
+    first.write_all(PING.as_bytes()).expect("write to the socket");
+    assert_eq!(read_reply(&mut first), "+PONG\r\n");
+    let others: Vec<TcpStream> = (0..DESCRIPTORS).map(|_| connect(&harness)).collect();
+    harness
+        .wait_until("a client that is not accepted", |harness| harness.log().contains("code=not_accepted"));
+
+    // The log has one line for the first failed accept and one for each doubling of their number.
+    let log_lines = |harness: &Harness| harness.log().matches("code=not_accepted").count();
+    let attempts = |harness: &Harness| 1u128 << (log_lines(harness) - 1);
+    let (start, ticks, attempts_before) = (Instant::now(), processor_ticks(&harness), attempts(&harness));
+    thread::sleep(Duration::from_secs(1)); // the interval measured
+    let (ticks, attempts_after) = (processor_ticks(&harness) - ticks, attempts(&harness));
+    // The logged number is more than half of the real one: less than twice `attempts_before` attempts
+    // preceded the interval.
+    let max_attempts = attempts_before * 2 + MAX_ATTEMPTS_PER_SECOND * start.elapsed().as_millis() / 1000;
+    assert!(
+        attempts_after <= max_attempts,
+        "{attempts_after} attempts after {attempts_before} in {:?}",
+        start.elapsed()
+    );
+    assert!(log_lines(&harness) < 16, "one log line per failed accept");
+    assert!(ticks < 40, "{ticks} clock ticks of processor time in {:?}", start.elapsed());
+
+    // A connected client is served; its packet waits until there is a descriptor for its call.
+    first
+        .write_all(submit_command("a1", &fields("a1", USUAL_PATIENCE_MS), "hello").as_bytes())
+        .expect("write to the socket");
+    assert_eq!(read_reply(&mut first), "+OK\r\n");
+    harness.wait_until("a call without a descriptor", |harness| {
+        harness.log().contains("no connection, code=own_fault")
     });
-    assert!(!world.log().contains("no connection, code=refused"), "nothing is said of the endpoint");
-    assert_eq!(world.received_ids(), [""; 0]);
+    assert!(
+        !harness.log().contains("no connection, code=refused"),
+        "the failure is attributed to the endpoint"
+    );
+    assert_eq!(harness.received_ids(), [""; 0]);
     drop(others);
-    let mut late = connect(&world);
-    late.write_all(PING.as_bytes()).expect("room");
-    assert_eq!(said(&mut late), "+PONG\r\n");
-    world.wait_until("its call", |world| world.received_ids() == ["a1"]);
-    world.wait_until_store_shows("0 packets not completed, 0 pending notices");
-    assert_eq!((world.received_ids().len(), world.notices().len()), (1, 0));
-    world.kill();
+    let mut new_client = connect(&harness);
+    new_client.write_all(PING.as_bytes()).expect("write to the socket");
+    assert_eq!(read_reply(&mut new_client), "+PONG\r\n");
+    harness.wait_until("the call", |harness| harness.received_ids() == ["a1"]);
+    harness.wait_until_store_shows("0 packets not completed, 0 pending notices");
+    assert_eq!((harness.received_ids().len(), harness.notices().len()), (1, 0));
+    harness.kill();
 }
 
-/// How a client goes.
+/// How a client disconnects.
 #[derive(Clone, Copy)]
-enum Leaves {
-    /// It ends its side, and closes.
-    Closed,
-    /// Its connection is reset.
+enum Disconnect {
+    /// It closes its connection.
+    Close,
+    /// It resets its connection.
     Reset,
 }
 
-fn leave(stream: TcpStream, how: Leaves) {
-    if let Leaves::Reset = how {
-        SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("a reset at its close");
+fn disconnect(stream: TcpStream, how: Disconnect) {
+    if let Disconnect::Reset = how {
+        SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("set a zero linger time");
     }
     drop(stream);
 }
 
-/// Hands a packet in, and goes as soon as it stands in the folder and before anything is told.
-fn hand_in_and_leave(world: &Harness, id: &str, patience: u32, how: Leaves) {
-    let mut client = connect(world);
-    client.write_all(submit_command(id, &fields(id, patience), "hello").as_bytes()).expect("room");
-    world.wait_until_store_shows(&format!("packet {id}: "));
-    client.set_nonblocking(true).expect("a socket");
-    let heard = client.read(&mut [0; 64]);
-    assert!(heard.is_err_and(|fault| fault.kind() == ErrorKind::WouldBlock), "nothing was told yet");
-    leave(client, how);
+/// Submits a packet and disconnects as soon as the packet is on disk, before any reply.
+fn submit_and_disconnect(harness: &Harness, id: &str, patience_ms: u32, how: Disconnect) {
+    let mut client = connect(harness);
+    client
+        .write_all(submit_command(id, &fields(id, patience_ms), "hello").as_bytes())
+        .expect("write to the socket");
+    harness.wait_until_store_shows(&format!("packet {id}: "));
+    client.set_nonblocking(true).expect("set the socket to non-blocking");
+    let reply = client.read(&mut [0; 64]);
+    assert!(reply.is_err_and(|error| error.kind() == ErrorKind::WouldBlock), "there was already a reply");
+    disconnect(client, how);
 }
 
-/// A client that goes between the record and `+OK`: its packet is delivered once, and whoever hands the same id in hears that it was
-/// taken, also while the first answer is due.
+/// A client disconnects between the record of its packet and `+OK`: the packet is delivered once, and a
+/// resubmission of the same id gets `+OK`, also while the first reply is pending.
 #[test]
-fn a_client_that_goes_before_ok_leaves_a_packet_with_one_end() {
-    for (story, how) in [("gone-closed", Leaves::Closed), ("gone-reset", Leaves::Reset)] {
-        let mut world = delivers(story);
-        world.restart_with(&[SLOW_PACE]);
-        assert_eq!(world.submit("a0"), "+OK"); // a round has just been
-        hand_in_and_leave(&world, "a1", USUAL, how);
-        assert_eq!(world.submit("a1"), "+OK", "with the next round");
-        world.wait_until("its call", |world| world.received_ids() == ["a0", "a1"]);
-        assert_eq!(world.submit("a1"), "+OK", "once it is over");
-        usual_pace(&mut world);
-        world.assert_nothing_pending_after_restart();
-        assert_eq!(world.notices(), [""; 0]);
+fn a_packet_of_a_client_that_disconnects_before_ok_completes_once() {
+    for (scenario, how) in [("gone-closed", Disconnect::Close), ("gone-reset", Disconnect::Reset)] {
+        let mut harness = start_delivering(scenario);
+        harness.restart_with(&[SLOW_ROUNDS]);
+        assert_eq!(harness.submit("a0"), "+OK"); // a round has just passed
+        submit_and_disconnect(&harness, "a1", USUAL_PATIENCE_MS, how);
+        assert_eq!(harness.submit("a1"), "+OK", "reply with the next round");
+        harness.wait_until("the call", |harness| harness.received_ids() == ["a0", "a1"]);
+        assert_eq!(harness.submit("a1"), "+OK", "reply after completion");
+        restore_round_period(&mut harness);
+        harness.assert_nothing_pending_after_restart();
+        assert_eq!(harness.notices(), [""; 0]);
     }
 }
 
-/// The same where the first would have heard that its packet is not taken on, whose time is over by the next round: it ends with that
-/// answer, of which the platform need not hear, and whoever hands the same id in hears the same, now and once it is over.
+/// As above, but the deadline of the packet passes before the next round, so that it is rejected with
+/// `-BUSY`: the packet completes with that reply without a notice, and a resubmission of the same id gets the
+/// same reply, before and after completion.
 #[test]
-fn a_client_that_goes_before_busy_leaves_the_same_answer_behind() {
-    for (story, how) in [("busy-closed", Leaves::Closed), ("busy-reset", Leaves::Reset)] {
-        let mut world = delivers(story);
-        world.restart_with(&[SLOW_PACE]);
-        assert_eq!(world.submit("a0"), "+OK"); // a round has just been
-        world.wait_until_store_shows("0 packets not completed");
-        world.platform.set_list(&[list_entry("e", world.endpoint_address, 7, "Terminating")]);
-        world.wait_until("the news", |world| world.log().contains("discovery: version 2"));
-        hand_in_and_leave(&world, "a1", SHORT, how);
-        let heard = submit(world.listen_address, "a1", &fields("a1", SHORT), "hello").expect("an answer");
-        assert!(heard.starts_with("-BUSY"), "{heard}");
-        assert_eq!(world.submit("a1"), heard, "once it is over");
-        world.wait_until_store_shows("0 packets not completed, 0 pending notices");
-        world.platform.set_list(&[list_entry("e", world.endpoint_address, 7, "Ready")]);
-        world.wait_until("the news", |world| world.log().contains("discovery: version 3"));
-        usual_pace(&mut world);
-        world.assert_nothing_pending_after_restart();
-        assert!(!world.received_ids().contains(&"a1".to_owned()), "{}", world.log());
-        assert_eq!(world.notices(), [""; 0], "{}", world.log());
+fn a_resubmission_after_a_disconnect_before_busy_gets_the_same_reply() {
+    for (scenario, how) in [("busy-closed", Disconnect::Close), ("busy-reset", Disconnect::Reset)] {
+        let mut harness = start_delivering(scenario);
+        harness.restart_with(&[SLOW_ROUNDS]);
+        assert_eq!(harness.submit("a0"), "+OK"); // a round has just passed
+        harness.wait_until_store_shows("0 packets not completed");
+        harness.platform.set_list(&[list_entry("e", harness.endpoint_address, 7, "Terminating")]);
+        harness.wait_until("the list change", |harness| harness.log().contains("discovery: version 2"));
+        submit_and_disconnect(&harness, "a1", SHORT_PATIENCE_MS, how);
+        let reply = submit(harness.listen_address, "a1", &fields("a1", SHORT_PATIENCE_MS), "hello")
+            .expect("the sender replies");
+        assert!(reply.starts_with("-BUSY"), "{reply}");
+        assert_eq!(harness.submit("a1"), reply, "reply after completion");
+        harness.wait_until_store_shows("0 packets not completed, 0 pending notices");
+        harness.platform.set_list(&[list_entry("e", harness.endpoint_address, 7, "Ready")]);
+        harness.wait_until("the list change", |harness| harness.log().contains("discovery: version 3"));
+        restore_round_period(&mut harness);
+        harness.assert_nothing_pending_after_restart();
+        assert!(!harness.received_ids().contains(&"a1".to_owned()), "{}", harness.log());
+        assert_eq!(harness.notices(), [""; 0], "{}", harness.log());
     }
 }
 
-/// A client that goes while its packet's call is out changes nothing for it, and the same id hears `+OK`.
+/// A client disconnects while the call of its packet is in flight: the packet is delivered, and a
+/// resubmission of the same id gets `+OK`.
 #[test]
-fn a_client_that_goes_while_its_packet_is_called_changes_nothing() {
-    for (story, how) in [("called-closed", Leaves::Closed), ("called-reset", Leaves::Reset)] {
-        let (out, answers) = std::sync::mpsc::channel::<()>();
-        let answers = std::sync::Mutex::new(answers);
-        let mut world = Harness::new(story, move |number, _| {
+fn a_disconnect_during_the_call_does_not_affect_the_packet() {
+    for (scenario, how) in [("called-closed", Disconnect::Close), ("called-reset", Disconnect::Reset)] {
+        let (release_call, release_received) = std::sync::mpsc::channel::<()>();
+        let release_received = std::sync::Mutex::new(release_received);
+        let mut harness = Harness::new(scenario, move |number, _| {
             if number == 0 {
-                let _ = answers.lock().expect("no panic").recv_timeout(LONGEST);
+                let _ = release_received.lock().expect("mutex is not poisoned").recv_timeout(READ_TIMEOUT);
             }
             http_response("200 OK", "", "")
         });
-        let mut client = connect(&world);
-        client.write_all(submit_command("a1", &fields("a1", USUAL), "hello").as_bytes()).expect("room");
-        world.wait_until("the call", |world| world.received_ids() == ["a1"]);
-        leave(client, how);
-        world.wait_until("its end", |world| {
-            world.log().split("taken as").nth(1).is_some_and(|rest| rest.contains("connection ended"))
+        let mut client = connect(&harness);
+        client
+            .write_all(submit_command("a1", &fields("a1", USUAL_PATIENCE_MS), "hello").as_bytes())
+            .expect("write to the socket");
+        harness.wait_until("the call", |harness| harness.received_ids() == ["a1"]);
+        disconnect(client, how);
+        harness.wait_until("the completion of the packet", |harness| {
+            harness.log().split("taken as").nth(1).is_some_and(|rest| rest.contains("connection ended"))
         });
-        assert_eq!(world.submit("a1"), "+OK");
-        out.send(()).expect("a call that waits");
-        world.assert_nothing_pending_after_restart();
-        assert_eq!(world.notices(), [""; 0]);
+        assert_eq!(harness.submit("a1"), "+OK");
+        release_call.send(()).expect("release the waiting call");
+        harness.assert_nothing_pending_after_restart();
+        assert_eq!(harness.notices(), [""; 0]);
     }
 }
 
-/// A client that goes at each point of a command, by a close or a reset: nothing of it is taken on, no place stays taken, and the same id,
-/// whole, on another connection is a packet like any other.
+/// A client closes or resets its connection at every third byte of a command: no packet is accepted, the
+/// connection is released, and the complete command with the same id is accepted on another connection.
 #[test]
-fn a_client_that_goes_within_a_command_leaves_nothing_behind() {
-    let world = delivers("half-command");
-    let words = submit_command("a1", &fields("a1", USUAL), "hello");
-    for at in (1..words.len()).step_by(3) {
-        for leaves in [Leaves::Closed, Leaves::Reset] {
-            let mut client = connect(&world);
-            client.write_all(&words.as_bytes()[..at]).expect("room");
-            if matches!(leaves, Leaves::Reset) {
-                SockRef::from(&client).set_linger(Some(Duration::ZERO)).expect("a reset");
+fn a_disconnect_within_a_command_leaves_no_state() {
+    let harness = start_delivering("half-command");
+    let command = submit_command("a1", &fields("a1", USUAL_PATIENCE_MS), "hello");
+    for bytes_sent in (1..command.len()).step_by(3) {
+        for how in [Disconnect::Close, Disconnect::Reset] {
+            let mut client = connect(&harness);
+            client.write_all(&command.as_bytes()[..bytes_sent]).expect("write to the socket");
+            if matches!(how, Disconnect::Reset) {
+                SockRef::from(&client).set_linger(Some(Duration::ZERO)).expect("set a zero linger time");
             }
         }
     }
-    let ended = |world: &Harness| {
+    let closed_connections = |harness: &Harness| {
         let codes = ["code=cut", "code=reset", "code=closed", "code=broken"];
-        codes.iter().map(|code| world.log().matches(code).count()).sum::<usize>()
+        codes.iter().map(|code| harness.log().matches(code).count()).sum::<usize>()
     };
-    let all = 2 * (1..words.len()).step_by(3).count();
-    world.wait_until("all connections have ended", |world| ended(world) >= all);
+    let total = 2 * (1..command.len()).step_by(3).count();
+    harness.wait_until("the end of all connections", |harness| closed_connections(harness) >= total);
     assert!(
-        world.store_summary().contains("0 packets not completed, 0 pending notices"),
+        harness.store_summary().contains("0 packets not completed, 0 pending notices"),
         "{}",
-        world.store_summary()
+        harness.store_summary()
+    );
+    assert_eq!(harness.received_ids(), [""; 0]);
+    assert_eq!(
+        submit(harness.listen_address, "a1", &fields("a1", USUAL_PATIENCE_MS), "hello")
+            .expect("the sender replies"),
+        "+OK"
     );
-    assert_eq!(world.received_ids(), [""; 0]);
-    assert_eq!(submit(world.listen_address, "a1", &fields("a1", USUAL), "hello").expect("an answer"), "+OK");
-    world.wait_until("its call", |world| world.received_ids() == ["a1"]);
+    harness.wait_until("the call", |harness| harness.received_ids() == ["a1"]);
 }
--- a/crates/sailcart-sender/tests/common/delayed_connect.rs
+++ b/crates/sailcart-sender/tests/common/delayed_connect.rs
@@ -19,10 +19,10 @@
     pub fn new() -> DelayedConnectEndpoint {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("create a socket");
         socket.set_read_timeout(Some(ACCEPT_TIMEOUT)).expect("set the accept timeout");
-        let any: SocketAddr = "127.0.0.1:0".parse().expect("local address");
+        let any: SocketAddr = "127.0.0.1:0".parse().expect("a valid address");
         socket.bind(&any.into()).and_then(|()| socket.listen(0)).expect("bind and listen");
         let listener: TcpListener = socket.into();
-        let address = listener.local_addr().expect("local address");
+        let address = listener.local_addr().expect("read the local address");
         DelayedConnectEndpoint { listener, address }
     }
 
--- a/crates/sailcart-sender/tests/common/harness.rs
+++ b/crates/sailcart-sender/tests/common/harness.rs
@@ -17,7 +17,8 @@
 
 static HARNESS_COUNT: AtomicU8 = AtomicU8::new(0);
 
-/// A sender process and the mock servers that it talks to. Dropping it kills the process and deletes its folder.
+/// A sender process and the mock servers that it talks to. Dropping it kills the process and deletes its
+/// folder.
 pub struct Harness {
     /// Holds the configuration, the log and the state of the sender.
     pub folder: PathBuf,
@@ -35,8 +36,8 @@
 }
 
 impl Harness {
-    /// Starts a sender with one endpoint, which replies to the n-th call, counted from 0, with `reply(n, call)`.
-    /// `scenario` names the folder and must be unique in the test program.
+    /// Starts a sender with one endpoint, which replies to the n-th call, counted from 0, with `reply(n,
+    /// call)`. `scenario` names the folder and must be unique in the test program.
     pub fn new(scenario: &str, reply: impl Fn(usize, &Call) -> HttpReply + Send + Sync + 'static) -> Harness {
         let folder = std::env::temp_dir().join(format!("sailcart-{}-{scenario}", std::process::id()));
         let _ = fs::remove_dir_all(&folder);
@@ -45,9 +46,9 @@
         let ids = received_ids.clone();
         let endpoint_address = serve_http("127.0.0.1:0", move |call| {
             let number = {
-                let mut came = ids.lock().expect("mutex is not poisoned");
-                came.push(call.header("X-Call-Id").to_owned());
-                came.len() - 1
+                let mut ids = ids.lock().expect("mutex is not poisoned");
+                ids.push(call.header("X-Call-Id").to_owned());
+                ids.len() - 1
             };
             reply(number, call)
         });
--- a/crates/sailcart-sender/tests/common/mod.rs
+++ b/crates/sailcart-sender/tests/common/mod.rs
@@ -55,7 +55,7 @@
 /// Returns its address.
 pub fn serve_http(address: &str, reply: impl Fn(&Call) -> HttpReply + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind(address).expect("bind a listener");
-    let address = listener.local_addr().expect("local address");
+    let address = listener.local_addr().expect("read the local address");
     let reply = Arc::new(reply);
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
@@ -122,8 +122,8 @@
         self.changed.notify_all();
     }
 
-    /// Like [`Platform::set_list`]; the list request that follows the woken watch gets `response`. Waits for an
-    /// open watch first, since a request that is already under way would otherwise get `response`.
+    /// Like [`Platform::set_list`]; the list request that follows the woken watch gets `response`. Waits for
+    /// an open watch first, since a request that is already under way would otherwise get `response`.
     pub fn set_list_and_next_response(&self, entries: &[String], response: String) {
         let start = Instant::now();
         loop {
--- a/crates/sailcart-sender/tests/common/process_control.rs
+++ b/crates/sailcart-sender/tests/common/process_control.rs
@@ -9,7 +9,8 @@
 
 use super::harness::Harness;
 
-/// The signal that ends a process at its first write beyond the file-size limit, without cleanup like SIGKILL.
+/// The signal that ends a process at its first write beyond the file-size limit, without cleanup like
+/// SIGKILL.
 const SIGXFSZ: i32 = 25;
 /// The part of the store summary that shows that no packet and no notice is pending.
 const NOTHING_PENDING: &str = "0 packets not completed, 0 pending notices";
@@ -68,8 +69,8 @@
         assert_eq!(ended.signal(), Some(SIGXFSZ), "{}", self.log());
     }
 
-    /// Waits until no packet and no notice is pending, restarts the sender and checks that it neither repeats a
-    /// call nor sends a notice.
+    /// Waits until no packet and no notice is pending, restarts the sender and checks that it neither repeats
+    /// a call nor sends a notice.
     pub fn assert_nothing_pending_after_restart(&mut self) {
         self.wait_until_store_shows(NOTHING_PENDING);
         let baseline = (self.received_ids(), self.notices());
@@ -90,7 +91,8 @@
         let mut received = self.received_ids();
         let later = received.split_off(baseline.0.len());
         assert_eq!(received, baseline.0);
-        assert!(later.iter().all(|id| id == "last"), "{later:?}"); // repeated if the endpoint replies with a retryable error
+        // More than one call if the endpoint replies with a retryable error.
+        assert!(later.iter().all(|id| id == "last"), "{later:?}");
         assert_eq!(self.notices(), baseline.1);
     }
 }
--- a/crates/sailcart-sender/tests/early_responses.rs
+++ b/crates/sailcart-sender/tests/early_responses.rs
@@ -1,4 +1,5 @@
-//! An answer before its request is whole: it is this call's answer all the same, and its connection carries no other call.
+//! Responses that arrive before the request is completely sent: they count as the response to the call, and
+//! the connection carries no other call.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -13,153 +14,177 @@
 use common::harness::Harness;
 use common::{http_response, list_entry, submit};
 
-/// Longer than anything is waited for here.
-const LONGEST: Duration = Duration::from_secs(8);
-const FRAGILE: (&str, &str) = (r#""repeat": "dedup""#, r#""repeat": "fragile""#);
+/// Longer than any expected wait in these tests.
+const READ_TIMEOUT: Duration = Duration::from_secs(8);
+const UNREPEATABLE: (&str, &str) = (r#""repeat": "dedup""#, r#""repeat": "fragile""#);
 
-/// What an endpoint does with a call of which it has not read all.
+/// What an endpoint does with the connection after its early response.
 #[derive(Clone, Copy, PartialEq)]
-enum Then {
-    Closes,
-    Stays,
+enum AfterResponse {
+    Close,
+    KeepOpen,
 }
 
-/// A system keeps room for what is written by the size and number of the segments under way: with these few and small ones it takes
-/// less than a large call before more of it is read.
-const SMALL_SEGMENT: u32 = 300;
-const LITTLE_ROOM: usize = 1; // the system's least
-const BEGINNING: usize = 512;
-const LARGE: usize = 65_000;
+/// The kernel sizes the send buffer by the size and number of segments in flight. With small segments and a
+/// small receive buffer it accepts less than a large call before the endpoint reads more.
+const SMALL_MSS_BYTES: u32 = 300;
+const MIN_RECEIVE_BUFFER_BYTES: usize = 1; // raised to the kernel's minimum
+const BYTES_READ_BEFORE_RESPONSE: usize = 512;
+const LARGE_BODY_BYTES: usize = 65_000;
 
-/// An endpoint that answers its first connection's call with this before it has read all, and later calls whole. Tells how many calls
-/// came on which connection.
-struct Early {
+/// An endpoint that responds to the call on its first connection before it has read all of it, and to later
+/// calls after reading them. `calls` yields the number of calls per connection.
+struct EarlyEndpoint {
     address: SocketAddr,
     calls: JoinHandle<Vec<usize>>,
 }
 
-impl Early {
-    fn new(first: &'static str, then: Then, connections: usize) -> Early {
-        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-        socket.set_tcp_mss(SMALL_SEGMENT).expect("small segments");
-        socket.set_recv_buffer_size(LITTLE_ROOM).expect("little room");
-        socket.set_read_timeout(Some(LONGEST)).expect("a bounded wait for who connects");
-        let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
-        socket.bind(&any.into()).and_then(|()| socket.listen(16)).expect("a listener");
+impl EarlyEndpoint {
+    fn new(first_response: &'static str, after_response: AfterResponse, connections: usize) -> EarlyEndpoint {
+        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("create a socket");
+        socket.set_tcp_mss(SMALL_MSS_BYTES).expect("set the maximum segment size");
+        socket.set_recv_buffer_size(MIN_RECEIVE_BUFFER_BYTES).expect("set the receive buffer size");
+        socket.set_read_timeout(Some(READ_TIMEOUT)).expect("set the accept timeout");
+        let any: SocketAddr = "127.0.0.1:0".parse().expect("a valid address");
+        socket.bind(&any.into()).and_then(|()| socket.listen(16)).expect("bind and listen");
         let listener: TcpListener = socket.into();
-        let address = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("read the local address");
         let calls = thread::spawn(move || {
-            let mut held = Vec::new();
-            (0..connections).map(|number| early(&listener, number, first, then, &mut held)).collect()
+            let mut open_connections = Vec::new();
+            (0..connections)
+                .map(|number| {
+                    serve_connection(&listener, number, first_response, after_response, &mut open_connections)
+                })
+                .collect()
         });
-        Early { address, calls }
+        EarlyEndpoint { address, calls }
     }
 }
 
-/// The calls of one connection.
-fn early(listener: &TcpListener, number: usize, first: &str, then: Then, held: &mut Vec<TcpStream>) -> usize {
-    let (mut stream, _) = listener.accept().expect("a connection");
-    stream.set_read_timeout(Some(LONGEST)).expect("a time-out");
+/// Serves one connection; returns the number of calls on it.
+fn serve_connection(
+    listener: &TcpListener,
+    number: usize,
+    first_response: &str,
+    after_response: AfterResponse,
+    open_connections: &mut Vec<TcpStream>,
+) -> usize {
+    let (mut stream, _) = listener.accept().expect("accept a connection");
+    stream.set_read_timeout(Some(READ_TIMEOUT)).expect("set the read timeout");
     if number > 0 {
-        let whole = read_call(&mut stream);
+        let complete = read_call(&mut stream);
         stream
-            .write_all(http_response("200 OK", "Connection: close\r\n", "").expect("words").as_bytes())
-            .expect("room");
-        return usize::from(whole);
+            .write_all(
+                http_response("200 OK", "Connection: close\r\n", "").expect("an HTTP response").as_bytes(),
+            )
+            .expect("write to the socket");
+        return usize::from(complete);
     }
-    // Whoever connects after this answer finds room for a whole call.
-    SockRef::from(listener).set_recv_buffer_size(16 * LARGE).expect("room");
-    stream.read_exact(&mut [0; BEGINNING]).expect("the beginning of a call");
-    stream.write_all(first.as_bytes()).expect("room");
-    match then {
-        Then::Closes => drop(stream),
-        Then::Stays => held.push(stream),
+    // Connections established after this response have a receive buffer for a complete call.
+    SockRef::from(listener).set_recv_buffer_size(16 * LARGE_BODY_BYTES).expect("set the receive buffer size");
+    stream.read_exact(&mut [0; BYTES_READ_BEFORE_RESPONSE]).expect("read the beginning of a call");
+    stream.write_all(first_response.as_bytes()).expect("write to the socket");
+    match after_response {
+        AfterResponse::Close => drop(stream),
+        AfterResponse::KeepOpen => open_connections.push(stream),
     }
     1
 }
 
-/// A whole call, if one comes.
+/// Reads a complete call; false if the connection ends before.
 fn read_call(stream: &mut TcpStream) -> bool {
-    let (mut came, mut buffer) = (Vec::new(), [0; 4096]);
+    let (mut received, mut buffer) = (Vec::new(), [0; 4096]);
     loop {
-        let head = came.windows(4).position(|four| four == b"\r\n\r\n");
-        if head.is_some_and(|head| came.len() >= head + 4 + LARGE) {
+        let head = received.windows(4).position(|four| four == b"\r\n\r\n");
+        if head.is_some_and(|head| received.len() >= head + 4 + LARGE_BODY_BYTES) {
             return true;
         }
-        match stream.read(&mut buffer).expect("a call") {
+        match stream.read(&mut buffer).expect("read a call") {
             0 => return false,
-            read => came.extend_from_slice(&buffer[..read]),
+            read => received.extend_from_slice(&buffer[..read]),
         }
     }
 }
 
-/// One large packet to an endpoint that answers early; tells once nothing is owed any more how many calls came on each connection.
-fn answered_early(
-    story: &str,
-    first: &'static str,
-    then: Then,
+/// Submits one large packet for an endpoint that responds early. Returns the number of calls on each
+/// connection once no packet and no notice is pending.
+fn submit_large_packet(
+    scenario: &str,
+    first_response: &'static str,
+    after_response: AfterResponse,
     connections: usize,
     changes: &[(&str, &str)],
 ) -> (Harness, Vec<usize>) {
-    let mut world = Harness::new(story, |_, _| None);
-    world.restart_with(changes);
-    let endpoint = Early::new(first, then, connections);
-    world.platform.set_list(&[list_entry("f", endpoint.address, 7, "Ready")]);
-    world.wait_until("the news", |world| world.log().contains("discovery: version 2"));
+    let mut harness = Harness::new(scenario, |_, _| None);
+    harness.restart_with(changes);
+    let endpoint = EarlyEndpoint::new(first_response, after_response, connections);
+    harness.platform.set_list(&[list_entry("f", endpoint.address, 7, "Ready")]);
+    harness.wait_until("the list change", |harness| harness.log().contains("discovery: version 2"));
     let start = Instant::now();
-    let body = "x".repeat(LARGE);
+    let body = "x".repeat(LARGE_BODY_BYTES);
     assert_eq!(
-        submit(world.listen_address, "a1", "c=notice,t=acme,d=8000,k=a1,dest=7", &body).expect("an answer"),
+        submit(harness.listen_address, "a1", "c=notice,t=acme,d=8000,k=a1,dest=7", &body)
+            .expect("the sender replies"),
         "+OK"
     );
-    world.wait_until_store_shows("0 packets not completed");
+    harness.wait_until_store_shows("0 packets not completed");
     assert!(
         start.elapsed() < Duration::from_secs(3),
-        "the answer is not waited for: {:?}\n{}",
+        "completed only after {:?}, not with the early response\n{}",
         start.elapsed(),
-        world.log()
+        harness.log()
     );
-    let calls = endpoint.calls.join().expect("a bounded number of calls");
-    world.wait_until_store_shows("0 packets not completed, 0 pending notices");
-    (world, calls)
+    let calls = endpoint.calls.join().expect("the endpoint thread does not panic");
+    harness.wait_until_store_shows("0 packets not completed, 0 pending notices");
+    (harness, calls)
 }
 
-const TAKEN: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-const BUSY: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
-const FAULT: &str = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
+const OK_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+const UNAVAILABLE_RESPONSE: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
+const ERROR_RESPONSE: &str = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
 
 #[test]
-fn an_early_200_is_an_end() {
-    for (story, then) in [("early-200-closes", Then::Closes), ("early-200-stays", Then::Stays)] {
-        let (world, calls) = answered_early(story, TAKEN, then, 1, &[FRAGILE]);
-        assert_eq!(calls, [1], "it is not sent again");
-        assert_eq!(world.notices(), [""; 0]);
+fn an_early_200_completes_the_packet() {
+    for (scenario, after_response) in
+        [("early-200-closes", AfterResponse::Close), ("early-200-stays", AfterResponse::KeepOpen)]
+    {
+        let (harness, calls) = submit_large_packet(scenario, OK_RESPONSE, after_response, 1, &[UNREPEATABLE]);
+        assert_eq!(calls, [1], "the packet was sent again");
+        assert_eq!(harness.notices(), [""; 0]);
     }
 }
 
 #[test]
-fn an_early_503_never_ran_and_goes_again_on_another_connection() {
-    for (story, then) in [("early-503-closes", Then::Closes), ("early-503-stays", Then::Stays)] {
-        let (world, calls) = answered_early(story, BUSY, then, 2, &[FRAGILE]);
+fn an_early_503_is_sent_again_on_another_connection() {
+    for (scenario, after_response) in
+        [("early-503-closes", AfterResponse::Close), ("early-503-stays", AfterResponse::KeepOpen)]
+    {
+        let (harness, calls) =
+            submit_large_packet(scenario, UNAVAILABLE_RESPONSE, after_response, 2, &[UNREPEATABLE]);
         assert_eq!(calls, [1, 1]);
-        assert_eq!(world.notices(), [""; 0]);
+        assert_eq!(harness.notices(), [""; 0]);
     }
 }
 
 #[test]
-fn an_early_500_may_have_run() {
-    for (story, then) in [("early-500-closes", Then::Closes), ("early-500-stays", Then::Stays)] {
-        let (world, calls) = answered_early(story, FAULT, then, 1, &[FRAGILE]);
-        assert_eq!(calls, [1], "one that may not run twice is not sent again");
-        assert_eq!(world.notices(), [r#"{"message":"a1","outcome":"given_up"}"#]);
+fn an_unrepeatable_packet_is_not_sent_again_after_an_early_500() {
+    for (scenario, after_response) in
+        [("early-500-closes", AfterResponse::Close), ("early-500-stays", AfterResponse::KeepOpen)]
+    {
+        let (harness, calls) =
+            submit_large_packet(scenario, ERROR_RESPONSE, after_response, 1, &[UNREPEATABLE]);
+        assert_eq!(calls, [1], "an unrepeatable packet was sent again");
+        assert_eq!(harness.notices(), [r#"{"message":"a1","outcome":"given_up"}"#]);
     }
 }
 
 #[test]
-fn an_early_500_of_one_that_may_be_repeated_goes_again_on_another_connection() {
-    for (story, then) in [("early-again-closes", Then::Closes), ("early-again-stays", Then::Stays)] {
-        let (world, calls) = answered_early(story, FAULT, then, 2, &[]);
+fn a_repeatable_packet_is_sent_again_on_another_connection_after_an_early_500() {
+    for (scenario, after_response) in
+        [("early-again-closes", AfterResponse::Close), ("early-again-stays", AfterResponse::KeepOpen)]
+    {
+        let (harness, calls) = submit_large_packet(scenario, ERROR_RESPONSE, after_response, 2, &[]);
         assert_eq!(calls, [1, 1]);
-        assert_eq!(world.notices(), [""; 0]);
+        assert_eq!(harness.notices(), [""; 0]);
     }
 }
--- a/crates/sailcart-sender/tests/endpoint_races.rs
+++ b/crates/sailcart-sender/tests/endpoint_races.rs
@@ -1,4 +1,5 @@
-//! What crosses a call to an endpoint: its connection dies before any byte of an answer, its endpoint drains while it comes up.
+//! Races of a call with its endpoint: the connection closes before any byte of a response, or the endpoint
+//! drains or requests a wait while the connection is being established.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -14,128 +15,146 @@
 use common::harness::Harness;
 use common::{http_response, list_entry};
 
-/// Longer than anything is waited for here.
-const LONGEST: Duration = Duration::from_secs(8);
-const FRAGILE: (&str, &str) = (r#""repeat": "dedup""#, r#""repeat": "fragile""#);
-/// More than the second after which the system knocks again.
-const PATIENT: (&str, &str) = (r#""connect_timeout_ms": 1000"#, r#""connect_timeout_ms": 4000"#);
+/// Longer than any expected wait in these tests.
+const READ_TIMEOUT: Duration = Duration::from_secs(8);
+const UNREPEATABLE: (&str, &str) = (r#""repeat": "dedup""#, r#""repeat": "fragile""#);
+/// A connect timeout above 1 s, after which the kernel retransmits a SYN.
+const LONG_CONNECT_TIMEOUT: (&str, &str) = (r#""connect_timeout_ms": 1000"#, r#""connect_timeout_ms": 4000"#);
 
-/// A sender with another configuration, and an endpoint that delivers.
-fn world(story: &str, changes: &[(&str, &str)]) -> Harness {
-    let mut world = Harness::new(story, |_, _| http_response("200 OK", "", ""));
-    world.kill();
+/// Starts a sender with a changed configuration and an endpoint that replies 200.
+fn start_harness(scenario: &str, changes: &[(&str, &str)]) -> Harness {
+    let mut harness = Harness::new(scenario, |_, _| http_response("200 OK", "", ""));
+    harness.kill();
     for (from, to) in changes {
-        assert!(world.config.contains(from), "{from}");
-        world.config = world.config.replace(from, to);
+        assert!(harness.config.contains(from), "{from}");
+        harness.config = harness.config.replace(from, to);
     }
-    world.start();
-    world.wait_until("the list", |world| world.log().matches("discovery: version 1, 1 entries").count() == 2);
-    world
+    harness.start();
+    harness.wait_until("the list", |harness| {
+        harness.log().matches("discovery: version 1, 1 entries").count() == 2
+    });
+    harness
 }
 
-/// A listener in which nobody is waited for without end.
+/// A listener whose accept fails after [`READ_TIMEOUT`].
 fn listener() -> TcpListener {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a free address");
-    SockRef::from(&listener).set_read_timeout(Some(LONGEST)).expect("a bounded wait");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a listener");
+    SockRef::from(&listener).set_read_timeout(Some(READ_TIMEOUT)).expect("set the accept timeout");
     listener
 }
 
+/// Reads one call, up to its body `hello`.
 fn read_call(stream: &mut TcpStream) {
-    stream.set_read_timeout(Some(LONGEST)).expect("a time-out");
-    let mut came = Vec::new();
-    while !came.ends_with(b"\r\n\r\nhello") {
+    stream.set_read_timeout(Some(READ_TIMEOUT)).expect("set the read timeout");
+    let mut received = Vec::new();
+    while !received.ends_with(b"\r\n\r\nhello") {
         let mut buffer = [0; 4096];
-        let read = stream.read(&mut buffer).expect("a call");
-        assert!(read > 0, "a whole call");
-        came.extend_from_slice(&buffer[..read]);
+        let read = stream.read(&mut buffer).expect("read a call");
+        assert!(read > 0, "the connection ended within a call");
+        received.extend_from_slice(&buffer[..read]);
     }
 }
 
-/// A connection that carried a call before gets another, and is closed or reset over it: the call may have run.
+/// A connection is closed or reset without a response to its second call: that call may have executed. A
+/// packet that may be repeated is sent again, an unrepeatable one is not.
 #[test]
-fn a_reused_connection_that_dies_without_an_answer_may_have_run() {
-    for (story, reset, changes) in [
+fn a_call_on_a_reused_connection_that_closes_without_a_response_may_have_executed() {
+    for (scenario, reset, changes) in [
         ("reused-closed", false, &[][..]),
         ("reused-reset", true, &[][..]),
-        ("reused-fragile", true, &[FRAGILE][..]),
+        ("reused-fragile", true, &[UNREPEATABLE][..]),
     ] {
-        let mut world = world(story, changes);
+        let mut harness = start_harness(scenario, changes);
         let endpoint = listener();
-        world.platform.set_list(&[list_entry("f", endpoint.local_addr().expect("an address"), 7, "Ready")]);
-        world.wait_until("the news", |world| world.log().contains("discovery: version 2"));
+        harness.platform.set_list(&[list_entry(
+            "f",
+            endpoint.local_addr().expect("read the local address"),
+            7,
+            "Ready",
+        )]);
+        harness.wait_until("the list change", |harness| harness.log().contains("discovery: version 2"));
         let calls = thread::spawn(move || {
-            let (mut stream, _) = endpoint.accept().expect("a connection");
+            let (mut stream, _) = endpoint.accept().expect("accept a connection");
             read_call(&mut stream);
-            stream.write_all(http_response("200 OK", "", "").expect("words").as_bytes()).expect("room");
+            stream
+                .write_all(http_response("200 OK", "", "").expect("an HTTP response").as_bytes())
+                .expect("write to the socket");
             read_call(&mut stream);
             if reset {
-                SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("a reset at its close");
+                SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("set a zero linger time");
             }
         });
-        assert_eq!(world.submit("a0"), "+OK");
-        world.wait_until_store_shows("0 packets not completed");
-        assert_eq!(world.submit("a1"), "+OK");
-        calls.join().expect("two calls on one connection");
-        world.wait_until("its outcome", |world| world.log().contains("Reset after"));
-        world.platform.set_list(&[list_entry("e", world.endpoint_address, 7, "Ready")]);
+        assert_eq!(harness.submit("a0"), "+OK");
+        harness.wait_until_store_shows("0 packets not completed");
+        assert_eq!(harness.submit("a1"), "+OK");
+        calls.join().expect("the endpoint read two calls on one connection");
+        harness.wait_until("the outcome of the call", |harness| harness.log().contains("Reset after"));
+        harness.platform.set_list(&[list_entry("e", harness.endpoint_address, 7, "Ready")]);
         if changes.is_empty() {
-            world.wait_until("its repeat", |world| world.received_ids() == ["a1"]);
-            world.assert_nothing_pending_after_restart();
-            assert_eq!(world.notices(), [""; 0]);
+            harness.wait_until("the repeated call", |harness| harness.received_ids() == ["a1"]);
+            harness.assert_nothing_pending_after_restart();
+            assert_eq!(harness.notices(), [""; 0]);
         } else {
-            let told = [r#"{"message":"a1","outcome":"given_up"}"#];
-            world.wait_until("its end", |world| world.notices() == told);
-            assert_eq!(world.received_ids(), [""; 0]);
-            world.assert_nothing_pending_after_restart();
+            let expected_notices = [r#"{"message":"a1","outcome":"given_up"}"#];
+            harness
+                .wait_until("the completion of the packet", |harness| harness.notices() == expected_notices);
+            assert_eq!(harness.received_ids(), [""; 0]);
+            harness.assert_nothing_pending_after_restart();
         }
     }
 }
 
-/// The endpoint drains while a connection to it comes up: it carries no call, and its packet goes elsewhere.
+/// The endpoint drains while a connection to it is being established: the connection carries no call, and the
+/// packet is sent to another endpoint.
 #[test]
-fn a_connection_that_comes_up_at_a_drained_endpoint_carries_no_call() {
-    let mut world = world("drained-late", &[PATIENT]);
-    let late = DelayedConnectEndpoint::new();
-    world.platform.set_list(&[list_entry("f", late.address, 7, "Ready")]);
-    world.wait_until("the news", |world| world.log().contains("discovery: version 2"));
-    let _filler = late.fill_backlog();
-    assert_eq!(world.submit("a1"), "+OK");
-    late.wait_for_pending_connect();
-    world.platform.set_list(&[list_entry("f", late.address, 7, "Terminating")]);
-    world.wait_until("the news", |world| world.log().contains("discovery: version 3"));
-    let mut stream = late.accept_pending();
+fn a_connection_established_after_its_endpoint_drained_carries_no_call() {
+    let mut harness = start_harness("drained-late", &[LONG_CONNECT_TIMEOUT]);
+    let delayed_endpoint = DelayedConnectEndpoint::new();
+    harness.platform.set_list(&[list_entry("f", delayed_endpoint.address, 7, "Ready")]);
+    harness.wait_until("the list change", |harness| harness.log().contains("discovery: version 2"));
+    let _queue_filler = delayed_endpoint.fill_backlog();
+    assert_eq!(harness.submit("a1"), "+OK");
+    delayed_endpoint.wait_for_pending_connect();
+    harness.platform.set_list(&[list_entry("f", delayed_endpoint.address, 7, "Terminating")]);
+    harness.wait_until("the list change", |harness| harness.log().contains("discovery: version 3"));
+    let mut stream = delayed_endpoint.accept_pending();
     let read = stream.read(&mut [0; 4096]);
-    assert!(matches!(&read, Ok(0)) || read.is_err_and(|e| e.kind() == ErrorKind::ConnectionReset), "no call");
-    world.platform.set_list(&[list_entry("e", world.endpoint_address, 7, "Ready")]);
-    world.wait_until("its call", |world| world.received_ids() == ["a1"]);
-    world.assert_nothing_pending_after_restart();
-    assert_eq!(world.notices(), [""; 0]);
+    assert!(
+        matches!(&read, Ok(0)) || read.is_err_and(|e| e.kind() == ErrorKind::ConnectionReset),
+        "the connection carried a call"
+    );
+    harness.platform.set_list(&[list_entry("e", harness.endpoint_address, 7, "Ready")]);
+    harness.wait_until("the call", |harness| harness.received_ids() == ["a1"]);
+    harness.assert_nothing_pending_after_restart();
+    assert_eq!(harness.notices(), [""; 0]);
 }
 
-/// One call is told to wait while the connection of another comes up: that one carries none before the wait is over.
+/// A response requests a wait (Retry-After) while the connection of another call is being established: that
+/// connection carries no call before the wait is over.
 #[test]
-fn a_connection_that_comes_up_in_a_told_wait_carries_no_call() {
-    const WAIT: Duration = Duration::from_millis(2500);
-    let mut world = world("wait-late", &[PATIENT]);
-    let late = DelayedConnectEndpoint::new();
-    world.platform.set_list(&[list_entry("f", late.address, 7, "Ready")]);
-    world.wait_until("the news", |world| world.log().contains("discovery: version 2"));
-    assert_eq!(world.submit("a1"), "+OK");
-    let (mut first, _) = late.listener.accept().expect("the first call");
+fn a_connection_established_during_a_retry_after_wait_carries_no_call() {
+    const RETRY_AFTER: Duration = Duration::from_millis(2500);
+    let mut harness = start_harness("wait-late", &[LONG_CONNECT_TIMEOUT]);
+    let delayed_endpoint = DelayedConnectEndpoint::new();
+    harness.platform.set_list(&[list_entry("f", delayed_endpoint.address, 7, "Ready")]);
+    harness.wait_until("the list change", |harness| harness.log().contains("discovery: version 2"));
+    assert_eq!(harness.submit("a1"), "+OK");
+    let (mut first, _) = delayed_endpoint.listener.accept().expect("accept the first call");
     read_call(&mut first);
-    let _filler = late.fill_backlog();
-    assert_eq!(world.submit("a2"), "+OK");
-    late.wait_for_pending_connect();
+    let _queue_filler = delayed_endpoint.fill_backlog();
+    assert_eq!(harness.submit("a2"), "+OK");
+    delayed_endpoint.wait_for_pending_connect();
     let start = std::time::Instant::now();
-    let turned_away = http_response("429 Too Many Requests", "Retry-After: 2.5\r\n", "").expect("words");
-    first.write_all(turned_away.as_bytes()).expect("room");
-    world.wait_until("its outcome", |world| world.log().contains("Full(Some("));
-    let _second = late.accept_pending();
-    world.wait_until("a call that did not go", |world| world.log().contains("NoSlot after"));
-    assert!(start.elapsed() < WAIT, "it came up within the wait");
-    assert!(!world.log().contains("packet a2: goes to"), "no byte of it went");
-    world.platform.set_list(&[list_entry("e", world.endpoint_address, 7, "Ready")]);
-    world.wait_until("both", |world| world.received_ids().len() == 2);
-    world.assert_nothing_pending_after_restart();
-    assert_eq!(world.notices(), [""; 0]);
+    let too_many_requests =
+        http_response("429 Too Many Requests", "Retry-After: 2.5\r\n", "").expect("an HTTP response");
+    first.write_all(too_many_requests.as_bytes()).expect("write to the socket");
+    harness.wait_until("the outcome of the call", |harness| harness.log().contains("Full(Some("));
+    let _second = delayed_endpoint.accept_pending();
+    harness.wait_until("a call that was not sent", |harness| harness.log().contains("NoSlot after"));
+    assert!(start.elapsed() < RETRY_AFTER, "the connection was established after the wait");
+    assert!(!harness.log().contains("packet a2: goes to"), "the call was sent");
+    harness.platform.set_list(&[list_entry("e", harness.endpoint_address, 7, "Ready")]);
+    harness.wait_until("both calls", |harness| harness.received_ids().len() == 2);
+    harness.assert_nothing_pending_after_restart();
+    assert_eq!(harness.notices(), [""; 0]);
 }
--- a/crates/sailcart-sender/tests/list_freshness.rs
+++ b/crates/sailcart-sender/tests/list_freshness.rs
@@ -1,4 +1,4 @@
-//! A list that changes where discovery falls silent: what counts as told has to be known by then.
+//! List changes while discovery does not respond: the sender has to receive them within a bounded time.
 
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
@@ -9,69 +9,77 @@
 use common::harness::Harness;
 use common::{http_response, list_entry};
 
-const TOLD: Duration = Duration::from_secs(6);
+/// Time within which the sender must have a list that discovery has.
+const MAX_LIST_DELAY: Duration = Duration::from_secs(6);
 
-fn asked(world: &Harness) -> usize {
-    world.platform.list_requests.load(Ordering::SeqCst)
+fn list_requests(harness: &Harness) -> usize {
+    harness.platform.list_requests.load(Ordering::SeqCst)
 }
 
-/// Day calm+brink: open watches fall silent. The change that a watch missed was known after its 21 s.
+/// Open watches are never answered, as in the experiment calm+brink. Guards against receiving a missed change
+/// only when the watch times out after 21 s.
 #[test]
-fn what_a_silent_watch_missed_is_known_in_time() {
-    let world = Harness::new("watch", |_, _| http_response("200 OK", "", ""));
-    world.wait_until("a watch after the first list", |world| asked(world) > 1);
-    world.platform.ignore_watches_before.store(asked(&world), Ordering::SeqCst);
+fn a_change_missed_by_an_unresponsive_watch_is_received_in_time() {
+    let harness = Harness::new("watch", |_, _| http_response("200 OK", "", ""));
+    harness.wait_until("a watch after the first list", |harness| list_requests(harness) > 1);
+    harness.platform.ignore_watches_before.store(list_requests(&harness), Ordering::SeqCst);
     let start = Instant::now();
-    world.platform.set_list(&[list_entry("f", world.endpoint_address, 7, "Ready")]);
-    world.wait_until("the change", |world| world.log().contains("discovery: version 2, 1 entries"));
-    assert!(start.elapsed() < TOLD, "{:?}", start.elapsed());
+    harness.platform.set_list(&[list_entry("f", harness.endpoint_address, 7, "Ready")]);
+    harness
+        .wait_until("the list change", |harness| harness.log().contains("discovery: version 2, 1 entries"));
+    assert!(start.elapsed() < MAX_LIST_DELAY, "{:?}", start.elapsed());
 }
 
-/// Day herd+brink: discovery is silent for seconds, then there again. Pauses had grown meanwhile.
+/// Discovery does not respond for seconds and then recovers, as in the experiment herd+brink. Guards against
+/// backoff delays that have grown during the outage.
 #[test]
-fn what_a_discovery_has_at_its_return_is_known_in_time() {
-    let world = Harness::new("return", |_, _| http_response("200 OK", "", ""));
-    world.platform.unresponsive.store(true, Ordering::SeqCst);
-    world.platform.set_list(&[list_entry("f", world.endpoint_address, 7, "Ready")]);
-    let silent = asked(&world);
-    world.wait_until("a row of lost calls", |world| asked(world) > silent + 4);
-    world.platform.unresponsive.store(false, Ordering::SeqCst);
+fn the_list_is_received_soon_after_discovery_recovers() {
+    let harness = Harness::new("return", |_, _| http_response("200 OK", "", ""));
+    harness.platform.unresponsive.store(true, Ordering::SeqCst);
+    harness.platform.set_list(&[list_entry("f", harness.endpoint_address, 7, "Ready")]);
+    let requests_before = list_requests(&harness);
+    harness.wait_until("consecutive failed list requests", |harness| {
+        list_requests(harness) > requests_before + 4
+    });
+    harness.platform.unresponsive.store(false, Ordering::SeqCst);
     let start = Instant::now();
-    world.wait_until("the change", |world| world.log().contains("discovery: version 2, 1 entries"));
-    assert!(start.elapsed() < TOLD, "{:?}", start.elapsed());
-    assert_eq!(world.log().matches("code=no_list").count(), 1, "one line for the outage");
+    harness
+        .wait_until("the list change", |harness| harness.log().contains("discovery: version 2, 1 entries"));
+    assert!(start.elapsed() < MAX_LIST_DELAY, "{:?}", start.elapsed());
+    assert_eq!(harness.log().matches("code=no_list").count(), 1, "log lines for one outage");
 }
 
-/// What discovery's agent has counts as told from a process's first moment: an endpoint that drained while the sender was
-/// down gets nothing, although the list of the life before names it as ready.
+/// A starting sender must use the list that discovery has at that time: an endpoint that drained while the
+/// sender was down gets no call, although the list known to the previous process names it as ready.
 #[test]
-fn a_start_hears_the_list_before_it_sends() {
-    let mut world = Harness::new("first", |_, _| http_response("200 OK", "", ""));
-    world.platform.set_list(&[list_entry("e", world.endpoint_address, 7, "Terminating")]);
-    world.wait_until("the news", |world| world.log().contains("discovery: version 2"));
-    assert_eq!(world.submit("a1"), "+OK");
-    world.kill();
-    let ready = list_entry("e", world.endpoint_address, 7, "Ready");
-    let known = format!(r#""known": {{ "generation": 1, "reset": true, "instances": [{ready}] }}"#);
-    world.config =
-        world.config.replace(r#""known": { "generation": 0, "reset": true, "instances": [] }"#, &known);
-    assert!(world.config.contains(&known));
-    *world.platform.list_delay.lock().expect("no panic") = Duration::from_millis(300);
-    world.start();
-    world.wait_until("the list", |world| world.log().matches("discovery: version 2").count() == 2);
-    assert!(world.log().contains("recovery: 1 packets"));
-    assert_eq!(world.received_ids(), [""; 0], "nothing to an endpoint that drains");
-    world.platform.set_list(&[list_entry("f", world.endpoint_address, 7, "Ready")]);
-    world.wait_until("the call", |world| world.received_ids() == ["a1"]);
+fn a_start_receives_the_list_before_it_dispatches() {
+    let mut harness = Harness::new("first", |_, _| http_response("200 OK", "", ""));
+    harness.platform.set_list(&[list_entry("e", harness.endpoint_address, 7, "Terminating")]);
+    harness.wait_until("the list change", |harness| harness.log().contains("discovery: version 2"));
+    assert_eq!(harness.submit("a1"), "+OK");
+    harness.kill();
+    let ready = list_entry("e", harness.endpoint_address, 7, "Ready");
+    let known_list = format!(r#""known": {{ "generation": 1, "reset": true, "instances": [{ready}] }}"#);
+    harness.config = harness
+        .config
+        .replace(r#""known": { "generation": 0, "reset": true, "instances": [] }"#, &known_list);
+    assert!(harness.config.contains(&known_list));
+    *harness.platform.list_delay.lock().expect("mutex is not poisoned") = Duration::from_millis(300);
+    harness.start();
+    harness.wait_until("the list", |harness| harness.log().matches("discovery: version 2").count() == 2);
+    assert!(harness.log().contains("recovery: 1 packets"));
+    assert_eq!(harness.received_ids(), [""; 0], "a draining endpoint received a call");
+    harness.platform.set_list(&[list_entry("f", harness.endpoint_address, 7, "Ready")]);
+    harness.wait_until("the call", |harness| harness.received_ids() == ["a1"]);
 }
 
-/// A silent agent is no reason not to start: the list of the life before serves.
+/// A sender also starts while discovery does not respond, with the list of the previous process.
 #[test]
-fn a_start_waits_for_a_silent_agent_no_longer_than_a_call() {
-    let mut world = Harness::new("mute", |_, _| http_response("200 OK", "", ""));
-    world.kill();
-    world.platform.unresponsive.store(true, Ordering::SeqCst);
+fn a_start_waits_for_unresponsive_discovery_no_longer_than_a_call() {
+    let mut harness = Harness::new("mute", |_, _| http_response("200 OK", "", ""));
+    harness.kill();
+    harness.platform.unresponsive.store(true, Ordering::SeqCst);
     let start = Instant::now();
-    world.start();
+    harness.start();
     assert!(start.elapsed() < Duration::from_secs(2), "{:?}", start.elapsed());
 }
--- a/crates/sailcart-sender/tests/local_errors.rs
+++ b/crates/sailcart-sender/tests/local_errors.rs
@@ -1,4 +1,4 @@
-//! Calls of the operating system that fail for reasons of the sender's own machine, for a moment, in the ways of their man pages.
+//! System calls that fail temporarily with errors of this host, as documented in their man pages.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -14,115 +14,138 @@
 use sailcart_shim::{Count, EADDRNOTAVAIL, ECONNABORTED, EINTR, EMFILE, ENETUNREACH, ENFILE, ENOBUFS, Word};
 
 const PING: &str = "*1\r\n$4\r\nPING\r\n";
-/// Clients in the queue at a stop.
-const CLIENTS: usize = 30;
-/// More than the dispatches that a packet has, each of which a failing connect would take.
-const ROW: Duration = Duration::from_millis(1500);
+/// Number of clients in the accept queue at a stop.
+const QUEUED_CLIENTS: usize = 30;
+/// Long enough to use up all dispatches of a packet if each failed connect counted as one.
+const CONNECT_FAILURE_TIME: Duration = Duration::from_millis(1500);
 
-/// Connections to an endpoint fail here for a while. That says nothing of the endpoint and is no dispatch: the packet has all of
-/// its tries left, no slow start follows, and it is delivered as soon as connections come up.
+/// Connects to an endpoint fail with a local error for a while. That says nothing about the endpoint and is
+/// not a dispatch: the packet keeps all of its attempts, no slow start follows, and the packet is delivered
+/// as soon as connects succeed.
 #[test]
-fn a_connect_that_fails_for_this_machine_is_no_dispatch() {
+fn a_connect_that_fails_with_a_local_error_is_not_a_dispatch() {
     for errno in [EADDRNOTAVAIL, ENOBUFS, ENETUNREACH, EMFILE] {
-        let (world, page) = Harness::with_fault_injection(&format!("own-connect-{errno}"), |_, _| {
-            http_response("200 OK", "", "")
-        });
-        page.share((Word::Connect, errno), (Word::ConnectPerMille, 1000)).expect("a page");
-        let said = submit(world.listen_address, "a1", "c=notice,t=acme,d=8000,k=a1,dest=7", "hello")
-            .expect("an answer");
-        assert_eq!(said, "+OK");
-        sleep(ROW);
-        let failed = page.count(Count::Connect);
+        let (harness, control_page) =
+            Harness::with_fault_injection(&format!("own-connect-{errno}"), |_, _| {
+                http_response("200 OK", "", "")
+            });
+        control_page
+            .share((Word::Connect, errno), (Word::ConnectPerMille, 1000))
+            .expect("write to the control page");
+        let reply = submit(harness.listen_address, "a1", "c=notice,t=acme,d=8000,k=a1,dest=7", "hello")
+            .expect("the sender replies");
+        assert_eq!(reply, "+OK");
+        sleep(CONNECT_FAILURE_TIME);
+        let failed = control_page.count(Count::Connect);
         assert!(failed > 3, "{failed} connects failed");
-        assert!(failed < 200, "{failed} connects in {ROW:?} are a busy loop");
-        assert_eq!(world.notices(), [""; 0], "{}", world.log());
-        page.clear().expect("a page");
-        let well = Instant::now();
-        world.wait_until("its call", |world| world.received_ids() == ["a1"]);
-        assert!(well.elapsed() < Duration::from_millis(800), "called {:?} later", well.elapsed());
+        assert!(failed < 200, "{failed} connects in {CONNECT_FAILURE_TIME:?} are a busy loop");
+        assert_eq!(harness.notices(), [""; 0], "{}", harness.log());
+        control_page.clear().expect("write to the control page");
+        let cleared_at = Instant::now();
+        harness.wait_until("the call", |harness| harness.received_ids() == ["a1"]);
+        assert!(
+            cleared_at.elapsed() < Duration::from_millis(800),
+            "called {:?} after the end of the errors",
+            cleared_at.elapsed()
+        );
     }
 }
 
-/// Connections in the queue are accepted one by one while some of those calls fail for a moment: at a stop, too, everybody in the queue
-/// is heard, and the log does not fill with a line a call.
+/// Some accept calls fail temporarily: every client in the accept queue still gets a reply, also at a stop,
+/// and the log does not get a line for each failure.
 #[test]
-fn accepts_that_fail_for_a_moment_lose_nobody() {
+fn temporary_accept_errors_lose_no_client() {
     for errno in [ECONNABORTED, ENFILE, ENOBUFS] {
-        let (mut world, page) = Harness::with_fault_injection(&format!("own-accept-{errno}"), |_, _| {
-            http_response("200 OK", "", "")
-        });
-        page.share((Word::Accept, errno), (Word::AcceptPerMille, 500)).expect("a page");
+        let (mut harness, control_page) =
+            Harness::with_fault_injection(&format!("own-accept-{errno}"), |_, _| {
+                http_response("200 OK", "", "")
+            });
+        control_page
+            .share((Word::Accept, errno), (Word::AcceptPerMille, 500))
+            .expect("write to the control page");
         for _ in 0..40 {
-            assert_eq!(send_command(world.listen_address, PING).expect("an answer"), "+PONG");
+            assert_eq!(send_command(harness.listen_address, PING).expect("the sender replies"), "+PONG");
         }
-        // All that come while the sender stops wait in the queue, and each is heard.
-        page.set(Word::AcceptPerMille, 1000).expect("a page");
-        world.signal("-TERM");
-        let clients: Vec<TcpStream> = (0..CLIENTS)
+        // All clients that connect during the stop wait in the accept queue, and each gets a reply.
+        control_page.set(Word::AcceptPerMille, 1000).expect("write to the control page");
+        harness.signal("-TERM");
+        let clients: Vec<TcpStream> = (0..QUEUED_CLIENTS)
             .map(|_| {
-                let mut client = TcpStream::connect(world.listen_address).expect("a place");
-                client.write_all(PING.as_bytes()).expect("room");
+                let mut client = TcpStream::connect(harness.listen_address).expect("connect to the sender");
+                client.write_all(PING.as_bytes()).expect("write to the socket");
                 client
             })
             .collect();
-        sleep(Duration::from_millis(800)); // the sender has come to its queue by now
-        page.set(Word::AcceptPerMille, 300).expect("a page");
-        let heard = clients.into_iter().map(|mut client| {
-            client.set_read_timeout(Some(Duration::from_secs(5))).expect("a time-out");
-            let mut said = String::new();
-            client.read_to_string(&mut said).expect("an end without a reset");
-            said
+        sleep(Duration::from_millis(800)); // by now the stopping sender accepts from its queue
+        control_page.set(Word::AcceptPerMille, 300).expect("write to the control page");
+        let replies = clients.into_iter().map(|mut client| {
+            client.set_read_timeout(Some(Duration::from_secs(5))).expect("set the read timeout");
+            let mut reply = String::new();
+            client.read_to_string(&mut reply).expect("read without a reset");
+            reply
         });
-        assert!(heard.filter(|said| said == "+PONG\r\n").count() == CLIENTS, "{}", world.log());
-        world.wait_for_exit();
-        assert!(page.count(Count::Accept) > 20, "accepts failed");
-        assert!(world.log().matches("code=not_accepted").count() < 16, "a line for each: {}", world.log());
+        assert!(replies.filter(|reply| reply == "+PONG\r\n").count() == QUEUED_CLIENTS, "{}", harness.log());
+        harness.wait_for_exit();
+        assert!(control_page.count(Count::Accept) > 20, "accepts failed");
+        assert!(
+            harness.log().matches("code=not_accepted").count() < 16,
+            "one log line per failed accept: {}",
+            harness.log()
+        );
     }
 }
 
-/// A call that is interrupted is not taken for discovery's having moved, which is followed at once: nothing runs in a loop without a pause.
+/// A connect to discovery that fails locally, also with EINTR, must not count as a change of the discovery
+/// address, which is followed without a delay: otherwise the sender would reconnect in a busy loop.
 #[test]
-fn a_platform_that_cannot_be_called_is_not_asked_without_a_pause() {
+fn connects_to_discovery_that_fail_locally_do_not_loop() {
     for errno in [EINTR, EMFILE] {
-        let (world, page) = Harness::with_fault_injection(&format!("own-platform-{errno}"), |_, _| {
-            http_response("200 OK", "", "")
-        });
-        page.share((Word::Connect, errno), (Word::ConnectPerMille, 1000)).expect("a page");
-        // What stands is cut, so that both are to connect again; a notice is owed as well.
-        world.platform.set_list(&[list_entry("e", world.endpoint_address, 7, "Terminating")]);
+        let (harness, control_page) =
+            Harness::with_fault_injection(&format!("own-platform-{errno}"), |_, _| {
+                http_response("200 OK", "", "")
+            });
+        control_page
+            .share((Word::Connect, errno), (Word::ConnectPerMille, 1000))
+            .expect("write to the control page");
+        // Makes both connections to the platform be established again: discovery stops responding, and a
+        // notice is pending.
+        harness.platform.set_list(&[list_entry("e", harness.endpoint_address, 7, "Terminating")]);
         assert_eq!(
-            submit(world.listen_address, "a1", "c=notice,t=acme,d=500,k=a1,dest=7", "hello")
-                .expect("an answer"),
+            submit(harness.listen_address, "a1", "c=notice,t=acme,d=500,k=a1,dest=7", "hello")
+                .expect("the sender replies"),
             "+OK"
         );
-        world.platform.unresponsive.store(true, Ordering::SeqCst);
+        harness.platform.unresponsive.store(true, Ordering::SeqCst);
         sleep(Duration::from_secs(4));
-        let before = page.count(Count::Connect);
+        let connects_before = control_page.count(Count::Connect);
         sleep(Duration::from_secs(1));
-        let more = page.count(Count::Connect) - before;
-        assert!(more < 60, "{more} connects in a second");
-        page.clear().expect("a page");
-        world.platform.unresponsive.store(false, Ordering::SeqCst);
-        world.wait_until("its notice", |world| world.notices().iter().any(|line| line.contains("a1")));
+        let new_connects = control_page.count(Count::Connect) - connects_before;
+        assert!(new_connects < 60, "{new_connects} connects in a second");
+        control_page.clear().expect("write to the control page");
+        harness.platform.unresponsive.store(false, Ordering::SeqCst);
+        harness.wait_until("the notice", |harness| harness.notices().iter().any(|line| line.contains("a1")));
     }
 }
 
-/// No socket can be had for the first second of a start: it is waited for, and no process ends for it.
+/// No socket can be created during the first second of a start: the process waits and does not exit.
 #[test]
-fn a_start_whose_sockets_fail_for_a_moment_comes_up() {
+fn a_start_retries_until_sockets_are_available() {
     for errno in [EMFILE, ENFILE, ENOBUFS] {
-        let mut world = Harness::new(&format!("own-listen-{errno}"), |_, _| http_response("200 OK", "", ""));
-        let page = world.attach_control_page();
-        world.kill();
-        page.share((Word::Socket, errno), (Word::SocketPerMille, 1000)).expect("a page");
-        world.spawn_sender(None);
+        let mut harness =
+            Harness::new(&format!("own-listen-{errno}"), |_, _| http_response("200 OK", "", ""));
+        let control_page = harness.attach_control_page();
+        harness.kill();
+        control_page
+            .share((Word::Socket, errno), (Word::SocketPerMille, 1000))
+            .expect("write to the control page");
+        harness.spawn_sender(None);
         sleep(Duration::from_secs(1));
-        assert!(page.count(Count::Socket) > 0, "no socket was to be had");
-        page.clear().expect("a page");
-        world.wait_until("it answers", |world| send_command(world.listen_address, PING).is_ok());
-        let said = submit(world.listen_address, "a1", "c=notice,t=acme,d=8000,k=a1,dest=7", "hello")
-            .expect("an answer");
-        assert_eq!(said, "+OK");
-        world.wait_until("its call", |world| world.received_ids() == ["a1"]);
+        assert!(control_page.count(Count::Socket) > 0, "socket calls failed");
+        control_page.clear().expect("write to the control page");
+        harness.wait_until("a reply to PING", |harness| send_command(harness.listen_address, PING).is_ok());
+        let reply = submit(harness.listen_address, "a1", "c=notice,t=acme,d=8000,k=a1,dest=7", "hello")
+            .expect("the sender replies");
+        assert_eq!(reply, "+OK");
+        harness.wait_until("the call", |harness| harness.received_ids() == ["a1"]);
     }
 }
--- a/crates/sailcart-sender/tests/partial_io.rs
+++ b/crates/sailcart-sender/tests/partial_io.rs
@@ -1,5 +1,5 @@
-//! Reads and writes that are cut short while no new report of the kernel follows, and waits that are interrupted: nobody waits for bytes
-//! that are there.
+//! Partial reads and writes without a new readiness event from the kernel, and interrupted waits: available
+//! bytes are read without delay.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -12,38 +12,41 @@
 use common::{http_response, submit_command};
 use sailcart_shim::{Count, Word};
 
-/// A fifth of the reads takes at most forty bytes, a fifth of the writes is cut anywhere.
+/// 20 % of the reads return at most 40 bytes, 20 % of the writes are cut at a random length, and 10 % of the
+/// waits are interrupted.
 #[test]
-fn nobody_waits_for_bytes_that_are_there() {
+fn partial_reads_and_writes_cause_no_stalls() {
     const PACKETS: usize = 200;
-    /// The listed rate of the destination is 50 a second, and the hold is smaller than all of them.
-    const PACE: Duration = Duration::from_millis(21);
-    let (world, page) = Harness::with_fault_injection("short-calls", |_, _| {
+    /// Just below the listed rate of the destination, 50 per second: the capacity for held packets is less
+    /// than [`PACKETS`].
+    const SUBMIT_INTERVAL: Duration = Duration::from_millis(21);
+    let (harness, control_page) = Harness::with_fault_injection("short-calls", |_, _| {
         http_response("200 OK", "X-Some: header of an answer\r\n", "and a body")
     });
-    for (word, value) in
+    for (setting, value) in
         [(Word::ReadCut, 200), (Word::ReadCutMost, 40), (Word::WriteCut, 200), (Word::WaitInterrupted, 100)]
     {
-        page.set(word, value).expect("a page");
+        control_page.set(setting, value).expect("write to the control page");
     }
-    let mut client = TcpStream::connect(world.listen_address).expect("a connection");
-    client.set_read_timeout(Some(Duration::from_secs(5))).expect("a time-out");
+    let mut client = TcpStream::connect(harness.listen_address).expect("establish a connection");
+    client.set_read_timeout(Some(Duration::from_secs(5))).expect("set the read timeout");
     for number in 0..PACKETS {
         let id = format!("p{number}");
-        let words = submit_command(&id, &format!("c=notice,t=acme,d=8000,k={id},dest=7"), &"body".repeat(50));
+        let command =
+            submit_command(&id, &format!("c=notice,t=acme,d=8000,k={id},dest=7"), &"body".repeat(50));
         let start = Instant::now();
-        client.write_all(words.as_bytes()).expect("room");
-        let mut answer = [0; 5];
-        client.read_exact(&mut answer).expect("an answer");
-        assert_eq!(&answer, b"+OK\r\n");
-        let took = start.elapsed();
-        assert!(took < Duration::from_millis(400), "packet {number} answered after {took:?}");
-        std::thread::sleep(PACE);
+        client.write_all(command.as_bytes()).expect("write to the socket");
+        let mut reply = [0; 5];
+        client.read_exact(&mut reply).expect("the sender replies");
+        assert_eq!(&reply, b"+OK\r\n");
+        let reply_time = start.elapsed();
+        assert!(reply_time < Duration::from_millis(400), "reply to packet {number} after {reply_time:?}");
+        std::thread::sleep(SUBMIT_INTERVAL);
     }
-    world.wait_until("all calls", |world| world.received_ids().len() >= PACKETS);
-    assert_eq!(world.received_ids().len(), PACKETS, "none was sent again");
-    assert_eq!(world.notices(), [""; 0]);
+    harness.wait_until("all calls", |harness| harness.received_ids().len() >= PACKETS);
+    assert_eq!(harness.received_ids().len(), PACKETS, "a packet was sent again");
+    assert_eq!(harness.notices(), [""; 0]);
     for count in [Count::ReadCut, Count::WriteCut, Count::WaitInterrupted] {
-        assert!(page.count(count) > 20, "{count:?}: {}", page.count(count));
+        assert!(control_page.count(count) > 20, "{count:?}: {}", control_page.count(count));
     }
 }
