--- a/crates/sailcart-sender/tests/local_errors.rs
+++ b/crates/sailcart-sender/tests/local_errors.rs
@@ -86,7 +86,7 @@
         });
         assert!(replies.filter(|reply| reply == "+PONG\r\n").count() == QUEUED_CLIENTS, "{}", harness.log());
         harness.wait_for_exit();
-        assert!(control_page.count(Count::Accept) > 20, "accepts failed");
+        assert!(control_page.count(Count::Accept) > 20, "no accept call failed");
         assert!(
             harness.log().matches("code=not_accepted").count() < 16,
             "one log line per failed accept: {}",
@@ -140,7 +140,7 @@
             .expect("write to the control page");
         harness.spawn_sender(None);
         sleep(Duration::from_secs(1));
-        assert!(control_page.count(Count::Socket) > 0, "socket calls failed");
+        assert!(control_page.count(Count::Socket) > 0, "no socket call failed");
         control_page.clear().expect("write to the control page");
         harness.wait_until("a reply to PING", |harness| send_command(harness.listen_address, PING).is_ok());
         let reply = submit(harness.listen_address, "a1", "c=notice,t=acme,d=8000,k=a1,dest=7", "hello")
--- a/crates/sailcart-sender/tests/races.rs
+++ b/crates/sailcart-sender/tests/races.rs
@@ -66,7 +66,7 @@
     assert_eq!(
         stream.read(&mut [0; 64]).expect("read the end of the stream"),
         0,
-        "the sender writes nothing before it closes"
+        "the sender wrote data before it closed"
     );
     for byte in submit_command(id, &format!("c=notice,t=acme,d=8000,k={id},dest=7"), "hello").bytes() {
         stream.write_all(&[byte]).expect("write without a reset");
@@ -74,7 +74,7 @@
     assert_eq!(
         stream.take_error().expect("read SO_ERROR").map(|e| e.kind()),
         None,
-        "the connection is not reset"
+        "the connection was reset"
     );
     stream.shutdown(std::net::Shutdown::Write).expect("shut down the write side");
     assert_eq!(stream.read(&mut [0; 64]).expect("read without a reset"), 0);
