--- a/crates/sailcart-sender/tests/clock_steps.rs
+++ b/crates/sailcart-sender/tests/clock_steps.rs
@@ -6,10 +6,10 @@
 use std::time::{Duration, Instant};
 
 #[allow(dead_code)] // each test file uses a part of this module
-mod peer;
+mod common;
 
-use peer::world::World;
-use peer::{Call, SubmitReply, answer, put};
+use common::harness::Harness;
+use common::{Call, HttpReply, http_response, submit};
 use sailcart_shim::{Page, Word};
 
 /// Steps of the wall clock, in seconds.
@@ -19,17 +19,17 @@
 /// A window that ends within a test.
 const SHORT_WINDOW: &str = r#""dedup_window_ms": 1000"#;
 
-fn submit_with_deadline(world: &World, id: &str, deadline_ms: u32) -> String {
-    put(world.listen, id, &format!("c=notice,t=acme,d={deadline_ms},k={id},dest=7"), "hello")
+fn submit_with_deadline(world: &Harness, id: &str, deadline_ms: u32) -> String {
+    submit(world.listen_address, id, &format!("c=notice,t=acme,d={deadline_ms},k={id},dest=7"), "hello")
         .expect("an answer")
 }
 
 /// An endpoint that reads its first call and does not answer it.
-fn first_call_hangs(number: usize, _: &Call) -> SubmitReply {
+fn first_call_hangs(number: usize, _: &Call) -> HttpReply {
     if number == 0 {
         thread::park_timeout(Duration::from_secs(60));
     }
-    answer("200 OK", "", "")
+    http_response("200 OK", "", "")
 }
 
 /// Runs a scenario once for each step, concurrently, each in an environment of its own. With `while_running`
@@ -62,18 +62,19 @@
 fn nothing_is_repeated_after_the_deduplication_window() {
     for while_running in [false, true] {
         for_each_step("window-over", while_running, |scenario, step| {
-            let (mut world, page) = World::under_faults(scenario, first_call_hangs);
+            let (mut world, page) = Harness::with_fault_injection(scenario, first_call_hangs);
             world.restart_with(&[(WINDOW, SHORT_WINDOW)]);
             assert_eq!(submit_with_deadline(&world, "a1", 20_000), "+OK");
-            world.until("the call", |world| world.came() == ["a1"]);
+            world.wait_until("the call", |world| world.received_ids() == ["a1"]);
             step(&page, true);
             world.kill();
             sleep(Duration::from_millis(1300));
             step(&page, false);
             world.start();
-            world.until("the completion", |world| world.notices().iter().any(|line| line.contains("a1")));
+            world
+                .wait_until("the completion", |world| world.notices().iter().any(|line| line.contains("a1")));
             sleep(Duration::from_millis(500));
-            assert_eq!(world.came(), ["a1"], "{scenario}: executed twice");
+            assert_eq!(world.received_ids(), ["a1"], "{scenario}: executed twice");
         });
     }
 }
@@ -83,15 +84,15 @@
 fn packets_are_repeated_within_the_deduplication_window() {
     for while_running in [false, true] {
         for_each_step("window-open", while_running, |scenario, step| {
-            let (mut world, page) = World::under_faults(scenario, first_call_hangs);
+            let (mut world, page) = Harness::with_fault_injection(scenario, first_call_hangs);
             assert_eq!(submit_with_deadline(&world, "a1", 20_000), "+OK");
-            world.until("the call", |world| world.came() == ["a1"]);
+            world.wait_until("the call", |world| world.received_ids() == ["a1"]);
             step(&page, true);
             world.kill();
             sleep(Duration::from_millis(300));
             step(&page, false);
             world.start();
-            world.until("the repeated call", |world| world.came() == ["a1", "a1"]);
+            world.wait_until("the repeated call", |world| world.received_ids() == ["a1", "a1"]);
             assert_eq!(world.notices(), [""; 0], "{scenario}: abandoned early");
         });
     }
@@ -101,12 +102,12 @@
 /// since the wait ends with the restart.
 fn undispatched_packets_are_sent_after_a_step() {
     for_each_step("untried", false, |scenario, step| {
-        let (mut world, page) = World::under_faults(scenario, |number, _| match number {
-            0 => answer("429 Too Many Requests", "Retry-After: 2.0\r\n", ""),
-            _ => answer("200 OK", "", ""),
+        let (mut world, page) = Harness::with_fault_injection(scenario, |number, _| match number {
+            0 => http_response("429 Too Many Requests", "Retry-After: 2.0\r\n", ""),
+            _ => http_response("200 OK", "", ""),
         });
         assert_eq!(submit_with_deadline(&world, "a1", 20_000), "+OK");
-        world.until("the Retry-After wait", |world| world.log().contains("packet a1 from"));
+        world.wait_until("the Retry-After wait", |world| world.log().contains("packet a1 from"));
         assert_eq!(
             (submit_with_deadline(&world, "b2", 20_000), submit_with_deadline(&world, "c3", 20_000)),
             ("+OK".into(), "+OK".into())
@@ -115,8 +116,8 @@
         sleep(Duration::from_millis(300));
         step(&page, false);
         world.start();
-        world.until("both calls", |world| {
-            ["b2", "c3"].iter().all(|id| world.came().contains(&(*id).to_owned()))
+        world.wait_until("both calls", |world| {
+            ["b2", "c3"].iter().all(|id| world.received_ids().contains(&(*id).to_owned()))
         });
         assert_eq!(world.notices(), [""; 0], "{scenario}: abandoned early");
     });
@@ -126,18 +127,19 @@
 fn deadline_is_measured_in_real_time() {
     for while_running in [false, true] {
         for_each_step("deadline", while_running, |scenario, step| {
-            let (mut world, page) = World::under_faults(scenario, |_, _| {
-                answer("429 Too Many Requests", "Retry-After: 1.9\r\n", "")
+            let (mut world, page) = Harness::with_fault_injection(scenario, |_, _| {
+                http_response("429 Too Many Requests", "Retry-After: 1.9\r\n", "")
             });
             let start = Instant::now();
             assert_eq!(submit_with_deadline(&world, "a1", 5000), "+OK");
-            world.until("the Retry-After wait", |world| world.log().contains("packet a1 from"));
+            world.wait_until("the Retry-After wait", |world| world.log().contains("packet a1 from"));
             step(&page, true);
             world.kill();
             sleep(Duration::from_millis(300));
             step(&page, false);
             world.start();
-            world.until("the completion", |world| world.notices().iter().any(|line| line.contains("a1")));
+            world
+                .wait_until("the completion", |world| world.notices().iter().any(|line| line.contains("a1")));
             let elapsed = start.elapsed();
             assert!(
                 elapsed > Duration::from_millis(3500),
@@ -163,15 +165,15 @@
 #[test]
 fn retry_after_wait_is_measured_in_real_time() {
     for_each_step("wait", true, |scenario, step| {
-        let (world, page) = World::under_faults(scenario, |number, _| match number {
-            0 => answer("429 Too Many Requests", "Retry-After: 2.0\r\n", ""),
-            _ => answer("200 OK", "", ""),
+        let (world, page) = Harness::with_fault_injection(scenario, |number, _| match number {
+            0 => http_response("429 Too Many Requests", "Retry-After: 2.0\r\n", ""),
+            _ => http_response("200 OK", "", ""),
         });
         assert_eq!(submit_with_deadline(&world, "a1", 20_000), "+OK");
-        world.until("the Retry-After wait", |world| world.log().contains("packet a1 from"));
+        world.wait_until("the Retry-After wait", |world| world.log().contains("packet a1 from"));
         let wait_started_at = Instant::now();
         step(&page, true);
-        world.until("the next call", |world| world.came().len() == 2);
+        world.wait_until("the next call", |world| world.received_ids().len() == 2);
         let waited = wait_started_at.elapsed();
         assert!(waited > Duration::from_millis(1850), "{scenario}: called after {waited:?}");
         assert!(waited < Duration::from_millis(3000), "{scenario}: called after {waited:?}");
@@ -183,14 +185,15 @@
 #[test]
 fn completed_id_is_remembered_after_a_step() {
     for_each_step("ids", false, |scenario, step| {
-        let (mut world, page) = World::under_faults(scenario, |_, _| answer("200 OK", "", ""));
+        let (mut world, page) =
+            Harness::with_fault_injection(scenario, |_, _| http_response("200 OK", "", ""));
         assert_eq!(submit_with_deadline(&world, "a1", 20_000), "+OK");
-        world.until("the completion", |world| world.folder_shows().contains("0 packets not completed"));
+        world.wait_until("the completion", |world| world.store_summary().contains("0 packets not completed"));
         world.kill();
         step(&page, false);
         world.start();
         assert_eq!(submit_with_deadline(&world, "a1", 20_000), "+OK");
         sleep(Duration::from_millis(500));
-        assert_eq!(world.came(), ["a1"], "{scenario}: called a second time");
+        assert_eq!(world.received_ids(), ["a1"], "{scenario}: called a second time");
     });
 }
--- a/crates/sailcart-sender/tests/failing_state_folder.rs
+++ b/crates/sailcart-sender/tests/failing_state_folder.rs
@@ -7,29 +7,29 @@
 use std::time::{Duration, Instant};
 
 #[allow(dead_code)] // each test file uses a part of this module
-mod peer;
+mod common;
 
-use peer::world::World;
-use peer::{Call, SubmitReply, answer, entry, put};
+use common::harness::Harness;
+use common::{Call, HttpReply, http_response, list_entry, submit};
 use sailcart_shim::{Count, EIO, ENOSPC, Page, Word};
 
 /// Starts a sender with a control page through which file operations can be made to fail.
 fn start_sender(
     name: &str,
-    reply: impl Fn(usize, &Call) -> SubmitReply + Send + Sync + 'static,
-) -> (World, Arc<Page>) {
-    let mut world = World::new(name, reply);
-    let page = world.with_faults();
+    reply: impl Fn(usize, &Call) -> HttpReply + Send + Sync + 'static,
+) -> (Harness, Arc<Page>) {
+    let mut world = Harness::new(name, reply);
+    let page = world.attach_control_page();
     world.restart_with(&[(r#""aim_ms": 3000"#, r#""aim_ms": 1000"#)]);
     (world, page)
 }
 
-fn submit_with_deadline(world: &World, id: &str, deadline_ms: u32) -> String {
-    put(world.listen, id, &format!("c=notice,t=acme,d={deadline_ms},k={id},dest=7"), "hello")
+fn submit_with_deadline(world: &Harness, id: &str, deadline_ms: u32) -> String {
+    submit(world.listen_address, id, &format!("c=notice,t=acme,d={deadline_ms},k={id},dest=7"), "hello")
         .expect("an answer")
 }
 
-fn notices_of(world: &World, id: &str) -> usize {
+fn notices_of(world: &Harness, id: &str) -> usize {
     world.notices().iter().filter(|line| line.contains(id)).count()
 }
 
@@ -39,28 +39,30 @@
 fn no_call_after_an_acknowledged_but_unrecorded_completion() {
     for errno in [ENOSPC, EIO] {
         let (mut world, page) =
-            start_sender(&format!("end-unrecorded-{errno}"), |_, _| answer("200 OK", "", ""));
+            start_sender(&format!("end-unrecorded-{errno}"), |_, _| http_response("200 OK", "", ""));
         // Its only endpoint drains: the packet is dismissed after the soft limit, long before its deadline.
-        world.platform.list(&[entry("e", world.endpoint, 7, "Terminating")]);
-        world.until("the draining endpoint", |world| world.log().contains("discovery: version 2"));
+        world.platform.set_list(&[list_entry("e", world.endpoint_address, 7, "Terminating")]);
+        world.wait_until("the draining endpoint", |world| world.log().contains("discovery: version 2"));
         assert_eq!(submit_with_deadline(&world, "a1", 20_000), "+OK");
         page.files_fail(errno).expect("the control page");
-        world.until("the completion", |world| world.log().contains("ends Dismissed"));
+        world.wait_until("the completion", |world| world.log().contains("ends Dismissed"));
         sleep(Duration::from_millis(400)); // time for a notice to be sent
         assert!(page.count(Count::FileWrite) > 0, "no write failed");
         let notices_before_kill = notices_of(&world, "a1");
         world.kill();
         page.clear().expect("the control page");
-        world.platform.list(&[entry("f", world.endpoint, 7, "Ready")]);
+        world.platform.set_list(&[list_entry("f", world.endpoint_address, 7, "Ready")]);
         world.start();
-        world.until("the completion", |world| notices_of(world, "a1") > 0 || !world.came().is_empty());
+        world.wait_until("the completion", |world| {
+            notices_of(world, "a1") > 0 || !world.received_ids().is_empty()
+        });
         sleep(Duration::from_millis(500));
         assert!(
-            notices_before_kill == 0 || world.came().is_empty(),
+            notices_before_kill == 0 || world.received_ids().is_empty(),
             "called after its acknowledged completion: {}",
             world.log()
         );
-        assert!(notices_before_kill > 0 || world.came() == ["a1"], "not delivered: {}", world.log());
+        assert!(notices_before_kill > 0 || world.received_ids() == ["a1"], "not delivered: {}", world.log());
     }
 }
 
@@ -71,12 +73,12 @@
     for packet_stored in [false, true] {
         let (mut world, page) =
             start_sender(&format!("failing-start-{packet_stored}"), |number, _| match number {
-                0 => answer("503 Service Unavailable", "Retry-After: 0.5\r\n", ""),
-                _ => answer("200 OK", "", ""),
+                0 => http_response("503 Service Unavailable", "Retry-After: 0.5\r\n", ""),
+                _ => http_response("200 OK", "", ""),
             });
         if packet_stored {
             assert_eq!(submit_with_deadline(&world, "a1", 20_000), "+OK");
-            world.until("the call", |world| world.came() == ["a1"]);
+            world.wait_until("the call", |world| world.received_ids() == ["a1"]);
         }
         world.kill();
         if !packet_stored {
@@ -97,12 +99,14 @@
         );
         sleep(Duration::from_millis(700));
         page.clear().expect("the control page");
-        world.until("an accepted packet", |world| submit_with_deadline(world, "c3", 20_000) == "+OK");
-        world.until("the call", |world| world.came().contains(&"c3".to_owned()));
+        world.wait_until("an accepted packet", |world| submit_with_deadline(world, "c3", 20_000) == "+OK");
+        world.wait_until("the call", |world| world.received_ids().contains(&"c3".to_owned()));
         if packet_stored {
-            world.until("the repeat", |world| world.came().iter().filter(|id| *id == "a1").count() == 2);
+            world.wait_until("the repeat", |world| {
+                world.received_ids().iter().filter(|id| *id == "a1").count() == 2
+            });
         }
-        assert!(!world.came().contains(&"b2".to_owned()), "a rejected packet was dispatched");
+        assert!(!world.received_ids().contains(&"b2".to_owned()), "a rejected packet was dispatched");
     }
 }
 
@@ -112,9 +116,9 @@
 #[test]
 fn unwritten_records_are_bounded_and_reported_later() {
     const STORED_PACKETS: usize = 40;
-    let (mut world, page) = start_sender("ten-seconds", |_, _| answer("200 OK", "", ""));
-    world.platform.list(&[entry("e", world.endpoint, 7, "Terminating")]);
-    world.until("the draining endpoint", |world| world.log().contains("discovery: version 2"));
+    let (mut world, page) = start_sender("ten-seconds", |_, _| http_response("200 OK", "", ""));
+    world.platform.set_list(&[list_entry("e", world.endpoint_address, 7, "Terminating")]);
+    world.wait_until("the draining endpoint", |world| world.log().contains("discovery: version 2"));
     for number in 0..STORED_PACKETS {
         assert_eq!(submit_with_deadline(&world, &format!("kept-{number}-"), 20_000), "+OK");
     }
@@ -128,7 +132,7 @@
     assert!(rejected > 500, "only {rejected} submissions were answered");
     assert_eq!(world.notices().len(), 0, "a notice was sent for an unrecorded completion");
     page.clear().expect("the control page");
-    world.until("writes succeed again", |world| world.log().contains("code=written_again"));
+    world.wait_until("writes succeed again", |world| world.log().contains("code=written_again"));
     let log = world.log();
     let waiting = log
         .split("code=written_again waiting=")
@@ -136,10 +140,10 @@
         .and_then(|log_after| log_after.split_whitespace().next());
     let waiting: usize = waiting.and_then(|word| word.parse().ok()).expect("a number");
     assert!(waiting <= 3 * STORED_PACKETS, "{waiting} groups waited");
-    world.until("all notices", |world| {
+    world.wait_until("all notices", |world| {
         (0..STORED_PACKETS).all(|number| notices_of(world, &format!("kept-{number}-")) == 1)
     });
-    world.until_folder_shows("0 packets not completed, 0 pending notices");
+    world.wait_until_store_shows("0 packets not completed, 0 pending notices");
     assert_eq!(log.matches("code=disk_full").count(), 1, "expected one log line per outage");
     world.kill();
     world.start();
@@ -152,20 +156,23 @@
 #[test]
 fn busy_is_not_sent_for_a_packet_stored_as_accepted() {
     const LONG_PERIOD: (&str, &str) = (r#""period_ms": 5,"#, r#""period_ms": 1500,"#);
-    let (mut world, page) =
-        start_sender("busy-unrecorded", |_, _| answer("429 Too Many Requests", "Retry-After: 9\r\n", ""));
+    let (mut world, page) = start_sender("busy-unrecorded", |_, _| {
+        http_response("429 Too Many Requests", "Retry-After: 9\r\n", "")
+    });
     world.restart_with(&[LONG_PERIOD, (r#""max_open": 100"#, r#""max_open": 2"#)]);
     assert_eq!(submit_with_deadline(&world, "a1", 20_000), "+OK");
-    world.until("the outcome", |world| world.log().contains("packet a1 from"));
-    let listen = world.listen;
+    world.wait_until("the outcome", |world| world.log().contains("packet a1 from"));
+    let listen = world.listen_address;
     let clients: Vec<_> = (0..6)
         .map(|number| {
             let id = format!("b{number}");
             let fields = format!("c=notice,t=acme,d=20000,k={id},dest=7");
-            std::thread::spawn(move || (id.clone(), put(listen, &id, &fields, "hello").expect("an answer")))
+            std::thread::spawn(move || {
+                (id.clone(), submit(listen, &id, &fields, "hello").expect("an answer"))
+            })
         })
         .collect();
-    world.until("the last record", |world| world.folder_shows().matches("packet b").count() >= 6);
+    world.wait_until("the last record", |world| world.store_summary().matches("packet b").count() >= 6);
     page.files_fail(ENOSPC).expect("the control page");
     let replies: Vec<(String, String)> =
         clients.into_iter().map(|client| client.join().expect("no panic")).collect();
@@ -179,7 +186,7 @@
     page.clear().expect("the control page");
     for (id, answer) in replies.iter().filter(|(_, answer)| answer.starts_with("-BUSY")) {
         assert!(
-            !world.folder_shows().contains(&format!("packet {id}: ")),
+            !world.store_summary().contains(&format!("packet {id}: ")),
             "{id} got {answer} and is stored as accepted"
         );
     }
@@ -192,31 +199,34 @@
 fn failing_syncs_do_not_end_the_process() {
     for sync in ["round", "each"] {
         let (mut world, page) =
-            start_sender(&format!("failing-sync-{sync}"), |_, _| answer("200 OK", "", ""));
+            start_sender(&format!("failing-sync-{sync}"), |_, _| http_response("200 OK", "", ""));
         world.restart_with(&[(r#""disk_mb": 3 "#, &format!(r#""disk_mb": 3, "sync": "{sync}" "#))]);
         assert_eq!(submit_with_deadline(&world, "a1", 20_000), "+OK");
-        world.until("the call", |world| world.came() == ["a1"]);
+        world.wait_until("the call", |world| world.received_ids() == ["a1"]);
         page.set(Word::FileSync, EIO.into()).expect("the control page");
-        let listen = world.listen;
+        let listen = world.listen_address;
         let client = std::thread::spawn(move || {
-            put(listen, "b2", "c=notice,t=acme,d=20000,k=b2,dest=7", "hello").unwrap_or_default()
+            submit(listen, "b2", "c=notice,t=acme,d=20000,k=b2,dest=7", "hello").unwrap_or_default()
         });
         sleep(Duration::from_millis(1500));
         assert!(page.count(Count::FileSync) > 0, "no sync failed");
-        assert!(!world.came().contains(&"b2".to_owned()), "a call was sent before its record was synced");
+        assert!(
+            !world.received_ids().contains(&"b2".to_owned()),
+            "a call was sent before its record was synced"
+        );
         let answered_early = client.is_finished();
         page.clear().expect("the control page");
         let reply = client.join().expect("no panic");
         assert!(!answered_early || reply.starts_with("-BUSY"), "+OK for an unsynced packet");
         assert!(reply == "+OK" || reply.starts_with("-BUSY"), "{reply}");
-        world.until("an accepted packet", |world| submit_with_deadline(world, "c3", 20_000) == "+OK");
-        world.until("the call", |world| world.came().contains(&"c3".to_owned()));
-        world.until("b2", |world| reply != "+OK" || world.came().contains(&"b2".to_owned()));
+        world.wait_until("an accepted packet", |world| submit_with_deadline(world, "c3", 20_000) == "+OK");
+        world.wait_until("the call", |world| world.received_ids().contains(&"c3".to_owned()));
+        world.wait_until("b2", |world| reply != "+OK" || world.received_ids().contains(&"b2".to_owned()));
         assert!(!world.log().contains("the sender ends"), "{}", world.log());
-        world.until_folder_shows("0 packets not completed, 0 pending notices");
+        world.wait_until_store_shows("0 packets not completed, 0 pending notices");
         world.kill();
         world.start();
-        assert_eq!(world.came().iter().filter(|id| *id == "b2").count(), usize::from(reply == "+OK"));
+        assert_eq!(world.received_ids().iter().filter(|id| *id == "b2").count(), usize::from(reply == "+OK"));
     }
 }
 
@@ -224,19 +234,19 @@
 /// the next process dispatches the stored packet.
 #[test]
 fn stop_during_failing_syncs_answers_clients() {
-    let (mut world, page) = start_sender("failing-sync-stop", |_, _| answer("200 OK", "", ""));
+    let (mut world, page) = start_sender("failing-sync-stop", |_, _| http_response("200 OK", "", ""));
     world.restart_with(&[(r#""disk_mb": 3 "#, r#""disk_mb": 3, "sync": "round" "#)]);
     page.set(Word::FileSync, EIO.into()).expect("the control page");
-    let listen = world.listen;
+    let listen = world.listen_address;
     let client = std::thread::spawn(move || {
-        put(listen, "a1", "c=notice,t=acme,d=20000,k=a1,dest=7", "hello").unwrap_or_default()
+        submit(listen, "a1", "c=notice,t=acme,d=20000,k=a1,dest=7", "hello").unwrap_or_default()
     });
-    world.until_folder_shows("packet a1: ");
+    world.wait_until_store_shows("packet a1: ");
     assert!(world.terminate() < Duration::from_millis(3700), "the stop took too long");
     assert_eq!(client.join().expect("no panic"), "+OK", "{}", world.log());
     page.clear().expect("the control page");
     world.start();
-    world.until("the call", |world| world.came() == ["a1"]);
+    world.wait_until("the call", |world| world.received_ids() == ["a1"]);
 }
 
 /// With the sync policy `each`, the completion of a dismissed packet is written and its sync fails, so the
@@ -246,22 +256,24 @@
 fn ok_means_stored_though_the_completion_may_be_unsynced() {
     const LONG_PERIOD: (&str, &str) = (r#""period_ms": 5,"#, r#""period_ms": 1500,"#);
     const SYNC_EACH: (&str, &str) = (r#""disk_mb": 3 "#, r#""disk_mb": 3, "sync": "each" "#);
-    let (mut world, page) = start_sender("ok-unsynced", |_, _| answer("200 OK", "", ""));
+    let (mut world, page) = start_sender("ok-unsynced", |_, _| http_response("200 OK", "", ""));
     world.restart_with(&[LONG_PERIOD, SYNC_EACH, (r#""max_open": 100"#, r#""max_open": 2"#)]);
     assert_eq!(submit_with_deadline(&world, "a1", 20_000), "+OK");
     // A round has just run once the packet is delivered.
-    world.until("the delivery", |world| world.folder_shows().contains("0 packets not completed"));
-    let listen = world.listen;
+    world.wait_until("the delivery", |world| world.store_summary().contains("0 packets not completed"));
+    let listen = world.listen_address;
     let clients: Vec<_> = (0..6)
         .map(|number| {
             let id = format!("b{number}");
             let fields = format!("c=notice,t=acme,d=20000,k={id},dest=7");
-            std::thread::spawn(move || (id.clone(), put(listen, &id, &fields, "hello").unwrap_or_default()))
+            std::thread::spawn(move || {
+                (id.clone(), submit(listen, &id, &fields, "hello").unwrap_or_default())
+            })
         })
         .collect();
-    world.until("the last record", |world| world.folder_shows().matches("packet b").count() >= 6);
+    world.wait_until("the last record", |world| world.store_summary().matches("packet b").count() >= 6);
     page.set(Word::FileSync, EIO.into()).expect("the control page");
-    world.until("a completion that may be on disk", |world| {
+    world.wait_until("a completion that may be on disk", |world| {
         page.count(Count::FileSync) > 0 && world.log().contains("ends Dismissed")
     });
     sleep(Duration::from_millis(200));
@@ -271,7 +283,9 @@
     let replies: Vec<(String, String)> =
         clients.into_iter().map(|client| client.join().expect("no panic")).collect();
     for (id, _) in replies.iter().filter(|(_, answer)| answer == "+OK") {
-        world.until("the completion", |world| world.came().contains(id) || notices_of(world, id) > 0);
+        world.wait_until("the completion", |world| {
+            world.received_ids().contains(id) || notices_of(world, id) > 0
+        });
     }
 }
 
@@ -279,14 +293,14 @@
 /// client must not get `-BUSY`.
 #[test]
 fn busy_is_not_sent_for_a_packet_that_may_be_stored() {
-    let (mut world, page) = start_sender("busy-unsynced", |_, _| answer("200 OK", "", ""));
+    let (mut world, page) = start_sender("busy-unsynced", |_, _| http_response("200 OK", "", ""));
     world.restart_with(&[(r#""disk_mb": 3 "#, r#""disk_mb": 3, "sync": "each" "#)]);
     page.set(Word::FileSync, EIO.into()).expect("the control page");
-    let listen = world.listen;
+    let listen = world.listen_address;
     let client = std::thread::spawn(move || {
-        put(listen, "a1", "c=notice,t=acme,d=20000,k=a1,dest=7", "hello").unwrap_or_default()
+        submit(listen, "a1", "c=notice,t=acme,d=20000,k=a1,dest=7", "hello").unwrap_or_default()
     });
-    world.until("a failed sync", |_| page.count(Count::FileSync) > 0);
+    world.wait_until("a failed sync", |_| page.count(Count::FileSync) > 0);
     sleep(Duration::from_millis(300));
     world.kill();
     let reply = client.join().expect("no panic");
@@ -294,7 +308,7 @@
     world.start();
     sleep(Duration::from_millis(800));
     assert!(
-        !reply.starts_with("-BUSY") || world.came().is_empty(),
+        !reply.starts_with("-BUSY") || world.received_ids().is_empty(),
         "got {reply}, and the packet was dispatched: {}",
         world.log()
     );
--- a/crates/sailcart-sender/tests/known_list.rs
+++ b/crates/sailcart-sender/tests/known_list.rs
@@ -6,10 +6,10 @@
 use std::process::Command;
 
 #[allow(dead_code)] // the other items are used by other tests
-mod peer;
+mod common;
 
-use peer::world::World;
-use peer::{answer, entry};
+use common::harness::Harness;
+use common::{http_response, list_entry};
 
 const CONFIG: &str = include_str!("../../../examples/config.json");
 const EMPTY_LIST: &str = r#"{ "generation": 0, "reset": true, "instances": [] }"#;
@@ -31,7 +31,7 @@
 
 fn numbered_entry(number: usize) -> String {
     let address = ([127, 9, (number / 250 % 250) as u8, (number % 250) as u8], 9).into();
-    entry(&format!("many-{number}"), address, 8 + number as u64, "Ready")
+    list_entry(&format!("many-{number}"), address, 8 + number as u64, "Ready")
 }
 
 #[test]
@@ -83,21 +83,21 @@
 /// most 192 bytes per endpoint.
 #[test]
 fn a_sender_starts_with_a_large_list_and_frees_its_text() {
-    let mut harness = World::new("known", |_, _| answer("200 OK", "", ""));
+    let mut harness = Harness::new("known", |_, _| http_response("200 OK", "", ""));
     harness.kill();
     let entries: Vec<String> = (0..ENTRY_COUNT).map(numbered_entry).collect();
-    let reachable_entry = entry("e", harness.endpoint, 7, "Ready");
+    let reachable_entry = list_entry("e", harness.endpoint_address, 7, "Ready");
     let members =
         format!(r#""generation": 5, "reset": true, "instances": [{reachable_entry},{}]"#, entries.join(","));
     let unused_address =
         TcpListener::bind("127.83.2.1:0").and_then(|socket| socket.local_addr()).expect("local address");
     let config = harness.config.replace(r#""generation": 0, "reset": true, "instances": []"#, &members);
     assert!(config.len() > members.len());
-    harness.config = config.replace(&harness.discovery.to_string(), &unused_address.to_string());
+    harness.config = config.replace(&harness.discovery_address.to_string(), &unused_address.to_string());
     fs::write(harness.folder.join("log"), "").expect("empty the log");
     harness.start();
-    assert_eq!(harness.put("a1"), "+OK");
-    harness.until("the call has arrived", |harness| harness.came() == ["a1"]);
+    assert_eq!(harness.submit("a1"), "+OK");
+    harness.wait_until("the call has arrived", |harness| harness.received_ids() == ["a1"]);
     let (resident, peak) = (harness.memory("VmRSS"), harness.memory("VmHWM"));
     let directory_bytes = ENTRY_COUNT * 192;
     assert!(resident < directory_bytes + 16_000_000, "{resident} bytes resident");
--- a/crates/sailcart-sender/tests/list_loading.rs
+++ b/crates/sailcart-sender/tests/list_loading.rs
@@ -11,10 +11,10 @@
 use std::time::{Duration, Instant};
 
 #[allow(dead_code)] // the other items are used by other tests
-mod peer;
+mod common;
 
-use peer::world::{CONFIG, World};
-use peer::{answer, entry, put};
+use common::harness::{CONFIG, Harness};
+use common::{http_response, list_entry, submit};
 
 /// Prefix of the path of requests for changes after a version.
 const WATCH_PATH: &str = "/v1/servers?from=";
@@ -85,7 +85,7 @@
 
 /// Writes a complete response with a Content-Length.
 fn respond(stream: &mut TcpStream, body: &str) -> io::Result<()> {
-    stream.write_all(answer("200 OK", "", body).unwrap_or_default().as_bytes())
+    stream.write_all(http_response("200 OK", "", body).unwrap_or_default().as_bytes())
 }
 
 /// Responds to a watch without changes, at the end of its wait.
@@ -98,7 +98,7 @@
 /// The entry of the n-th of many endpoints. Nothing listens at their addresses.
 fn numbered_entry(number: usize) -> String {
     let address = SocketAddr::from(([127, 9, (number / 250) as u8, (number % 250) as u8], 9));
-    entry(&format!("many-{number}"), address, 8 + number as u64 % 100, "Ready")
+    list_entry(&format!("many-{number}"), address, 8 + number as u64 % 100, "Ready")
 }
 
 fn numbered_entries(numbers: std::ops::Range<usize>) -> String {
@@ -122,12 +122,12 @@
 }
 
 /// Starts a sender with another discovery server and this memory limit.
-fn start_with_list_server(name: &str, discovery: &Discovery, memory_mb: u32) -> World {
-    let mut harness = World::new(name, |_, _| answer("200 OK", "", ""));
+fn start_with_list_server(name: &str, discovery: &Discovery, memory_mb: u32) -> Harness {
+    let mut harness = Harness::new(name, |_, _| http_response("200 OK", "", ""));
     harness.kill();
     let limit = format!(r#""memory_mb": {memory_mb}"#);
     let config = harness.config.replace(r#""memory_mb": 192"#, &limit);
-    harness.config = config.replace(&harness.discovery.to_string(), &discovery.address.to_string());
+    harness.config = config.replace(&harness.discovery_address.to_string(), &discovery.address.to_string());
     assert!(harness.config.contains(&limit));
     fs::write(harness.folder.join("log"), "").expect("empty the log");
     harness.start();
@@ -143,31 +143,33 @@
     let start = Instant::now();
     loop {
         if let Some(address) = *endpoint.lock().expect("mutex is not poisoned") {
-            return entry("e", address, destination, "Ready");
+            return list_entry("e", address, destination, "Ready");
         }
         assert!(start.elapsed() < Duration::from_secs(10), "the endpoint address was not set");
         sleep(Duration::from_millis(1));
     }
 }
 
-fn put_to(harness: &World, id: &str, destination: u64) -> String {
+fn put_to(harness: &Harness, id: &str, destination: u64) -> String {
     let fields = format!("c=notice,t=acme,d=8000,k={id},dest={destination}");
-    put(harness.listen, id, &fields, "hello").expect("reply")
+    submit(harness.listen_address, id, &fields, "hello").expect("reply")
 }
 
 /// Submits a packet and waits for its delivery.
-fn assert_delivered(harness: &World, id: &str, destination: u64) {
+fn assert_delivered(harness: &Harness, id: &str, destination: u64) {
     assert_eq!(put_to(harness, id, destination), "+OK");
-    harness.until("the call has arrived", |harness| harness.came().iter().any(|came| came == id));
+    harness
+        .wait_until("the call has arrived", |harness| harness.received_ids().iter().any(|came| came == id));
 }
 
-fn count_in_log(harness: &World, text: &str) -> usize {
+fn count_in_log(harness: &Harness, text: &str) -> usize {
     harness.log().matches(text).count()
 }
 
 /// Switches a sender that has its first list to another discovery server.
-fn switch_discovery(harness: &mut World, discovery: &Discovery) {
-    harness.config = harness.config.replace(&harness.discovery.to_string(), &discovery.address.to_string());
+fn switch_discovery(harness: &mut Harness, discovery: &Discovery) {
+    harness.config =
+        harness.config.replace(&harness.discovery_address.to_string(), &discovery.address.to_string());
     harness.reload(&harness.config);
 }
 
@@ -175,15 +177,15 @@
 /// effect, and the last valid list stays in force.
 #[test]
 fn a_truncated_list_changes_nothing() {
-    let mut harness = World::new("cut", |_, _| answer("200 OK", "", ""));
-    let first_entry = entry("e", harness.endpoint, 7, "Ready");
+    let mut harness = Harness::new("cut", |_, _| http_response("200 OK", "", ""));
+    let first_entry = list_entry("e", harness.endpoint_address, 7, "Ready");
     let continued = Arc::new(AtomicBool::new(false));
     let continue_now = continued.clone();
     let discovery = Discovery::start(move |number, path, stream| match number {
         0 => respond(stream, &list(5, true, &first_entry)),
         1 => {
             let response =
-                answer("200 OK", "", &list(6, true, &numbered_entries(0..2000))).unwrap_or_default();
+                http_response("200 OK", "", &list(6, true, &numbered_entries(0..2000))).unwrap_or_default();
             stream.write_all(&response.as_bytes()[..response.len() / 2])?;
             Err(io::ErrorKind::BrokenPipe.into())
         }
@@ -199,7 +201,7 @@
         _ => respond(stream, &list(8, true, &first_entry)),
     });
     switch_discovery(&mut harness, &discovery);
-    harness.until("both truncated lists were sent", |_| discovery.requests().len() > 3);
+    harness.wait_until("both truncated lists were sent", |_| discovery.requests().len() > 3);
     assert_eq!(count_in_log(&harness, "code=no_list"), 1, "one log line for the outage");
     assert!(
         discovery.requests()[1..4].iter().all(|request| request.path.starts_with(WATCH_PATH)),
@@ -212,7 +214,7 @@
         "no entry of the truncated list takes effect"
     );
     continued.store(true, Ordering::SeqCst);
-    harness.until("the next valid list is in force", |harness| {
+    harness.wait_until("the next valid list is in force", |harness| {
         harness.log().contains("discovery: version 8, 1 entries")
     });
     assert!(
@@ -223,16 +225,16 @@
 /// A body with two documents, and one with a duplicate member, are rejected as malformed.
 #[test]
 fn a_list_with_duplicate_documents_or_members_changes_nothing() {
-    let harness = World::new("doubled", |_, _| answer("200 OK", "", ""));
+    let harness = Harness::new("doubled", |_, _| http_response("200 OK", "", ""));
     let other = list(9, true, &numbered_entries(0..100));
     let malformed_bodies = [other.repeat(2), other.replace(r#""reset""#, r#""instances":[],"reset""#)];
     for (index, malformed_body) in malformed_bodies.into_iter().enumerate() {
-        *harness.platform.slip.lock().expect("mutex is not poisoned") = Some(malformed_body);
+        *harness.platform.next_list_response.lock().expect("mutex is not poisoned") = Some(malformed_body);
         // A watch in flight reports the change first, and the request after it receives the malformed body.
         // Without a watch in flight the next request receives it.
-        harness.platform.list(&[entry("e", harness.endpoint, 7, "Ready")]);
+        harness.platform.set_list(&[list_entry("e", harness.endpoint_address, 7, "Ready")]);
         let version = format!("discovery: version {}, 1 entries", index + 2);
-        harness.until("the full list after the malformed one is in force", |harness| {
+        harness.wait_until("the full list after the malformed one is in force", |harness| {
             let log = harness.log();
             let log_parts: Vec<&str> = log.split("code=no_list").collect();
             log_parts.len() == index + 2 && log_parts[index + 1].contains(&version)
@@ -258,13 +260,15 @@
         }
         _ => respond_with_many(stream, 2, 1_000_000),
     });
-    let mut harness = World::new("million", |_, _| answer("200 OK", "", ""));
-    *endpoint.lock().expect("mutex is not poisoned") = Some(harness.endpoint);
+    let mut harness = Harness::new("million", |_, _| http_response("200 OK", "", ""));
+    *endpoint.lock().expect("mutex is not poisoned") = Some(harness.endpoint_address);
     harness.kill();
     let config = harness.config.replace(r#""memory_mb": 192"#, r#""memory_mb": 16"#);
-    harness.config = config.replace(&harness.discovery.to_string(), &discovery.address.to_string());
+    harness.config = config.replace(&harness.discovery_address.to_string(), &discovery.address.to_string());
     harness.start();
-    harness.until("the list is rejected", |harness| harness.log().contains("discovery: code=list_too_large"));
+    harness.wait_until("the list is rejected", |harness| {
+        harness.log().contains("discovery: code=list_too_large")
+    });
     let start = Instant::now();
     let mut sent = 0;
     while discovery.requests().len() < 4 {
@@ -307,7 +311,7 @@
         1 => respond(stream, "{}"),
         _ if path == FULL_LIST_PATH => respond_with_many(stream, 3, 1_000_000),
         _ if !change_is_sent.swap(true, Ordering::SeqCst) => {
-            let change = entry(
+            let change = list_entry(
                 "f",
                 endpoint_address.lock().expect("mutex is not poisoned").expect("endpoint address is set"),
                 9,
@@ -317,20 +321,21 @@
         }
         _ => respond_unchanged(stream, path, 2),
     });
-    let mut harness = World::new("meanwhile", |_, _| answer("200 OK", "", ""));
-    *endpoint.lock().expect("mutex is not poisoned") = Some(harness.endpoint);
+    let mut harness = Harness::new("meanwhile", |_, _| http_response("200 OK", "", ""));
+    *endpoint.lock().expect("mutex is not poisoned") = Some(harness.endpoint_address);
     harness.kill();
     let config = harness.config.replace(r#""memory_mb": 192"#, r#""memory_mb": 4"#);
-    harness.config = config.replace(&harness.discovery.to_string(), &discovery.address.to_string());
+    harness.config = config.replace(&harness.discovery_address.to_string(), &discovery.address.to_string());
     harness.start();
-    harness
-        .until("the change is in force", |harness| harness.log().contains("discovery: version 2, 1 entries"));
+    harness.wait_until("the change is in force", |harness| {
+        harness.log().contains("discovery: version 2, 1 entries")
+    });
     assert_delivered(&harness, "a1", 9);
     assert_delivered(&harness, "a2", 7);
     let full_requests = || {
         discovery.requests().into_iter().filter(|request| request.path == FULL_LIST_PATH).collect::<Vec<_>>()
     };
-    harness.until("the full list is requested again", |_| full_requests().len() > 2);
+    harness.wait_until("the full list is requested again", |_| full_requests().len() > 2);
     let requests = full_requests();
     let delays = [
         requests[1].received_at - requests[0].received_at,
@@ -357,15 +362,18 @@
 fn clients_are_served_if_the_first_list_is_too_large() {
     let discovery = Discovery::start(|_, _, stream| respond_with_many(stream, 2, 1_000_000));
     let harness = start_with_list_server("start", &discovery, 4);
-    harness.until("the list is rejected", |harness| harness.log().contains("discovery: code=list_too_large"));
-    assert_eq!(harness.put("a1"), "+OK", "without a list, no destination is rejected as unknown");
+    harness.wait_until("the list is rejected", |harness| {
+        harness.log().contains("discovery: code=list_too_large")
+    });
+    assert_eq!(harness.submit("a1"), "+OK", "without a list, no destination is rejected as unknown");
 }
 
 /// Starts a discovery server whose second list repeats this entry without end. Returns the number of bytes
 /// written when the list was rejected.
 fn bytes_written_until_rejected(name: &str, entry_text: &str) -> usize {
-    let mut harness = World::new(name, |_, _| answer("200 OK", "", ""));
-    let (first_entry, written) = (entry("e", harness.endpoint, 7, "Ready"), Arc::new(AtomicUsize::new(0)));
+    let mut harness = Harness::new(name, |_, _| http_response("200 OK", "", ""));
+    let (first_entry, written) =
+        (list_entry("e", harness.endpoint_address, 7, "Ready"), Arc::new(AtomicUsize::new(0)));
     let (byte_counter, batch) = (written.clone(), entry_text.repeat(200));
     let discovery = Discovery::start(move |number, _, stream| {
         if number == 0 {
@@ -380,9 +388,11 @@
     });
     harness.kill();
     let config = harness.config.replace(r#""memory_mb": 192"#, r#""memory_mb": 1"#);
-    harness.config = config.replace(&harness.discovery.to_string(), &discovery.address.to_string());
+    harness.config = config.replace(&harness.discovery_address.to_string(), &discovery.address.to_string());
     harness.start();
-    harness.until("the list is rejected", |harness| harness.log().contains("discovery: code=list_too_large"));
+    harness.wait_until("the list is rejected", |harness| {
+        harness.log().contains("discovery: code=list_too_large")
+    });
     let written = written.load(Ordering::SeqCst);
     assert_delivered(&harness, "a1", 7);
     written
@@ -412,8 +422,8 @@
 /// whole request and does not start again with each byte.
 #[test]
 fn a_list_that_arrives_too_slowly_is_abandoned() {
-    let mut harness = World::new("dribbles", |_, _| answer("200 OK", "", ""));
-    let first_entry = entry("e", harness.endpoint, 7, "Ready");
+    let mut harness = Harness::new("dribbles", |_, _| http_response("200 OK", "", ""));
+    let first_entry = list_entry("e", harness.endpoint_address, 7, "Ready");
     let discovery = Discovery::start(move |number, path, stream| match number {
         0 => respond(stream, &list(1, true, &first_entry)),
         1 => {
@@ -426,7 +436,7 @@
         _ => respond_unchanged(stream, path, 1),
     });
     switch_discovery(&mut harness, &discovery);
-    harness.until("the next request", |_| discovery.requests().len() > 2);
+    harness.wait_until("the next request", |_| discovery.requests().len() > 2);
     let requests = discovery.requests();
     let elapsed = requests[2].received_at - requests[1].received_at;
     assert!(elapsed < Duration::from_secs(6), "abandoned after {elapsed:?}");
@@ -437,14 +447,18 @@
 /// An oversized entry is skipped with a log line of its own. The rest of the list takes effect.
 #[test]
 fn an_oversized_entry_does_not_hide_others() {
-    let harness = World::new("sixty", |_, _| answer("200 OK", "", ""));
-    let oversized_entry =
-        entry("l", harness.endpoint, 8, "Ready").replace('{', &format!(r#"{{"x":"{}","#, "x".repeat(60_000)));
-    let entries =
-        [entry("e", harness.endpoint, 7, "Ready"), oversized_entry, entry("f", harness.endpoint, 9, "Ready")];
-    harness.platform.list(&entries);
-    harness
-        .until("the list is in force", |harness| harness.log().contains("discovery: version 2, 2 entries"));
+    let harness = Harness::new("sixty", |_, _| http_response("200 OK", "", ""));
+    let oversized_entry = list_entry("l", harness.endpoint_address, 8, "Ready")
+        .replace('{', &format!(r#"{{"x":"{}","#, "x".repeat(60_000)));
+    let entries = [
+        list_entry("e", harness.endpoint_address, 7, "Ready"),
+        oversized_entry,
+        list_entry("f", harness.endpoint_address, 9, "Ready"),
+    ];
+    harness.platform.set_list(&entries);
+    harness.wait_until("the list is in force", |harness| {
+        harness.log().contains("discovery: version 2, 2 entries")
+    });
     assert_eq!(count_in_log(&harness, "discovery: code=entry_too_large"), 1);
     assert_delivered(&harness, "a1", 7);
     assert_delivered(&harness, "a2", 9);
@@ -454,12 +468,13 @@
 /// The first few malformed entries are logged one by one, and the number of all of them is logged.
 #[test]
 fn malformed_entries_are_counted() {
-    let harness = World::new("unread", |_, _| answer("200 OK", "", ""));
+    let harness = Harness::new("unread", |_, _| http_response("200 OK", "", ""));
     let mut entries = vec![r#"{"instanceId":"no address"}"#.to_owned(); 1000];
-    entries.push(entry("e", harness.endpoint, 7, "Ready"));
-    harness.platform.list(&entries);
-    harness
-        .until("the list is in force", |harness| harness.log().contains("discovery: version 2, 1 entries"));
+    entries.push(list_entry("e", harness.endpoint_address, 7, "Ready"));
+    harness.platform.set_list(&entries);
+    harness.wait_until("the list is in force", |harness| {
+        harness.log().contains("discovery: version 2, 1 entries")
+    });
     assert!(harness.log().contains("discovery: code=entry 1000 entries skipped"));
     assert_eq!(count_in_log(&harness, "code=entry"), 4);
     assert_delivered(&harness, "a1", 7);
@@ -469,7 +484,7 @@
 /// lists.
 #[test]
 fn names_that_change_with_each_list_retain_no_memory() {
-    let harness = World::new("changing", |_, _| answer("200 OK", "", ""));
+    let harness = Harness::new("changing", |_, _| http_response("200 OK", "", ""));
     let mut peak_after_six = 0;
     for index in 0..16 {
         let names: String = (0..2000)
@@ -477,9 +492,9 @@
                 numbered_entry(number).replace("many-", &format!("{index}-of-many-{number}-")) + ","
             })
             .collect();
-        harness.platform.list(&[names + &entry("e", harness.endpoint, 7, "Ready")]);
+        harness.platform.set_list(&[names + &list_entry("e", harness.endpoint_address, 7, "Ready")]);
         let version = format!("discovery: version {}, 2001 entries", index + 2);
-        harness.until("the list is in force", |harness| harness.log().contains(&version));
+        harness.wait_until("the list is in force", |harness| harness.log().contains(&version));
         if index == 5 {
             peak_after_six = harness.memory("VmHWM");
         }
@@ -498,8 +513,8 @@
 /// or after two seconds. Guards against clients that wait while a list is read.
 #[test]
 fn clients_are_answered_while_a_large_list_is_received() {
-    let mut harness = World::new("throughout", |_, _| answer("200 OK", "", ""));
-    let first_entry = entry("e", harness.endpoint, 7, "Ready");
+    let mut harness = Harness::new("throughout", |_, _| http_response("200 OK", "", ""));
+    let first_entry = list_entry("e", harness.endpoint_address, 7, "Ready");
     let reply_count = Arc::new(AtomicUsize::new(0));
     let (replied, enough_replies) = (reply_count.clone(), Arc::new(AtomicBool::new(false)));
     let has_enough_replies = enough_replies.clone();
@@ -507,7 +522,7 @@
         0 => respond(stream, &list(1, true, &first_entry)),
         1 => {
             let body = list(2, true, &format!("{first_entry},{}", numbered_entries(0..20_000)));
-            let response = answer("200 OK", "", &body).unwrap_or_default();
+            let response = http_response("200 OK", "", &body).unwrap_or_default();
             let (front, back) = response.as_bytes().split_at(response.len() / 2);
             stream.write_all(front)?;
             let replied_before = replied.load(Ordering::SeqCst);
@@ -523,7 +538,7 @@
         _ => respond_unchanged(stream, path, 2),
     });
     switch_discovery(&mut harness, &discovery);
-    harness.until("the first list is in force", |harness| {
+    harness.wait_until("the first list is in force", |harness| {
         harness.log().contains("discovery: version 1, 1 entries")
     });
     let mut sent = 0;
@@ -549,15 +564,16 @@
 /// the new server comes into force.
 #[test]
 fn a_change_of_discovery_discards_a_partly_received_list() {
-    let mut harness = World::new("midst", |_, _| answer("200 OK", "", ""));
-    let first_entry = entry("e", harness.endpoint, 7, "Ready");
+    let mut harness = Harness::new("midst", |_, _| http_response("200 OK", "", ""));
+    let first_entry = list_entry("e", harness.endpoint_address, 7, "Ready");
     let half_sent = Arc::new(AtomicBool::new(false));
     let (listed_entry, half_is_sent) = (first_entry.clone(), half_sent.clone());
     let old_discovery = Discovery::start(move |number, _, stream| {
         if number == 0 {
             return respond(stream, &list(4, true, &listed_entry));
         }
-        let response = answer("200 OK", "", &list(5, true, &numbered_entries(0..2000))).unwrap_or_default();
+        let response =
+            http_response("200 OK", "", &list(5, true, &numbered_entries(0..2000))).unwrap_or_default();
         stream.write_all(&response.as_bytes()[..response.len() / 2])?;
         half_is_sent.store(true, Ordering::SeqCst);
         loop {
@@ -569,11 +585,11 @@
         _ => respond_unchanged(stream, path, 2),
     });
     switch_discovery(&mut harness, &old_discovery);
-    harness.until("half of the list was sent", |_| half_sent.load(Ordering::SeqCst));
+    harness.wait_until("half of the list was sent", |_| half_sent.load(Ordering::SeqCst));
     harness.config =
         harness.config.replace(&old_discovery.address.to_string(), &new_discovery.address.to_string());
     harness.reload(&harness.config);
-    harness.until("the new list is in force", |harness| {
+    harness.wait_until("the new list is in force", |harness| {
         harness.log().contains("discovery: version 2, 1 entries")
     });
     assert_eq!(new_discovery.requests()[0].path, FULL_LIST_PATH);
--- a/crates/sailcart-sender/tests/reboot.rs
+++ b/crates/sailcart-sender/tests/reboot.rs
@@ -9,17 +9,17 @@
 use sailcart_store::SyncPolicy;
 
 #[allow(dead_code)] // each test file uses a part of this module
-mod peer;
+mod common;
 
-use peer::answer;
-use peer::world::World;
+use common::harness::Harness;
+use common::http_response;
 
 /// The kernel's boot id differs from the one in the journal, so the time since the dispatch is unknown,
 /// whatever the wall clock says. A packet that was dispatched is not repeated, because the destination may
 /// have forgotten its idempotency key; a packet that was never dispatched is sent.
 #[test]
 fn after_a_reboot_only_undispatched_packets_are_sent() {
-    let mut world = World::new("other-boot", |_, _| answer("200 OK", "", ""));
+    let mut world = Harness::new("other-boot", |_, _| http_response("200 OK", "", ""));
     world.kill();
     let mut ledger = Ledger::open(&world.folder, 1_000_000, 16, SyncPolicy::None).expect("a journal");
     let in_another_boot = |moment: Moment| Moment {
@@ -50,7 +50,7 @@
     ledger.record_dispatch(&[dispatched], in_another_boot(now)).expect("capacity");
     drop(ledger);
     world.start();
-    world.until("the call", |world| world.came() == ["untried"]);
-    world.until("the notice", |world| world.notices().iter().any(|line| line.contains("called")));
-    assert_eq!(world.came(), ["untried"]);
+    world.wait_until("the call", |world| world.received_ids() == ["untried"]);
+    world.wait_until("the notice", |world| world.notices().iter().any(|line| line.contains("called")));
+    assert_eq!(world.received_ids(), ["untried"]);
 }
--- a/crates/sailcart-sender/tests/static_list.rs
+++ b/crates/sailcart-sender/tests/static_list.rs
@@ -1,7 +1,7 @@
 //! A sender with a static endpoint list in its configuration file, without a platform.
 
 #[allow(dead_code)]
-mod peer;
+mod common;
 
 use std::fs;
 use std::net::{SocketAddr, TcpListener};
@@ -10,7 +10,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-use peer::{answer, listen, put, say};
+use common::{http_response, send_command, serve_http, submit};
 
 const EXAMPLE: &str = include_str!("../../../examples/sailcart.toml");
 
@@ -33,9 +33,9 @@
     fn new() -> StaticListHarness {
         let delivered = Arc::new(Mutex::new(Vec::new()));
         let recorded = delivered.clone();
-        let endpoint = listen("127.0.0.1:0", move |call| {
+        let endpoint = serve_http("127.0.0.1:0", move |call| {
             recorded.lock().expect("mutex is not poisoned").push(call.header("X-Call-Id").to_owned());
-            answer("200 OK", "", "")
+            http_response("200 OK", "", "")
         });
         let free_address = |address: &str| {
             let listener = TcpListener::bind(address).expect("bind to a free port");
@@ -70,7 +70,7 @@
             .expect("start the sender");
         let harness = StaticListHarness { folder, sender_address, sender, delivered, config };
         harness.until("the sender is ready", |harness| {
-            say(harness.sender_address, "*1\r\n$4\r\nPING\r\n").is_ok()
+            send_command(harness.sender_address, "*1\r\n$4\r\nPING\r\n").is_ok()
         });
         harness
     }
@@ -88,7 +88,7 @@
     }
 
     fn put(&self, id: &str, destination: u64) -> String {
-        put(self.sender_address, id, &format!("c=notice,t=acme,d=8000,k={id},dest={destination}"), "hello")
+        submit(self.sender_address, id, &format!("c=notice,t=acme,d=8000,k={id},dest={destination}"), "hello")
             .expect("reply")
     }
 
