--- a/crates/sailcart-lab/src/experiment/mod.rs
+++ b/crates/sailcart-lab/src/experiment/mod.rs
@@ -33,7 +33,7 @@
     pub about: String,
     #[serde(default)]
     pub mode: Mode,
-    #[serde(default = "one")]
+    #[serde(default = "default_seed")]
     pub seed: u64,
     /// How long clients submit new packets.
     #[serde(with = "humantime_serde")]
@@ -59,11 +59,11 @@
     pub bounds: Vec<String>,
 }
 
-fn one() -> u64 {
+fn default_seed() -> u64 {
     1
 }
 
-fn yes() -> bool {
+fn default_cancel() -> bool {
     true
 }
 
@@ -78,16 +78,16 @@
     /// Maximum number of packets held, per sender.
     pub hold: usize,
     /// Maximum number of dispatches of a packet.
-    #[serde(default = "six")]
+    #[serde(default = "default_dispatches")]
     pub dispatches: u32,
     /// Whether a sender may cancel calls in flight.
-    #[serde(default = "yes")]
+    #[serde(default = "default_cancel")]
     pub cancel: bool,
     /// Minimum time between two rounds.
-    #[serde(default = "round", with = "humantime_serde")]
+    #[serde(default = "default_round", with = "humantime_serde")]
     pub round: Duration,
     /// Timeout of a connection attempt.
-    #[serde(default = "second", with = "humantime_serde")]
+    #[serde(default = "one_second", with = "humantime_serde")]
     pub connect_time_out: Duration,
     /// Longest wait that clients can be asked for; absent if they are asked for none.
     #[serde(default, with = "humantime_serde::option", skip_serializing_if = "Option::is_none")]
@@ -96,37 +96,37 @@
     #[serde(default)]
     pub rates_listed: bool,
     /// Memory limit of a sender process, in MB (10^6 bytes).
-    #[serde(default = "memory")]
+    #[serde(default = "default_memory_mb")]
     pub memory_mb: f64,
     /// Maximum number of file descriptors of a sender process.
-    #[serde(default = "sockets")]
+    #[serde(default = "default_sockets")]
     pub sockets: usize,
     /// Limit of the state folder of a sender process, in MB (10^6 bytes).
-    #[serde(default = "disk")]
+    #[serde(default = "default_disk_mb")]
     pub disk_mb: f64,
 }
 
-fn six() -> u32 {
+fn default_dispatches() -> u32 {
     6
 }
 
-fn round() -> Duration {
+fn default_round() -> Duration {
     Duration::from_millis(5)
 }
 
-fn second() -> Duration {
+fn one_second() -> Duration {
     Duration::from_secs(1)
 }
 
-fn memory() -> f64 {
+fn default_memory_mb() -> f64 {
     192.0
 }
 
-fn sockets() -> usize {
+fn default_sockets() -> usize {
     1024
 }
 
-fn disk() -> f64 {
+fn default_disk_mb() -> f64 {
     3.0
 }
 
@@ -172,17 +172,17 @@
     #[serde(with = "humantime_serde")]
     pub patience: Duration,
     /// Credit for a delivery within the soft limit.
-    #[serde(default = "whole")]
+    #[serde(default = "unit_weight")]
     pub credit: f64,
     /// Minimum share of the credit for a delivery within the patience.
     #[serde(default)]
     pub late_share: f64,
     /// Share of the packets, relative to the other categories.
-    #[serde(default = "whole")]
+    #[serde(default = "unit_weight")]
     pub share: f64,
 }
 
-fn whole() -> f64 {
+fn unit_weight() -> f64 {
     1.0
 }
 
@@ -194,7 +194,7 @@
     /// Agreed packets per second over all senders.
     pub quota: f64,
     /// Share of the packets, relative to the other customers.
-    #[serde(default = "whole")]
+    #[serde(default = "unit_weight")]
     pub share: f64,
 }
 
@@ -204,14 +204,14 @@
 pub struct Kind {
     pub name: String,
     /// Maximum number of packets in a call.
-    #[serde(default = "single")]
+    #[serde(default = "default_count")]
     pub batch: usize,
     /// Whether endpoints are routes, each with its own limit and outages.
     #[serde(default)]
     pub own_limits: bool,
 }
 
-fn single() -> usize {
+fn default_count() -> usize {
     1
 }
 
@@ -222,61 +222,61 @@
     /// The name of the group in troubles and reports.
     pub name: String,
     /// Number of destinations.
-    #[serde(default = "single")]
+    #[serde(default = "default_count")]
     pub count: usize,
     /// The name of their kind.
     pub kind: String,
     /// Endpoints per destination.
-    #[serde(default = "single")]
+    #[serde(default = "default_count")]
     pub endpoints: usize,
     /// The median service time of the group; the one of each destination is drawn around it.
     #[serde(with = "humantime_serde")]
     pub pace: Duration,
     /// Variation of service times: the sigma of a lognormal distribution.
-    #[serde(default = "spread")]
+    #[serde(default = "default_spread")]
     pub spread: f64,
     /// Variation of the service time between destinations of the group: the sigma of a lognormal
     /// distribution.
     #[serde(default)]
     pub pace_spread: f64,
     /// Calls that an endpoint executes at once.
-    #[serde(default = "servers")]
+    #[serde(default = "default_servers")]
     pub servers: usize,
     /// Maximum number of calls that wait at an endpoint; further ones are rejected.
-    #[serde(default = "queue")]
+    #[serde(default = "default_queue")]
     pub queue: usize,
     /// Traffic of the group, relative to the other groups.
-    #[serde(default = "whole")]
+    #[serde(default = "unit_weight")]
     pub weight: f64,
     #[serde(default)]
     pub limit: Limit,
     /// Maximum number of connections of an endpoint, including idle ones.
-    #[serde(default = "sockets")]
+    #[serde(default = "default_sockets")]
     pub connections: usize,
     /// Delay of the first call on a new connection.
     #[serde(default, with = "humantime_serde")]
     pub handshake: Duration,
     /// Time after which an endpoint closes an idle connection.
-    #[serde(default = "idle", with = "humantime_serde")]
+    #[serde(default = "default_idle_close", with = "humantime_serde")]
     pub idle_close: Duration,
     /// Whether answers report the unused share of the limit and the limit.
     #[serde(default)]
     pub report: bool,
 }
 
-fn spread() -> f64 {
+fn default_spread() -> f64 {
     0.3
 }
 
-fn servers() -> usize {
+fn default_servers() -> usize {
     4
 }
 
-fn queue() -> usize {
+fn default_queue() -> usize {
     16
 }
 
-fn idle() -> Duration {
+fn default_idle_close() -> Duration {
     Duration::from_secs(10)
 }
 
@@ -311,7 +311,7 @@
 
 impl Default for Limit {
     fn default() -> Self {
-        Limit { by: LimitBy::None, rate: 0.0, span: second(), refused_count: false, tells: 0.5 }
+        Limit { by: LimitBy::None, rate: 0.0, span: one_second(), refused_count: false, tells: 0.5 }
     }
 }
 
@@ -328,39 +328,39 @@
     #[serde(default)]
     pub clumped: f64,
     /// Packets per burst.
-    #[serde(default = "clump")]
+    #[serde(default = "default_clump")]
     pub clump: usize,
     /// Maximum number of resubmissions of a dismissed packet.
-    #[serde(default = "once")]
+    #[serde(default = "default_again")]
     pub again: u32,
     /// Minimum delay before a resubmission.
-    #[serde(default = "half_second", with = "humantime_serde")]
+    #[serde(default = "default_pause", with = "humantime_serde")]
     pub pause: Duration,
     /// Number of keys per destination.
-    #[serde(default = "keys")]
+    #[serde(default = "default_keys")]
     pub keys: u64,
     /// Size of a packet body, in bytes.
-    #[serde(default = "body")]
+    #[serde(default = "default_body")]
     pub body: usize,
 }
 
-fn clump() -> usize {
+fn default_clump() -> usize {
     20
 }
 
-fn once() -> u32 {
+fn default_again() -> u32 {
     1
 }
 
-fn half_second() -> Duration {
+fn default_pause() -> Duration {
     Duration::from_millis(500)
 }
 
-fn keys() -> u64 {
+fn default_keys() -> u64 {
     50
 }
 
-fn body() -> usize {
+fn default_body() -> usize {
     200
 }
 
@@ -397,7 +397,7 @@
 impl Default for Rules {
     fn default() -> Self {
         Rules {
-            drain_grace: second(),
+            drain_grace: one_second(),
             cold_from: 0.3,
             cold: Duration::from_secs(10),
             fall_multiple: 2.0,
@@ -427,7 +427,7 @@
 
 impl Default for Network {
     fn default() -> Self {
-        Network { transit: Duration::from_millis(1), list_delay: second(), notice_death: second() }
+        Network { transit: Duration::from_millis(1), list_delay: one_second(), notice_death: one_second() }
     }
 }
 
