--- a/crates/sailcart-lab/src/capacity/decision_module.rs
+++ b/crates/sailcart-lab/src/capacity/decision_module.rs
@@ -13,7 +13,7 @@
 use super::scaling::{DestinationIndex, ScalingSubject};
 use super::series::{Measurements, Quantity};
 use super::sizes::Sizes;
-use crate::experiment::Fault;
+use crate::experiment::LabError;
 
 /// Number of senders that the module's settings state.
 const FLEET_SENDERS: usize = 2600;
@@ -176,7 +176,7 @@
 
 /// Measures the module at every size. The modules of all sizes exist until the last one is measured, so that
 /// memory freed by one size is not reused, and thereby missed, at another.
-pub fn measure(sizes: &Sizes, measurements: &mut Measurements) -> Result<(), Fault> {
+pub fn measure(sizes: &Sizes, measurements: &mut Measurements) -> Result<(), LabError> {
     let mut retained = Vec::new();
     for size in sizes.module_destinations.iter().copied() {
         retained.push(measure_size(size, sizes, measurements)?);
@@ -184,9 +184,9 @@
     Ok(())
 }
 
-fn resident_bytes() -> Result<f64, Fault> {
+fn resident_bytes() -> Result<f64, LabError> {
     let status = procfs::process::Process::myself().and_then(|process| process.status());
-    let status = status.map_err(|error| Fault(format!("procfs: {error}")))?;
+    let status = status.map_err(|error| LabError(format!("procfs: {error}")))?;
     Ok(status.vmrss.unwrap_or(0) as f64 * 1024.0)
 }
 
@@ -194,7 +194,7 @@
     size: usize,
     sizes: &Sizes,
     measurements: &mut Measurements,
-) -> Result<Vec<DecisionModule>, Fault> {
+) -> Result<Vec<DecisionModule>, LabError> {
     let entries: Vec<ListEntry> = (0..size as u64).map(|index| listing(index, true)).collect();
     let count = (TOTAL_DESTINATIONS / size.max(1)).clamp(1, MAX_MODULES);
     let bytes_before = resident_bytes()?;
--- a/crates/sailcart-lab/src/capacity/model/inputs.rs
+++ b/crates/sailcart-lab/src/capacity/model/inputs.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::experiment::Fault;
+use crate::experiment::LabError;
 
 /// How the default of an input was determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -120,10 +120,10 @@
 impl Inputs {
     /// Reads a TOML file of inputs; those that it does not name keep their defaults. The error names the
     /// file, and the input if it is unknown.
-    pub fn read(path: &Path) -> Result<Self, Fault> {
+    pub fn read(path: &Path) -> Result<Self, LabError> {
         let text = std::fs::read_to_string(path);
-        let text = text.map_err(|error| Fault(format!("{}: {error}", path.display())))?;
-        toml::from_str(&text).map_err(|error| Fault(format!("{}: {error}", path.display())))
+        let text = text.map_err(|error| LabError(format!("{}: {error}", path.display())))?;
+        toml::from_str(&text).map_err(|error| LabError(format!("{}: {error}", path.display())))
     }
 
     /// Events per second of one sender.
--- a/crates/sailcart-lab/src/capacity/processes/client.rs
+++ b/crates/sailcart-lab/src/capacity/processes/client.rs
@@ -11,7 +11,7 @@
 
 use super::discovery::DestinationIndex;
 use super::sender_process::CATEGORY;
-use crate::experiment::Fault;
+use crate::experiment::LabError;
 
 /// Maximum wait for a reply, longer than any pause that is to be measured.
 const READ_TIMEOUT: Duration = Duration::from_secs(60);
@@ -116,10 +116,10 @@
 
     /// Stops the thread and returns the pauses it saw. An error if the thread panicked or its connection
     /// failed.
-    pub fn stop(self) -> Result<PauseStats, Fault> {
+    pub fn stop(self) -> Result<PauseStats, LabError> {
         self.stop.store(true, Ordering::Relaxed);
-        let result = self.thread.join().map_err(|_| Fault("ping: the thread panicked".to_owned()))?;
-        let histogram = result.map_err(|error| Fault(format!("ping: {error}")))?;
+        let result = self.thread.join().map_err(|_| LabError("ping: the thread panicked".to_owned()))?;
+        let histogram = result.map_err(|error| LabError(format!("ping: {error}")))?;
         let (max, p99) = (histogram.max(), histogram.value_at_quantile(0.99));
         Ok(PauseStats { max: Duration::from_micros(max), p99: Duration::from_micros(p99) })
     }
--- a/crates/sailcart-lab/src/capacity/processes/list.rs
+++ b/crates/sailcart-lab/src/capacity/processes/list.rs
@@ -9,7 +9,7 @@
 use super::sender_process::SenderProcess;
 use crate::capacity::series::{Measurements, Quantity};
 use crate::capacity::sizes::Sizes;
-use crate::experiment::Fault;
+use crate::experiment::LabError;
 
 /// Maximum time in which a list must be read or refused.
 const LIST_READ_TIMEOUT: Duration = Duration::from_secs(40);
@@ -52,9 +52,9 @@
     destinations: usize,
     sizes: &Sizes,
     measurements: &mut Measurements,
-) -> Result<(), Fault> {
+) -> Result<(), LabError> {
     let discovery = DiscoveryStub::open(destinations, EndpointAddresses::Unreachable);
-    let discovery = discovery.map_err(|error| Fault(format!("discovery: {error}")))?;
+    let discovery = discovery.map_err(|error| LabError(format!("discovery: {error}")))?;
     let sender = SenderProcess::start(program, discovery.address)?;
     if discovery.wait_full_list_read(LIST_READ_TIMEOUT) == ListRead::Refused {
         record_refused(&LIST_QUANTITIES, destinations, measurements);
@@ -73,7 +73,7 @@
 }
 
 impl LoadedSender<'_> {
-    fn measure_idle(&self, measurements: &mut Measurements) -> Result<(), Fault> {
+    fn measure_idle(&self, measurements: &mut Measurements) -> Result<(), LabError> {
         let mut record = |quantity, value| measurements.record(quantity, self.destinations, value);
         record(Quantity::ListStartToReady, self.sender.start_to_ready.as_secs_f64());
         record(Quantity::ListMemory, self.sender.resident_bytes()?);
@@ -83,7 +83,7 @@
     }
 
     /// Measures what changes cost in addition to the processor use of the idle sender.
-    fn measure_changes(&self, measurements: &mut Measurements) -> Result<(), Fault> {
+    fn measure_changes(&self, measurements: &mut Measurements) -> Result<(), LabError> {
         let idle_cores = measurements.last_value(Quantity::ListIdleProcessor).unwrap_or_default();
         let (seconds_before, version) = (self.sender.processor_seconds()?, self.discovery.version());
         let start = Instant::now();
@@ -103,7 +103,7 @@
         Ok(())
     }
 
-    fn measure_change_pauses(&self, measurements: &mut Measurements) -> Result<(), Fault> {
+    fn measure_change_pauses(&self, measurements: &mut Measurements) -> Result<(), LabError> {
         let pinger = Pinger::start(self.sender.listen_address);
         let is_current = self.publish_changes(self.sizes.pause_span).is_some();
         let pauses = pinger.stop()?;
@@ -112,7 +112,7 @@
         Ok(())
     }
 
-    fn measure_read(&self, measurements: &mut Measurements) -> Result<(), Fault> {
+    fn measure_read(&self, measurements: &mut Measurements) -> Result<(), LabError> {
         let seconds_before = self.sender.processor_seconds()?;
         let list_read = self.publish_full_list();
         let seconds = self.sender.processor_seconds()? - seconds_before;
@@ -128,7 +128,7 @@
         Ok(())
     }
 
-    fn measure_read_pauses(&self, measurements: &mut Measurements) -> Result<(), Fault> {
+    fn measure_read_pauses(&self, measurements: &mut Measurements) -> Result<(), LabError> {
         let pinger = Pinger::start(self.sender.listen_address);
         std::thread::sleep(PAUSE_MARGIN);
         let list_read = self.publish_full_list();
@@ -179,7 +179,7 @@
 }
 
 /// Share of a core that the sender uses when it has no work.
-fn idle_cores(sender: &SenderProcess, span: Duration) -> Result<f64, Fault> {
+fn idle_cores(sender: &SenderProcess, span: Duration) -> Result<f64, LabError> {
     let (seconds_before, start) = (sender.processor_seconds()?, Instant::now());
     std::thread::sleep(span);
     Ok((sender.processor_seconds()? - seconds_before) / start.elapsed().as_secs_f64())
--- a/crates/sailcart-lab/src/capacity/processes/packets.rs
+++ b/crates/sailcart-lab/src/capacity/processes/packets.rs
@@ -10,7 +10,7 @@
 use super::sender_process::SenderProcess;
 use crate::capacity::series::{Measurements, Quantity};
 use crate::capacity::sizes::Sizes;
-use crate::experiment::Fault;
+use crate::experiment::LabError;
 
 /// Bytes of a packet's body. The model's input `event_bytes` must be close to it.
 pub const BODY_BYTES: usize = 1024;
@@ -19,9 +19,9 @@
 /// Maximum time until the last submitted packet is delivered.
 const DELIVERY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Converts an I/O error into a [`Fault`] that names the part that failed.
-pub fn io_fault(part: &str) -> impl Fn(std::io::Error) -> Fault {
-    move |error| Fault(format!("{part}: {error}"))
+/// Converts an I/O error into a [`LabError`] that names the part that failed.
+pub fn io_error(part: &str) -> impl Fn(std::io::Error) -> LabError {
+    move |error| LabError(format!("{part}: {error}"))
 }
 
 fn put_commands(ids: std::ops::Range<usize>, body_bytes: usize) -> Vec<PutCommand> {
@@ -34,11 +34,11 @@
 }
 
 /// Waits until the endpoint has answered this many calls. The error states how many it did answer in time.
-pub fn wait_for_calls(endpoint: &EndpointStub, count: usize) -> Result<(), Fault> {
+pub fn wait_for_calls(endpoint: &EndpointStub, count: usize) -> Result<(), LabError> {
     let start = Instant::now();
     while endpoint.answered_calls() < count {
         if start.elapsed() > DELIVERY_TIMEOUT {
-            return Err(Fault(format!("{} of {count} packets delivered", endpoint.answered_calls())));
+            return Err(LabError(format!("{} of {count} packets delivered", endpoint.answered_calls())));
         }
         std::thread::sleep(POLL_INTERVAL);
     }
@@ -55,26 +55,26 @@
 }
 
 impl DeliveryHarness {
-    fn start(program: &Path) -> Result<Self, Fault> {
-        let endpoint = EndpointStub::open().map_err(io_fault("endpoint"))?;
+    fn start(program: &Path) -> Result<Self, LabError> {
+        let endpoint = EndpointStub::open().map_err(io_error("endpoint"))?;
         let addresses = EndpointAddresses::Shared(endpoint.address);
-        let discovery = DiscoveryStub::open(DESTINATIONS, addresses).map_err(io_fault("discovery"))?;
+        let discovery = DiscoveryStub::open(DESTINATIONS, addresses).map_err(io_error("discovery"))?;
         let sender = SenderProcess::start(program, discovery.address)?;
-        let client = Client::connect(sender.listen_address).map_err(io_fault("client"))?;
+        let client = Client::connect(sender.listen_address).map_err(io_error("client"))?;
         Ok(DeliveryHarness { endpoint, _discovery: discovery, sender, client })
     }
 }
 
 /// Measures packets held for destinations without a live endpoint, then kills the sender and measures the
 /// restart.
-pub fn measure_held(program: &Path, sizes: &Sizes, measurements: &mut Measurements) -> Result<(), Fault> {
+pub fn measure_held(program: &Path, sizes: &Sizes, measurements: &mut Measurements) -> Result<(), LabError> {
     let discovery =
-        DiscoveryStub::open(DESTINATIONS, EndpointAddresses::Draining).map_err(io_fault("discovery"))?;
+        DiscoveryStub::open(DESTINATIONS, EndpointAddresses::Draining).map_err(io_error("discovery"))?;
     let mut sender = SenderProcess::start(program, discovery.address)?;
     let mut submitted = 0;
     for size in sizes.held_packets.iter().copied() {
-        let mut client = Client::connect(sender.listen_address).map_err(io_fault("client"))?;
-        client.submit_all(&put_commands(submitted..size, BODY_BYTES)).map_err(io_fault("held packets"))?;
+        let mut client = Client::connect(sender.listen_address).map_err(io_error("client"))?;
+        client.submit_all(&put_commands(submitted..size, BODY_BYTES)).map_err(io_error("held packets"))?;
         submitted = size;
         measurements.record(Quantity::HeldJournal, size, sender.journal_bytes());
         measurements.record(Quantity::HeldMemory, size, sender.resident_bytes()?);
@@ -85,7 +85,7 @@
 }
 
 /// Measures processor use while packets are delivered, at several rates.
-pub fn measure_delivery(program: &Path, sizes: &Sizes, measurements: &mut Measurements) -> Result<(), Fault> {
+pub fn measure_delivery(program: &Path, sizes: &Sizes, measurements: &mut Measurements) -> Result<(), LabError> {
     let DeliveryHarness { endpoint, _discovery, sender, mut client } = DeliveryHarness::start(program)?;
     let mut submitted = 0;
     for rate in sizes.packets_per_second.iter().copied() {
@@ -93,7 +93,7 @@
         let first = submitted;
         while start.elapsed() < sizes.delivery_span {
             let due = first + (start.elapsed().as_secs_f64() * rate as f64) as usize;
-            client.submit_all(&put_commands(submitted..due, BODY_BYTES)).map_err(io_fault("packets"))?;
+            client.submit_all(&put_commands(submitted..due, BODY_BYTES)).map_err(io_error("packets"))?;
             submitted = due.max(submitted);
             std::thread::sleep(POLL_INTERVAL);
         }
@@ -115,11 +115,11 @@
     program: &Path,
     sizes: &Sizes,
     measurements: &mut Measurements,
-) -> Result<(), Fault> {
+) -> Result<(), LabError> {
     let DeliveryHarness { endpoint, _discovery, sender, mut client } = DeliveryHarness::start(program)?;
     let mut submitted = 0;
     for size in sizes.completed_packets.iter().copied() {
-        client.submit_all(&put_commands(submitted..size, 16)).map_err(io_fault("completed packets"))?;
+        client.submit_all(&put_commands(submitted..size, 16)).map_err(io_error("completed packets"))?;
         submitted = size;
         wait_for_calls(&endpoint, submitted)?;
         measurements.record(Quantity::CompletedMemory, size, sender.resident_bytes()?);
--- a/crates/sailcart-lab/src/capacity/processes/sender_process.rs
+++ b/crates/sailcart-lab/src/capacity/processes/sender_process.rs
@@ -13,7 +13,7 @@
 use tempfile::TempDir;
 
 use super::client::Client;
-use crate::experiment::Fault;
+use crate::experiment::LabError;
 
 /// `limits.memory_mb` of every measurement. This limit and the next two are far above the defaults, so that
 /// the sender meets none of them.
@@ -44,8 +44,8 @@
     thread_seconds: RefCell<BTreeMap<i32, f64>>,
 }
 
-fn io_fault(part: &str) -> impl Fn(std::io::Error) -> Fault {
-    move |error| Fault(format!("{part}: {error}"))
+fn io_error(part: &str) -> impl Fn(std::io::Error) -> LabError {
+    move |error| LabError(format!("{part}: {error}"))
 }
 
 fn settings() -> Value {
@@ -69,14 +69,14 @@
 impl SenderProcess {
     /// Starts a sender in a new temporary folder and waits until it answers `PING`. The error contains the
     /// end of the sender's log if it exits or is not ready in time.
-    pub fn start(program: &Path, discovery: SocketAddr) -> Result<Self, Fault> {
+    pub fn start(program: &Path, discovery: SocketAddr) -> Result<Self, LabError> {
         let folder = tempfile::Builder::new().prefix("sailcart-capacity").tempdir();
-        let folder = folder.map_err(io_fault("folder"))?;
-        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).map_err(io_fault("listen"))?;
-        let listen_address = listener.local_addr().map_err(io_fault("listen"))?;
+        let folder = folder.map_err(io_error("folder"))?;
+        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).map_err(io_error("listen"))?;
+        let listen_address = listener.local_addr().map_err(io_error("listen"))?;
         drop(listener);
         let state = folder.path().join("state");
-        std::fs::create_dir(&state).map_err(io_fault("folder"))?;
+        std::fs::create_dir(&state).map_err(io_error("folder"))?;
         let config = folder.path().join("config.json");
         let text = json!({
             "name": "measured", "listen": listen_address.to_string(), "discovery": discovery.to_string(),
@@ -85,7 +85,7 @@
                 "cores": 1.0, "memory_mb": MEMORY_LIMIT_MB, "sockets": SOCKET_LIMIT, "disk_mb": DISK_LIMIT_MB
             },
         });
-        std::fs::write(&config, text.to_string()).map_err(io_fault("folder"))?;
+        std::fs::write(&config, text.to_string()).map_err(io_error("folder"))?;
         let child = spawn(program, &config)?;
         let (program, start_to_ready) = (program.to_owned(), Duration::ZERO);
         let mut sender = SenderProcess {
@@ -102,7 +102,7 @@
     }
 
     /// Kills the process with SIGKILL and starts it again in the same folder.
-    pub fn restart(&mut self) -> Result<(), Fault> {
+    pub fn restart(&mut self) -> Result<(), LabError> {
         self.kill();
         self.thread_seconds.take();
         let started_at = Instant::now();
@@ -110,18 +110,18 @@
         self.wait_ready(started_at)
     }
 
-    fn wait_ready(&mut self, started_at: Instant) -> Result<(), Fault> {
+    fn wait_ready(&mut self, started_at: Instant) -> Result<(), LabError> {
         while started_at.elapsed() < READY_TIMEOUT {
             if Client::connect(self.listen_address).and_then(|mut client| client.ping()).is_ok() {
                 self.start_to_ready = started_at.elapsed();
                 return Ok(());
             }
             if let Ok(Some(status)) = self.child.try_wait() {
-                return Err(Fault(format!("the sender exited with {status}: {}", self.log_tail())));
+                return Err(LabError(format!("the sender exited with {status}: {}", self.log_tail())));
             }
             std::thread::sleep(POLL_INTERVAL);
         }
-        Err(Fault(format!("the sender was not ready within {READY_TIMEOUT:?}: {}", self.log_tail())))
+        Err(LabError(format!("the sender was not ready within {READY_TIMEOUT:?}: {}", self.log_tail())))
     }
 
     fn log_tail(&self) -> String {
@@ -129,30 +129,30 @@
         log.lines().rev().take(3).collect::<Vec<_>>().join(" / ")
     }
 
-    fn process(&self) -> Result<Process, Fault> {
-        Process::new(self.child.id() as i32).map_err(|error| Fault(format!("procfs: {error}")))
+    fn process(&self) -> Result<Process, LabError> {
+        Process::new(self.child.id() as i32).map_err(|error| LabError(format!("procfs: {error}")))
     }
 
     /// Resident memory in bytes.
-    pub fn resident_bytes(&self) -> Result<f64, Fault> {
+    pub fn resident_bytes(&self) -> Result<f64, LabError> {
         Ok(self.status()?.vmrss.unwrap_or(0) as f64 * 1024.0)
     }
 
     /// Peak resident memory since the start, in bytes.
-    pub fn peak_resident_bytes(&self) -> Result<f64, Fault> {
+    pub fn peak_resident_bytes(&self) -> Result<f64, LabError> {
         Ok(self.status()?.vmhwm.unwrap_or(0) as f64 * 1024.0)
     }
 
-    fn status(&self) -> Result<procfs::process::Status, Fault> {
-        self.process()?.status().map_err(|error| Fault(format!("procfs: {error}")))
+    fn status(&self) -> Result<procfs::process::Status, LabError> {
+        self.process()?.status().map_err(|error| LabError(format!("procfs: {error}")))
     }
 
     /// Processor time since the start in seconds, as the scheduler accounts it to each thread. The time that
     /// a thread uses between the last read and its exit is missed. Without the scheduler's accounts, user and
     /// system time with the resolution of clock ticks.
-    pub fn processor_seconds(&self) -> Result<f64, Fault> {
+    pub fn processor_seconds(&self) -> Result<f64, LabError> {
         let process = self.process()?;
-        let tasks = process.tasks().map_err(|error| Fault(format!("procfs: {error}")))?;
+        let tasks = process.tasks().map_err(|error| LabError(format!("procfs: {error}")))?;
         let mut thread_seconds = self.thread_seconds.borrow_mut();
         for task in tasks.flatten() {
             let path = format!("/proc/{}/task/{}/schedstat", task.pid, task.tid);
@@ -161,7 +161,7 @@
             thread_seconds.extend(nanoseconds.map(|nanoseconds| (task.tid, nanoseconds / 1e9)));
         }
         if thread_seconds.is_empty() {
-            let stat = process.stat().map_err(|error| Fault(format!("procfs: {error}")))?;
+            let stat = process.stat().map_err(|error| LabError(format!("procfs: {error}")))?;
             return Ok((stat.utime + stat.stime) as f64 / procfs::ticks_per_second() as f64);
         }
         Ok(thread_seconds.values().sum())
@@ -187,10 +187,10 @@
 }
 
 /// Starts the sender through this program as its supervisor, so that it ends when this program ends.
-fn spawn(program: &Path, config: &Path) -> Result<Child, Fault> {
-    let lab = std::env::current_exe().map_err(io_fault("keep"))?;
+fn spawn(program: &Path, config: &Path) -> Result<Child, LabError> {
+    let lab = std::env::current_exe().map_err(io_error("keep"))?;
     let log = config.with_extension("log");
-    let log = std::fs::OpenOptions::new().create(true).append(true).open(log).map_err(io_fault("log"))?;
+    let log = std::fs::OpenOptions::new().create(true).append(true).open(log).map_err(io_error("log"))?;
     let child = Command::new(lab)
         .arg(KEEP_COMMAND)
         .arg(std::process::id().to_string())
@@ -201,5 +201,5 @@
         .stdout(Stdio::null())
         .stderr(log)
         .spawn();
-    child.map_err(io_fault("sender"))
+    child.map_err(io_error("sender"))
 }
--- a/crates/sailcart-lab/src/capacity/report.rs
+++ b/crates/sailcart-lab/src/capacity/report.rs
@@ -6,7 +6,7 @@
 
 use super::model::{Inputs, Row};
 use super::series::{Quantity, Series};
-use crate::experiment::Fault;
+use crate::experiment::LabError;
 
 /// The measurements of one run with one sender program.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -45,15 +45,15 @@
 
 impl Report {
     /// Reads a report from its JSON file. The error names the file.
-    pub fn read(path: &Path) -> Result<Self, Fault> {
+    pub fn read(path: &Path) -> Result<Self, LabError> {
         let text = std::fs::read_to_string(path);
-        let text = text.map_err(|error| Fault(format!("{}: {error}", path.display())))?;
-        serde_json::from_str(&text).map_err(|error| Fault(format!("{}: {error}", path.display())))
+        let text = text.map_err(|error| LabError(format!("{}: {error}", path.display())))?;
+        serde_json::from_str(&text).map_err(|error| LabError(format!("{}: {error}", path.display())))
     }
 
     /// The contents of the JSON file.
-    pub fn to_json(&self) -> Result<String, Fault> {
-        let text = serde_json::to_string_pretty(self).map_err(|error| Fault(format!("JSON: {error}")))?;
+    pub fn to_json(&self) -> Result<String, LabError> {
+        let text = serde_json::to_string_pretty(self).map_err(|error| LabError(format!("JSON: {error}")))?;
         Ok(text + "\n")
     }
 }
--- a/crates/sailcart-lab/src/capacity/run.rs
+++ b/crates/sailcart-lab/src/capacity/run.rs
@@ -10,7 +10,7 @@
 use super::series::Measurements;
 use super::sizes::Sizes;
 use super::{decision_module, page, processes};
-use crate::experiment::Fault;
+use crate::experiment::LabError;
 
 /// Options of `sailcart-lab capacity`
 #[derive(Clone, Debug, Default, clap::Args)]
@@ -48,7 +48,7 @@
 }
 
 /// Runs the command and returns the table of rows to print.
-pub fn run(options: &Options) -> Result<String, Fault> {
+pub fn run(options: &Options) -> Result<String, LabError> {
     let inputs = options.inputs.as_deref().map(Inputs::read).transpose()?;
     let (measured, earlier) = match &options.from {
         Some(from) => {
@@ -69,7 +69,7 @@
     Ok(page::table(&report.rows))
 }
 
-fn measure(options: &Options) -> Result<MeasurementRun, Fault> {
+fn measure(options: &Options) -> Result<MeasurementRun, LabError> {
     let mut sizes = if options.quick { Sizes::quick() } else { Sizes::full() };
     if !options.sizes.is_empty() {
         sizes.destinations.clone_from(&options.sizes);
@@ -88,15 +88,15 @@
     Ok(MeasurementRun { date, command, program, machine, series })
 }
 
-fn find_sender_program(given: Option<&Path>) -> Result<PathBuf, Fault> {
+fn find_sender_program(given: Option<&Path>) -> Result<PathBuf, LabError> {
     let default = || Some(std::env::current_exe().ok()?.with_file_name("sailcart"));
     let path = given.map(Path::to_path_buf).or_else(default).filter(|path| path.is_file());
-    path.ok_or_else(|| Fault("--sender: sender program not found".to_owned()))
+    path.ok_or_else(|| LabError("--sender: sender program not found".to_owned()))
 }
 
-fn sender_version(program: &Path) -> Result<String, Fault> {
+fn sender_version(program: &Path) -> Result<String, LabError> {
     let output = Command::new(program).arg("version").output();
-    let output = output.map_err(|error| Fault(format!("{}: {error}", program.display())))?;
+    let output = output.map_err(|error| LabError(format!("{}: {error}", program.display())))?;
     Ok(String::from_utf8_lossy(&output.stdout).trim().to_owned())
 }
 
@@ -121,15 +121,15 @@
 }
 
 /// Writes the JSON file, and the page from the JSON file as read back, so that both state the same values.
-fn write_results(options: &Options, report: &Report) -> Result<(), Fault> {
+fn write_results(options: &Options, report: &Report) -> Result<(), LabError> {
     let json = options.json.clone().unwrap_or_else(|| options.out.join("capacity.json"));
     let page = options.page.clone().unwrap_or_else(|| options.out.join("CAPACITY.md"));
     write_file(&json, &report.to_json()?)?;
     write_file(&page, &page::render(&Report::read(&json)?))
 }
 
-fn write_file(path: &Path, text: &str) -> Result<(), Fault> {
+fn write_file(path: &Path, text: &str) -> Result<(), LabError> {
     let folder = path.parent().unwrap_or(Path::new("."));
     let written = std::fs::create_dir_all(folder).and_then(|()| std::fs::write(path, text));
-    written.map_err(|error| Fault(format!("{}: {error}", path.display())))
+    written.map_err(|error| LabError(format!("{}: {error}", path.display())))
 }
--- a/crates/sailcart-lab/src/experiment/check.rs
+++ b/crates/sailcart-lab/src/experiment/check.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-use super::{Experiment, Fault, LimitBy, Repeat, Trouble, TroubleKind};
+use super::{Experiment, LabError, LimitBy, Repeat, Trouble, TroubleKind};
 use crate::results::bounds;
 
 impl TroubleKind {
@@ -34,7 +34,7 @@
 /// # Errors
 ///
 /// The first invalid value, by its key.
-pub fn check(experiment: &Experiment) -> Result<(), Fault> {
+pub fn check(experiment: &Experiment) -> Result<(), LabError> {
     check_amounts(experiment)?;
     check_categories(experiment)?;
     check_destinations(experiment)?;
@@ -43,16 +43,16 @@
     }
     begins(experiment)?;
     for bound in &experiment.bounds {
-        bounds::Bound::read(bound).map_err(|error| Fault(format!("bounds: {error}")))?;
+        bounds::Bound::read(bound).map_err(|error| LabError(format!("bounds: {error}")))?;
     }
     Ok(())
 }
 
-fn require_positive(is_positive: bool, key: &str) -> Result<(), Fault> {
+fn require_positive(is_positive: bool, key: &str) -> Result<(), LabError> {
     if is_positive { Ok(()) } else { error(key, "must be greater than 0 (a list: not empty)") }
 }
 
-fn check_amounts(experiment: &Experiment) -> Result<(), Fault> {
+fn check_amounts(experiment: &Experiment) -> Result<(), LabError> {
     require_positive(!experiment.span.is_zero(), "span")?;
     require_positive(experiment.senders.count > 0, "senders.count")?;
     require_positive(experiment.senders.slots > 0, "senders.slots")?;
@@ -68,7 +68,7 @@
     check_share(experiment.rules.cold_from, "rules.cold_from")
 }
 
-fn check_categories(experiment: &Experiment) -> Result<(), Fault> {
+fn check_categories(experiment: &Experiment) -> Result<(), LabError> {
     for (index, category) in experiment.categories.iter().enumerate() {
         let key = |name: &str| format!("categories.{index}.{name}");
         require_positive(!category.soft_limit.is_zero(), &key("soft_limit"))?;
@@ -82,7 +82,7 @@
     Ok(())
 }
 
-fn check_destinations(experiment: &Experiment) -> Result<(), Fault> {
+fn check_destinations(experiment: &Experiment) -> Result<(), LabError> {
     for (index, group) in experiment.destinations.iter().enumerate() {
         let key = |name: &str| format!("destinations.{index}.{name}");
         if !experiment.kinds.iter().any(|kind| kind.name == group.kind) {
@@ -99,7 +99,7 @@
     Ok(())
 }
 
-fn check_trouble(experiment: &Experiment, trouble: &Trouble, path: &str) -> Result<(), Fault> {
+fn check_trouble(experiment: &Experiment, trouble: &Trouble, path: &str) -> Result<(), LabError> {
     let key = |name: &str| format!("{path}.{name}");
     let given = [
         ("destinations", trouble.destinations.is_some()),
@@ -140,7 +140,7 @@
 }
 
 /// Checks that a target names a group, or one destination of it by number.
-fn check_target(experiment: &Experiment, target: &str, key: &str) -> Result<(), Fault> {
+fn check_target(experiment: &Experiment, target: &str, key: &str) -> Result<(), LabError> {
     let (name, number) = target.split_once('/').map_or((target, None), |(n, i)| (n, Some(i)));
     let Some(group) = experiment.destinations.iter().find(|group| group.name == name) else {
         return error(key, &format!("no group of destinations is named {name}"));
@@ -154,7 +154,7 @@
 
 /// The start time of each trouble. A trouble may start relative to the end of another one, but not in a
 /// cycle.
-pub fn begins(experiment: &Experiment) -> Result<Vec<Duration>, Fault> {
+pub fn begins(experiment: &Experiment) -> Result<Vec<Duration>, LabError> {
     let troubles = &experiment.troubles;
     let find = |name: &str| troubles.iter().position(|t| t.name.as_deref() == Some(name));
     let mut starts = Vec::with_capacity(troubles.len());
@@ -177,10 +177,10 @@
     Ok(starts)
 }
 
-fn check_share(value: f64, key: &str) -> Result<(), Fault> {
+fn check_share(value: f64, key: &str) -> Result<(), LabError> {
     if (0.0..=1.0).contains(&value) { Ok(()) } else { error(key, "must be a share from 0 to 1") }
 }
 
-fn error<T>(key: &str, text: &str) -> Result<T, Fault> {
-    Err(Fault(format!("{key}: {text}")))
+fn error<T>(key: &str, text: &str) -> Result<T, LabError> {
+    Err(LabError(format!("{key}: {text}")))
 }
--- a/crates/sailcart-lab/src/experiment/mod.rs
+++ b/crates/sailcart-lab/src/experiment/mod.rs
@@ -11,7 +11,7 @@
 
 pub use check::begins;
 pub use keys::choose_by_key;
-pub use read::{Fault, read, read_text};
+pub use read::{LabError, read, read_text};
 
 /// How the senders run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, clap::ValueEnum)]
--- a/crates/sailcart-lab/src/experiment/read.rs
+++ b/crates/sailcart-lab/src/experiment/read.rs
@@ -9,9 +9,9 @@
 
 /// Why an experiment cannot be read or run; names the key if a value is invalid.
 #[derive(Debug, PartialEq)]
-pub struct Fault(pub String);
+pub struct LabError(pub String);
 
-impl std::fmt::Display for Fault {
+impl std::fmt::Display for LabError {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         f.write_str(&self.0)
     }
@@ -19,28 +19,28 @@
 
 /// Reads and validates an experiment file. Each entry of `set` changes one value first, as `load.rate=50` or
 /// `troubles.0.for=5s`.
-pub fn read(file: &Path, set: &[String]) -> Result<Experiment, Fault> {
-    let text = std::fs::read_to_string(file).map_err(|e| Fault(format!("{}: {e}", file.display())))?;
-    read_text(&text, set).map_err(|error| Fault(format!("{}: {error}", file.display())))
+pub fn read(file: &Path, set: &[String]) -> Result<Experiment, LabError> {
+    let text = std::fs::read_to_string(file).map_err(|e| LabError(format!("{}: {e}", file.display())))?;
+    read_text(&text, set).map_err(|error| LabError(format!("{}: {error}", file.display())))
 }
 
 /// Like [`read`], for the text of an experiment file.
-pub fn read_text(text: &str, set: &[String]) -> Result<Experiment, Fault> {
+pub fn read_text(text: &str, set: &[String]) -> Result<Experiment, LabError> {
     let experiment: Experiment = if set.is_empty() {
-        toml::from_str(text).map_err(|e| Fault(e.to_string()))? // the message names the line
+        toml::from_str(text).map_err(|e| LabError(e.to_string()))? // the message names the line
     } else {
-        let mut table: Value = toml::from_str(text).map_err(|e| Fault(e.to_string()))?;
+        let mut table: Value = toml::from_str(text).map_err(|e| LabError(e.to_string()))?;
         for change in set {
             apply(&mut table, change)?;
         }
-        table.try_into().map_err(|e: toml::de::Error| Fault(e.to_string()))?
+        table.try_into().map_err(|e: toml::de::Error| LabError(e.to_string()))?
     };
     check(&experiment)?;
     Ok(experiment)
 }
 
-fn apply(table: &mut Value, change: &str) -> Result<(), Fault> {
-    let error = |text: &str| Fault(format!("--set {change}: {text}"));
+fn apply(table: &mut Value, change: &str) -> Result<(), LabError> {
+    let error = |text: &str| LabError(format!("--set {change}: {text}"));
     let (path, text) = change.split_once('=').ok_or_else(|| error("expected key=value"))?;
     // A number, a boolean or a list in TOML syntax; anything else is a string.
     let value = toml::from_str::<toml::Table>(&format!("value = {text}"))
--- a/crates/sailcart-lab/src/plan.rs
+++ b/crates/sailcart-lab/src/plan.rs
@@ -16,7 +16,7 @@
     RecoveryProfile, Settings,
 };
 
-use crate::experiment::{self, Experiment, Fault, Repeat, Trouble, TroubleKind, begins};
+use crate::experiment::{self, Experiment, LabError, Repeat, Trouble, TroubleKind, begins};
 
 /// A planned packet. Each submission of it is a separate packet to the senders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -147,7 +147,7 @@
     /// # Errors
     ///
     /// Troubles that refer to unknown ones, or to each other in a cycle.
-    pub fn new(experiment: Experiment, seed: u64) -> Result<Plan, Fault> {
+    pub fn new(experiment: Experiment, seed: u64) -> Result<Plan, LabError> {
         let starts_at = begins(&experiment)?;
         let (destinations, mut places) = initial_fleet(&experiment, seed);
         let mut struck = Vec::new();
--- a/crates/sailcart-lab/src/receivers/mod.rs
+++ b/crates/sailcart-lab/src/receivers/mod.rs
@@ -83,7 +83,7 @@
     /// The packet took effect.
     Accepted,
     /// The packet failed; it may have taken effect.
-    Fault,
+    Failed,
     /// The packet was rejected without execution.
     Deferred,
 }
@@ -356,7 +356,7 @@
                     *effect = false;
                     PieceAnswer::Deferred
                 }
-                true => PieceAnswer::Fault,
+                true => PieceAnswer::Failed,
             });
         }
         let wait = answers.contains(&PieceAnswer::Deferred).then_some(conditions.retry_after);
--- a/crates/sailcart-lab/src/run.rs
+++ b/crates/sailcart-lab/src/run.rs
@@ -7,7 +7,7 @@
 use indicatif::{ProgressBar, ProgressStyle};
 
 use crate::events::Log;
-use crate::experiment::{Experiment, Fault, Mode};
+use crate::experiment::{Experiment, LabError, Mode};
 use crate::plan::Plan;
 use crate::policies::PolicyName;
 use crate::results::Outcome;
@@ -41,13 +41,13 @@
 ///
 /// An invalid experiment, a baseline in sockets mode, an events file that cannot be created, or sender
 /// processes that cannot be run.
-pub fn execute(request: RunRequest) -> Result<FinishedRun, Fault> {
+pub fn execute(request: RunRequest) -> Result<FinishedRun, LabError> {
     let start = Instant::now();
     let mode = request.experiment.mode;
     let plan = Plan::new(request.experiment, request.seed)?;
     let log = match request.events {
         Some(folder) => {
-            Log::create(folder).map_err(|error| Fault(format!("cannot create events.jsonl.zst: {error}")))?
+            Log::create(folder).map_err(|error| LabError(format!("cannot create events.jsonl.zst: {error}")))?
         }
         None => Log::default(),
     };
@@ -56,7 +56,7 @@
     let outcome = match mode {
         Mode::Virtual => simulated::run(&plan, request.policy, log, &mut progress),
         Mode::Sockets if request.policy != PolicyName::Sailcart => {
-            return Err(Fault("--policy: baselines run in virtual mode only".to_owned()));
+            return Err(LabError("--policy: baselines run in virtual mode only".to_owned()));
         }
         Mode::Sockets => sockets::run(&plan, log, request.sender, &mut progress)?,
     };
--- a/crates/sailcart-lab/src/shipped.rs
+++ b/crates/sailcart-lab/src/shipped.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use crate::experiment::{Experiment, Fault, LimitBy, begins};
+use crate::experiment::{Experiment, LabError, LimitBy, begins};
 
 macro_rules! shipped {
     ($($name:literal),* $(,)?) => {
@@ -37,7 +37,7 @@
 /// # Errors
 ///
 /// Troubles that refer to unknown ones, or to each other in a cycle.
-pub fn explain(experiment: &Experiment) -> Result<String, Fault> {
+pub fn explain(experiment: &Experiment) -> Result<String, LabError> {
     let mut text = String::new();
     let senders = &experiment.senders;
     let _ = writeln!(text, "{}: {}", experiment.name, experiment.about);
--- a/crates/sailcart-lab/src/simulated/reception.rs
+++ b/crates/sailcart-lab/src/simulated/reception.rs
@@ -71,7 +71,7 @@
             Answer::Mixed(answers, wait) => {
                 let answers = answers.into_iter().map(|packet_answer| match packet_answer {
                     PieceAnswer::Accepted => Outcome::Done,
-                    PieceAnswer::Fault => Outcome::Error,
+                    PieceAnswer::Failed => Outcome::Error,
                     PieceAnswer::Deferred => Outcome::Full(wait),
                 });
                 self.finish_call_with(id, answers.collect());
--- a/crates/sailcart-lab/src/soak/mod.rs
+++ b/crates/sailcart-lab/src/soak/mod.rs
@@ -18,7 +18,7 @@
 use std::time::Duration;
 
 use crate::events::Log;
-use crate::experiment::Fault;
+use crate::experiment::LabError;
 use crate::plan::Plan;
 use crate::sockets;
 use kinds::SoakKind;
@@ -76,7 +76,7 @@
 ///
 /// # Errors
 /// An unknown kind of trouble, or a run that could not be executed.
-pub fn run(options: &Options) -> Result<bool, Fault> {
+pub fn run(options: &Options) -> Result<bool, LabError> {
     let span = Duration::from_secs(options.span);
     let schedules = schedules(options, span)?;
     let (mut covered, mut all_passed) = (BTreeMap::<Pair, usize>::new(), true);
@@ -100,7 +100,7 @@
     Ok(all_passed)
 }
 
-fn schedules(options: &Options, span: Duration) -> Result<Vec<Vec<Planned>>, Fault> {
+fn schedules(options: &Options, span: Duration) -> Result<Vec<Vec<Planned>>, LabError> {
     if options.calm {
         return Ok(vec![Vec::new(); options.runs]);
     }
@@ -109,7 +109,7 @@
     }
     let find_kind = |name: &String| {
         let found = SoakKind::named(name);
-        found.ok_or_else(|| Fault(format!("--only: unknown kind of trouble {name}")))
+        found.ok_or_else(|| LabError(format!("--only: unknown kind of trouble {name}")))
     };
     let kinds: Vec<SoakKind> = options.only.iter().map(find_kind).collect::<Result<_, _>>()?;
     let planned = kinds.iter().map(|kind| {
@@ -128,8 +128,8 @@
 }
 
 /// Executes one run, writes its files to the folder, and judges it.
-fn execute(options: &Options, run: &Run, folder: &Path) -> Result<Verdict, Fault> {
-    let io_error = |e: std::io::Error| Fault(format!("{}: {e}", folder.display()));
+fn execute(options: &Options, run: &Run, folder: &Path) -> Result<Verdict, LabError> {
+    let io_error = |e: std::io::Error| LabError(format!("{}: {e}", folder.display()));
     let _ = fs::remove_dir_all(folder);
     fs::create_dir_all(folder).map_err(io_error)?;
     let span = Duration::from_secs(options.span);
@@ -150,9 +150,9 @@
 
 /// Removes troubles, then halves the number of senders, as long as the run still fails, and prints what is
 /// left.
-fn shrink(options: &Options, run: &Run) -> Result<(), Fault> {
+fn shrink(options: &Options, run: &Run) -> Result<(), LabError> {
     let folder = options.out.join(format!("seed-{}-shrunk", run.seed));
-    let fails = |run: &Run| -> Result<bool, Fault> {
+    let fails = |run: &Run| -> Result<bool, LabError> {
         let mut failed_runs = 0;
         for _ in 0..SHRINK_RUNS {
             failed_runs += usize::from(!execute(options, run, &folder)?.passed());
--- a/crates/sailcart-lab/src/sockets/mod.rs
+++ b/crates/sailcart-lab/src/sockets/mod.rs
@@ -20,7 +20,7 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 use crate::events::Log;
-use crate::experiment::{Fault, Mode, TroubleKind};
+use crate::experiment::{LabError, Mode, TroubleKind};
 use crate::plan::{Plan, SenderId, chance};
 use crate::policies::PolicyName;
 use crate::results::Outcome;
@@ -48,8 +48,8 @@
 const FIRST_ENDPOINT_LINK_STREAM: u64 = 3000;
 
 /// Converts an I/O error; `what` names what failed.
-fn error_context(what: &str) -> impl Fn(std::io::Error) -> Fault + '_ {
-    move |error| Fault(format!("{what}: {error}"))
+fn error_context(what: &str) -> impl Fn(std::io::Error) -> LabError + '_ {
+    move |error| LabError(format!("{what}: {error}"))
 }
 
 /// Runs an experiment with sender processes. `program` is the sender's; if `None`, the one in the folder of
@@ -62,7 +62,7 @@
     log: Log,
     program: Option<&Path>,
     progress: &mut dyn FnMut(Duration),
-) -> Result<Outcome, Fault> {
+) -> Result<Outcome, LabError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(error_context("runtime"))?;
     let program = process::find_program(program)?;
@@ -86,7 +86,7 @@
     program: Option<&Path>,
     folder: &Path,
     machine_troubles: &[MachineTrouble],
-) -> Result<Outcome, Fault> {
+) -> Result<Outcome, LabError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(error_context("runtime"))?;
     let program = process::find_program(program)?;
@@ -103,7 +103,7 @@
     program: PathBuf,
     soak_options: SoakOptions<'_>,
     progress: &mut dyn FnMut(Duration),
-) -> Result<Outcome, Fault> {
+) -> Result<Outcome, LabError> {
     let shared = SharedState::new(plan, log);
     let plan = shared.plan.clone();
     let addresses = endpoints::open_all(&shared).await.map_err(error_context("receivers"))?;
@@ -173,7 +173,7 @@
 async fn open_endpoint_proxies(
     shared: &Rc<SharedState>,
     addresses: &[SocketAddr],
-) -> Result<Vec<Vec<Rc<Proxy>>>, Fault> {
+) -> Result<Vec<Vec<Rc<Proxy>>>, LabError> {
     let mut proxies_by_sender = Vec::new();
     for sender in 0..shared.plan.experiment.senders.count as u64 {
         let mut proxies: Vec<Rc<Proxy>> = Vec::new();
@@ -201,7 +201,7 @@
 async fn open_platform_proxies(
     shared: &Rc<SharedState>,
     discovery: &mut [SocketAddr],
-) -> Result<Vec<Rc<Proxy>>, Fault> {
+) -> Result<Vec<Rc<Proxy>>, LabError> {
     let mut proxies = Vec::new();
     for (sender, address) in discovery.iter_mut().enumerate() {
         let rng = chance(shared.plan.seed, FIRST_PLATFORM_LINK_STREAM + sender as u64);
@@ -256,7 +256,7 @@
 ///
 /// # Errors
 /// If a socket or file cannot be opened.
-pub fn receivers(plan: &Plan, discovery: SocketAddr, sender: SocketAddr, folder: &Path) -> Result<(), Fault> {
+pub fn receivers(plan: &Plan, discovery: SocketAddr, sender: SocketAddr, folder: &Path) -> Result<(), LabError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(error_context("runtime"))?;
     let run_receivers = async {
@@ -291,7 +291,7 @@
 ///
 /// # Errors
 /// If the sender does not answer `PING`.
-pub fn load(plan: &Plan, to: SocketAddr, progress: &mut dyn FnMut(Duration)) -> Result<Outcome, Fault> {
+pub fn load(plan: &Plan, to: SocketAddr, progress: &mut dyn FnMut(Duration)) -> Result<Outcome, LabError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(error_context("runtime"))?;
     let run_clients = async {
--- a/crates/sailcart-lab/src/sockets/process.rs
+++ b/crates/sailcart-lab/src/sockets/process.rs
@@ -21,7 +21,7 @@
 
 use super::protocol;
 use super::shared::SharedState;
-use crate::experiment::Fault;
+use crate::experiment::LabError;
 use crate::plan::SenderId;
 use crate::results::Cost;
 use crate::results::tally::Count;
@@ -41,7 +41,7 @@
 ///
 /// # Errors
 /// If there is no such file.
-pub fn find_program(given: Option<&Path>) -> Result<PathBuf, Fault> {
+pub fn find_program(given: Option<&Path>) -> Result<PathBuf, LabError> {
     let beside_this_program = || {
         let own = std::env::current_exe().ok()?;
         // The program of a test is one folder deeper.
@@ -51,7 +51,7 @@
     path.filter(|path| path.is_file()).ok_or_else(|| {
         let message =
             "--sender: sender program not found; build it with cargo build --release -p sailcart-sender";
-        Fault(message.to_owned())
+        LabError(message.to_owned())
     })
 }
 
@@ -117,7 +117,7 @@
         discovery: &[SocketAddr],
         addresses: &[Rc<[SocketAddr]>],
         options: ProcessOptions<'_>,
-    ) -> Result<Rc<SenderProcesses>, Fault> {
+    ) -> Result<Rc<SenderProcesses>, LabError> {
         let temporary_folder = match options.folder {
             Some(_) => None,
             None => Some(
@@ -217,7 +217,7 @@
     }
 
     /// Starts a sender; does not wait until it is ready.
-    pub async fn start(&self, sender: SenderId) -> Result<(), Fault> {
+    pub async fn start(&self, sender: SenderId) -> Result<(), LabError> {
         let process = &self.processes[sender.0];
         let lab_program = std::env::current_exe().map_err(super::error_context("keep"))?;
         let log = process.config_path.with_extension("log");
@@ -249,7 +249,7 @@
     ///
     /// # Errors
     /// If it does not within this time; the message holds the last lines of its log.
-    pub async fn wait_until_ready(&self, sender: SenderId, within: Duration) -> Result<(), Fault> {
+    pub async fn wait_until_ready(&self, sender: SenderId, within: Duration) -> Result<(), LabError> {
         let (process, deadline) = (&self.processes[sender.0], Instant::now() + within);
         while Instant::now() < deadline {
             if let Ok(Ok(())) = timeout(Duration::from_secs(1), ping(process.listen_address)).await {
@@ -260,7 +260,7 @@
         }
         let log = std::fs::read_to_string(process.config_path.with_extension("log")).unwrap_or_default();
         let last_lines: Vec<&str> = log.lines().rev().take(3).collect();
-        Err(Fault(format!(
+        Err(LabError(format!(
             "sender {} does not answer PING at {}; end of its log, last line first: {}",
             sender.0,
             process.listen_address,
--- a/crates/sailcart-lab/src/sockets/protocol.rs
+++ b/crates/sailcart-lab/src/sockets/protocol.rs
@@ -181,7 +181,7 @@
         Answer::Mixed(each, wait) => {
             let state = |at: usize| match each[at] {
                 PieceAnswer::Accepted => "accepted",
-                PieceAnswer::Fault => "fault",
+                PieceAnswer::Failed => "fault",
                 PieceAnswer::Deferred => "deferred",
             };
             response("200 OK", &format!("{report}{}", retry_after(wait)), &batch_body(&state))
