--- a/crates/sailcart-lab/src/capacity/decision_module.rs
+++ b/crates/sailcart-lab/src/capacity/decision_module.rs
@@ -65,7 +65,7 @@
     next_packet_id: u64,
 }
 
-fn terms() -> Settings {
+fn settings() -> Settings {
     let category = Category {
         repeat: Repeat::Idempotent,
         in_order: false,
@@ -105,7 +105,7 @@
 
 impl Default for DecisionModule {
     fn default() -> Self {
-        let (sender, host) = (Sender::new(terms(), 1), RecordingHost::default());
+        let (sender, host) = (Sender::new(settings(), 1), RecordingHost::default());
         DecisionModule { sender, host, now: Duration::ZERO, next_packet_id: 0 }
     }
 }
--- a/crates/sailcart-lab/src/capacity/processes/connections.rs
+++ b/crates/sailcart-lab/src/capacity/processes/connections.rs
@@ -14,7 +14,11 @@
 const DESTINATIONS: usize = 20;
 
 /// Measures memory with idle connections from clients, each after one `PING`.
-pub fn measure_clients(program: &Path, sizes: &Sizes, measurements: &mut Measurements) -> Result<(), LabError> {
+pub fn measure_clients(
+    program: &Path,
+    sizes: &Sizes,
+    measurements: &mut Measurements,
+) -> Result<(), LabError> {
     let discovery =
         DiscoveryStub::open(DESTINATIONS, EndpointAddresses::Unreachable).map_err(io_error("discovery"))?;
     let sender = SenderProcess::start(program, discovery.address)?;
--- a/crates/sailcart-lab/src/capacity/processes/packets.rs
+++ b/crates/sailcart-lab/src/capacity/processes/packets.rs
@@ -85,7 +85,11 @@
 }
 
 /// Measures processor use while packets are delivered, at several rates.
-pub fn measure_delivery(program: &Path, sizes: &Sizes, measurements: &mut Measurements) -> Result<(), LabError> {
+pub fn measure_delivery(
+    program: &Path,
+    sizes: &Sizes,
+    measurements: &mut Measurements,
+) -> Result<(), LabError> {
     let DeliveryHarness { endpoint, _discovery, sender, mut client } = DeliveryHarness::start(program)?;
     let mut submitted = 0;
     for rate in sizes.packets_per_second.iter().copied() {
--- a/crates/sailcart-lab/src/events.rs
+++ b/crates/sailcart-lab/src/events.rs
@@ -15,20 +15,20 @@
 
 /// The event log; a default one discards everything.
 #[derive(Default)]
-pub struct Log {
+pub struct EventLog {
     encoder: Option<zstd::Encoder<'static, File>>,
 }
 
-impl Log {
+impl EventLog {
     /// Creates `events.jsonl.zst` in a folder, which is created if necessary.
     ///
     /// # Errors
     ///
     /// The folder or the file cannot be created.
-    pub fn create(folder: &Path) -> io::Result<Log> {
+    pub fn create(folder: &Path) -> io::Result<EventLog> {
         std::fs::create_dir_all(folder)?;
         let file = File::create(folder.join("events.jsonl.zst"))?;
-        Ok(Log { encoder: Some(zstd::Encoder::new(file, COMPRESSION_LEVEL)?) })
+        Ok(EventLog { encoder: Some(zstd::Encoder::new(file, COMPRESSION_LEVEL)?) })
     }
 
     /// Writes an observation. After a failed write the log discards everything.
@@ -55,7 +55,7 @@
     let ms = now.as_micros() as f64 / 1000.0;
     match seen {
         Seen::Handed(handed) => json!({
-            "ms": ms, "seen": "handed", "packet": handed.packet.0, "origin": handed.origin.0,
+            "ms": ms, "seen": "handed", "packet": handed.packet.0, "origin": handed.planned_packet.0,
             "sender": handed.sender.0, "destination": handed.destination.0,
             "key": handed.key.map(|key| key.0), "ends_ms": handed.ends.as_micros() as f64 / 1000.0,
         }),
--- a/crates/sailcart-lab/src/experiment/check.rs
+++ b/crates/sailcart-lab/src/experiment/check.rs
@@ -41,7 +41,7 @@
     for (index, trouble) in experiment.troubles.iter().enumerate() {
         check_trouble(experiment, trouble, &format!("troubles.{index}"))?;
     }
-    begins(experiment)?;
+    start_times(experiment)?;
     for bound in &experiment.bounds {
         bounds::Bound::read(bound).map_err(|error| LabError(format!("bounds: {error}")))?;
     }
@@ -154,7 +154,7 @@
 
 /// The start time of each trouble. A trouble may start relative to the end of another one, but not in a
 /// cycle.
-pub fn begins(experiment: &Experiment) -> Result<Vec<Duration>, LabError> {
+pub fn start_times(experiment: &Experiment) -> Result<Vec<Duration>, LabError> {
     let troubles = &experiment.troubles;
     let find = |name: &str| troubles.iter().position(|t| t.name.as_deref() == Some(name));
     let mut starts = Vec::with_capacity(troubles.len());
--- a/crates/sailcart-lab/src/experiment/mod.rs
+++ b/crates/sailcart-lab/src/experiment/mod.rs
@@ -9,7 +9,7 @@
 
 use serde::{Deserialize, Serialize};
 
-pub use check::begins;
+pub use check::start_times;
 pub use keys::choose_by_key;
 pub use read::{LabError, read, read_text};
 
--- a/crates/sailcart-lab/src/plan.rs
+++ b/crates/sailcart-lab/src/plan.rs
@@ -16,11 +16,11 @@
     RecoveryProfile, Settings,
 };
 
-use crate::experiment::{self, Experiment, LabError, Repeat, Trouble, TroubleKind, begins};
+use crate::experiment::{self, Experiment, LabError, Repeat, Trouble, TroubleKind, start_times};
 
 /// A planned packet. Each submission of it is a separate packet to the senders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct OriginId(pub usize);
+pub struct PlannedPacketId(pub usize);
 
 /// A sender, counted from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -28,7 +28,7 @@
 
 /// A packet that a client will submit.
 #[derive(Clone, Debug)]
-pub struct Origin {
+pub struct PlannedPacket {
     /// When its client first submits it.
     pub at: Duration,
     pub destination: DestinationId,
@@ -41,15 +41,15 @@
 
 /// An endpoint and the time for which it exists.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct PlannedEndpoint {
     pub endpoint: EndpointId,
     pub destination: DestinationId,
     /// The endpoint whose address it has: itself, or the one that it replaces.
-    pub address: EndpointId,
+    pub address_owner: EndpointId,
     /// When it is added.
-    pub from: Duration,
+    pub added_at: Duration,
     /// When it is removed; [`Duration::MAX`] if never.
-    pub gone: Duration,
+    pub removed_at: Duration,
 }
 
 /// A destination, with the values drawn for it.
@@ -69,7 +69,7 @@
 
 /// A trouble with its times and targets.
 #[derive(Clone, Debug)]
-pub struct Struck {
+pub struct ScheduledTrouble {
     pub trouble: Trouble,
     pub from: Duration,
     pub until: Duration,
@@ -77,10 +77,10 @@
     pub senders: Vec<SenderId>,
 }
 
-impl Struck {
+impl ScheduledTrouble {
     /// When senders die of the trouble, which ones, and for how long. With `every`, each sender dies once per
     /// interval, spread evenly over it, until the trouble ends.
-    pub fn deaths(&self, restart: Duration) -> Vec<(Duration, SenderId, Duration)> {
+    pub fn sender_deaths(&self, restart: Duration) -> Vec<(Duration, SenderId, Duration)> {
         let Some(every) = self.trouble.every else {
             let downtime = (self.until - self.from).max(restart);
             return self.senders.iter().map(|sender| (self.from, *sender, downtime)).collect();
@@ -97,14 +97,14 @@
     }
 
     /// Whether the trouble is active.
-    pub fn stands(&self, now: Duration) -> bool {
+    pub fn is_active(&self, now: Duration) -> bool {
         self.from <= now && now < self.until
     }
 }
 
 /// The state of an endpoint in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum ListState {
     Ready,
     Draining,
     Gone,
@@ -112,10 +112,10 @@
 
 /// A change of the list.
 #[derive(Clone, Copy, Debug)]
-pub struct Change {
+pub struct ListChange {
     pub at: Duration,
     pub endpoint: EndpointId,
-    pub standing: Standing,
+    pub state: ListState,
 }
 
 /// Everything that is determined before a run.
@@ -123,19 +123,19 @@
 pub struct Plan {
     pub experiment: Experiment,
     pub seed: u64,
-    pub terms: Settings,
+    pub settings: Settings,
     pub destinations: Vec<Destination>,
-    pub places: Vec<Place>,
-    pub struck: Vec<Struck>,
+    pub endpoints: Vec<PlannedEndpoint>,
+    pub scheduled_troubles: Vec<ScheduledTrouble>,
     /// Ordered by time; the state at the start is not included.
-    pub changes: Vec<Change>,
+    pub list_changes: Vec<ListChange>,
     /// Ordered by time.
-    pub origins: Vec<Origin>,
+    pub planned_packets: Vec<PlannedPacket>,
 }
 
 /// An independent random stream for each use, so that a change of one use leaves the draws of the others as
 /// they were.
-pub fn chance(seed: u64, stream: u64) -> ChaCha8Rng {
+pub fn seeded_rng(seed: u64, stream: u64) -> ChaCha8Rng {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     rng.set_stream(stream);
     rng
@@ -148,16 +148,25 @@
     ///
     /// Troubles that refer to unknown ones, or to each other in a cycle.
     pub fn new(experiment: Experiment, seed: u64) -> Result<Plan, LabError> {
-        let starts_at = begins(&experiment)?;
-        let (destinations, mut places) = initial_fleet(&experiment, seed);
-        let mut struck = Vec::new();
+        let starts_at = start_times(&experiment)?;
+        let (destinations, mut endpoints) = initial_fleet(&experiment, seed);
+        let mut scheduled_troubles = Vec::new();
         for (trouble, from) in experiment.troubles.iter().zip(starts_at) {
-            struck.push(schedule_trouble(&experiment, trouble, from, &destinations, &places));
+            scheduled_troubles.push(schedule_trouble(&experiment, trouble, from, &destinations, &endpoints));
         }
-        let changes = list_changes(&struck, &mut places);
-        let origins = planned_packets(&experiment, seed, &destinations, &struck);
-        let terms = sender_terms(&experiment);
-        Ok(Plan { experiment, seed, terms, destinations, places, struck, changes, origins })
+        let list_changes = list_changes(&scheduled_troubles, &mut endpoints);
+        let planned_packets = planned_packets(&experiment, seed, &destinations, &scheduled_troubles);
+        let settings = sender_settings(&experiment);
+        Ok(Plan {
+            experiment,
+            seed,
+            settings,
+            destinations,
+            endpoints,
+            scheduled_troubles,
+            list_changes,
+            planned_packets,
+        })
     }
 
     /// The destination with this id.
@@ -174,8 +183,8 @@
     /// # Panics
     ///
     /// The plan has no such endpoint.
-    pub fn place(&self, id: EndpointId) -> &Place {
-        &self.places[id.0 as usize]
+    pub fn endpoint(&self, id: EndpointId) -> &PlannedEndpoint {
+        &self.endpoints[id.0 as usize]
     }
 
     /// The category with this id.
@@ -202,36 +211,36 @@
     }
 
     /// The list entry of an endpoint.
-    pub fn listing(&self, endpoint: EndpointId, live: bool) -> ListEntry {
-        let place = self.place(endpoint);
-        let destination = self.destination(place.destination);
+    pub fn list_entry(&self, endpoint: EndpointId, live: bool) -> ListEntry {
+        let planned_endpoint = self.endpoint(endpoint);
+        let destination = self.destination(planned_endpoint.destination);
         let rate = if self.experiment.senders.rates_listed { destination.rate } else { 0.0 };
-        ListEntry { endpoint, destination: place.destination, kind: destination.kind, live, rate }
+        ListEntry { endpoint, destination: planned_endpoint.destination, kind: destination.kind, live, rate }
     }
 
     /// The list at a given time.
     pub fn list_at(&self, now: Duration) -> Vec<ListEntry> {
         let mut live: BTreeMap<EndpointId, bool> =
-            self.places.iter().filter(|p| p.from.is_zero()).map(|p| (p.endpoint, true)).collect();
-        for change in self.changes.iter().take_while(|change| change.at <= now) {
-            match change.standing {
-                Standing::Ready => live.insert(change.endpoint, true),
-                Standing::Draining => live.insert(change.endpoint, false),
-                Standing::Gone => live.remove(&change.endpoint),
+            self.endpoints.iter().filter(|p| p.added_at.is_zero()).map(|p| (p.endpoint, true)).collect();
+        for change in self.list_changes.iter().take_while(|change| change.at <= now) {
+            match change.state {
+                ListState::Ready => live.insert(change.endpoint, true),
+                ListState::Draining => live.insert(change.endpoint, false),
+                ListState::Gone => live.remove(&change.endpoint),
             };
         }
-        live.into_iter().map(|(endpoint, live)| self.listing(endpoint, live)).collect()
+        live.into_iter().map(|(endpoint, live)| self.list_entry(endpoint, live)).collect()
     }
 
     /// When a sender learns of a change: after a random delay, and not while its discovery is silent.
-    pub fn told_at(&self, change: &Change, sender: SenderId) -> Duration {
-        let stream = (sender.0 as u64) << 32 | u64::from(change.endpoint.0) << 2 | change.standing as u64;
-        let delay_share = chance(self.seed ^ 0x115f, stream).random::<f64>();
+    pub fn list_change_received_at(&self, change: &ListChange, sender: SenderId) -> Duration {
+        let stream = (sender.0 as u64) << 32 | u64::from(change.endpoint.0) << 2 | change.state as u64;
+        let delay_share = seeded_rng(self.seed ^ 0x115f, stream).random::<f64>();
         let mut at = change.at + self.experiment.network.list_delay.mul_f64(delay_share);
-        for scheduled in &self.struck {
+        for scheduled in &self.scheduled_troubles {
             let is_silent =
                 scheduled.trouble.kind == TroubleKind::ListSilent && scheduled.senders.contains(&sender);
-            if is_silent && scheduled.stands(at) {
+            if is_silent && scheduled.is_active(at) {
                 at = scheduled.until;
             }
         }
@@ -240,15 +249,15 @@
 
     /// Until when a client resubmits a packet: while it is wanted and, if its destination recognises repeats,
     /// while it does so.
-    pub fn comes_again_until(&self, origin: OriginId) -> Duration {
-        let origin = &self.origins[origin.0];
-        let category = self.category(origin.category);
-        origin.at + category.memory.map_or(category.patience, |memory| memory.min(category.patience))
+    pub fn resubmission_deadline(&self, planned_packet: PlannedPacketId) -> Duration {
+        let planned = &self.planned_packets[planned_packet.0];
+        let category = self.category(planned.category);
+        planned.at + category.memory.map_or(category.patience, |memory| memory.min(category.patience))
     }
 
     /// The credit for a packet delivered `after` its first submission; 0 after the patience.
-    pub fn credit(&self, origin: &Origin, after: Duration) -> f64 {
-        let category = self.category(origin.category);
+    pub fn credit(&self, planned: &PlannedPacket, after: Duration) -> f64 {
+        let category = self.category(planned.category);
         if after > category.patience {
             return 0.0;
         }
@@ -262,13 +271,13 @@
             }
             CreditDecay::Halving => 0.5f64.powf(late_by / soft_limit).max(category.late_share),
         };
-        share * self.whole_credit(origin)
+        share * self.full_credit(planned)
     }
 
     /// The credit for a packet delivered within its soft limit.
-    pub fn whole_credit(&self, origin: &Origin) -> f64 {
-        let factor = if origin.over_quota { self.experiment.rules.over_share } else { 1.0 };
-        self.category(origin.category).credit * factor
+    pub fn full_credit(&self, planned: &PlannedPacket) -> f64 {
+        let factor = if planned.over_quota { self.experiment.rules.over_share } else { 1.0 };
+        self.category(planned.category).credit * factor
     }
 
     /// When the run ends: after the patience of the last packet and the time in which its completion may be
@@ -280,9 +289,9 @@
 }
 
 /// The destinations and endpoints that exist at the start.
-fn initial_fleet(experiment: &Experiment, seed: u64) -> (Vec<Destination>, Vec<Place>) {
-    let mut rng = chance(seed, 1);
-    let (mut destinations, mut places) = (Vec::new(), Vec::new());
+fn initial_fleet(experiment: &Experiment, seed: u64) -> (Vec<Destination>, Vec<PlannedEndpoint>) {
+    let mut rng = seeded_rng(seed, 1);
+    let (mut destinations, mut planned_endpoints) = (Vec::new(), Vec::new());
     for (group_index, group) in experiment.destinations.iter().enumerate() {
         let kind = experiment.kinds.iter().position(|kind| kind.name == group.kind).unwrap_or_default();
         let own_limits = experiment.kinds[kind].own_limits;
@@ -305,13 +314,19 @@
                 capacity,
             });
             for _ in 0..group.endpoints {
-                let endpoint = EndpointId(places.len() as u32);
-                let (from, gone) = (Duration::ZERO, Duration::MAX);
-                places.push(Place { endpoint, destination: id, address: endpoint, from, gone });
+                let endpoint = EndpointId(planned_endpoints.len() as u32);
+                let (added_at, removed_at) = (Duration::ZERO, Duration::MAX);
+                planned_endpoints.push(PlannedEndpoint {
+                    endpoint,
+                    destination: id,
+                    address_owner: endpoint,
+                    added_at,
+                    removed_at,
+                });
             }
         }
     }
-    (destinations, places)
+    (destinations, planned_endpoints)
 }
 
 /// Determines the times and targets of a trouble.
@@ -320,8 +335,8 @@
     trouble: &Trouble,
     from: Duration,
     destinations: &[Destination],
-    places: &[Place],
-) -> Struck {
+    planned_endpoints: &[PlannedEndpoint],
+) -> ScheduledTrouble {
     let is_target = |destination: &Destination| match &trouble.destinations {
         None => true,
         Some(target) => {
@@ -330,20 +345,25 @@
     };
     let mut endpoints = Vec::new();
     for (index, _) in destinations.iter().enumerate().filter(|(_, destination)| is_target(destination)) {
-        let own_endpoints = places.iter().filter(|place| place.destination.0 as usize == index);
+        let own_endpoints = planned_endpoints
+            .iter()
+            .filter(|planned_endpoint| planned_endpoint.destination.0 as usize == index);
         let chosen =
             own_endpoints.enumerate().filter(|(nth, _)| trouble.endpoint.is_none_or(|only| only == *nth));
-        endpoints.extend(chosen.map(|(_, place)| place.endpoint));
+        endpoints.extend(chosen.map(|(_, planned_endpoint)| planned_endpoint.endpoint));
     }
     let senders = match &trouble.senders {
         Some(senders) => senders.iter().copied().map(SenderId).collect(),
         None => (0..experiment.senders.count).map(SenderId).collect(),
     };
-    Struck { trouble: trouble.clone(), from, until: from + trouble.lasts, endpoints, senders }
+    ScheduledTrouble { trouble: trouble.clone(), from, until: from + trouble.lasts, endpoints, senders }
 }
 
-/// The changes of the list. Replacements are added to `places`.
-fn list_changes(scheduled_troubles: &[Struck], places: &mut Vec<Place>) -> Vec<Change> {
+/// The changes of the list. Replacements are added to `planned_endpoints`.
+fn list_changes(
+    scheduled_troubles: &[ScheduledTrouble],
+    planned_endpoints: &mut Vec<PlannedEndpoint>,
+) -> Vec<ListChange> {
     let mut changes = Vec::new();
     for scheduled in scheduled_troubles {
         let is_replaced = match scheduled.trouble.kind {
@@ -353,23 +373,23 @@
         };
         let same_address = scheduled.trouble.same_address.unwrap_or(false);
         for endpoint in &scheduled.endpoints {
-            changes.push(Change { at: scheduled.from, endpoint: *endpoint, standing: Standing::Draining });
-            changes.push(Change { at: scheduled.until, endpoint: *endpoint, standing: Standing::Gone });
-            places[endpoint.0 as usize].gone = scheduled.until;
+            changes.push(ListChange { at: scheduled.from, endpoint: *endpoint, state: ListState::Draining });
+            changes.push(ListChange { at: scheduled.until, endpoint: *endpoint, state: ListState::Gone });
+            planned_endpoints[endpoint.0 as usize].removed_at = scheduled.until;
             if is_replaced {
-                let old_place = places[endpoint.0 as usize].clone();
-                let new_endpoint = EndpointId(places.len() as u32);
-                // At the old address, the new one can only start when the old one is gone.
-                let from = if same_address { scheduled.until } else { scheduled.from };
-                let address = if same_address { old_place.address } else { new_endpoint };
-                places.push(Place {
+                let old_endpoint = planned_endpoints[endpoint.0 as usize].clone();
+                let new_endpoint = EndpointId(planned_endpoints.len() as u32);
+                // At the old address, the new one can only start when the old one is removed.
+                let added_at = if same_address { scheduled.until } else { scheduled.from };
+                let address_owner = if same_address { old_endpoint.address_owner } else { new_endpoint };
+                planned_endpoints.push(PlannedEndpoint {
                     endpoint: new_endpoint,
-                    address,
-                    from,
-                    gone: Duration::MAX,
-                    ..old_place
+                    address_owner,
+                    added_at,
+                    removed_at: Duration::MAX,
+                    ..old_endpoint
                 });
-                changes.push(Change { at: from, endpoint: new_endpoint, standing: Standing::Ready });
+                changes.push(ListChange { at: added_at, endpoint: new_endpoint, state: ListState::Ready });
             }
         }
     }
@@ -382,10 +402,10 @@
     experiment: &Experiment,
     seed: u64,
     destinations: &[Destination],
-    scheduled_troubles: &[Struck],
-) -> Vec<Origin> {
+    scheduled_troubles: &[ScheduledTrouble],
+) -> Vec<PlannedPacket> {
     let (load, span) = (&experiment.load, experiment.span.as_secs_f64());
-    let mut rng = chance(seed, 2);
+    let mut rng = seeded_rng(seed, 2);
     let mut destination_count = vec![0u32; experiment.destinations.len()];
     let weights: Vec<f64> = destinations
         .iter()
@@ -449,12 +469,12 @@
 }
 
 /// Assigns a category, a customer, a key and the quota state to each planned packet.
-fn assign_attributes(experiment: &Experiment, seed: u64, arrivals: &[(f64, usize)]) -> Vec<Origin> {
-    let mut rng = chance(seed, 3);
+fn assign_attributes(experiment: &Experiment, seed: u64, arrivals: &[(f64, usize)]) -> Vec<PlannedPacket> {
+    let mut rng = seeded_rng(seed, 3);
     let categories = WeightedIndex::new(experiment.categories.iter().map(|c| c.share)).ok();
     let customers = WeightedIndex::new(experiment.customers.iter().map(|c| c.share)).ok();
     let mut quotas: Vec<(f64, f64)> = experiment.customers.iter().map(|c| (c.quota, 0.0)).collect();
-    let mut origins = Vec::with_capacity(arrivals.len());
+    let mut planned_packets = Vec::with_capacity(arrivals.len());
     for (at, destination) in arrivals {
         let category = categories.as_ref().map_or(0, |draw| draw.sample(&mut rng));
         let customer = customers.as_ref().map(|draw| draw.sample(&mut rng));
@@ -471,7 +491,7 @@
             *tokens -= if over_quota { 0.0 } else { 1.0 };
             over_quota
         });
-        origins.push(Origin {
+        planned_packets.push(PlannedPacket {
             at: Duration::from_micros((at * 1e6) as u64),
             destination: DestinationId(*destination as u64),
             category: CategoryId(category),
@@ -480,7 +500,7 @@
             over_quota,
         });
     }
-    origins
+    planned_packets
 }
 
 /// The decay of credit as a setting of the sender.
@@ -492,7 +512,7 @@
 }
 
 /// The settings of each sender at its start.
-fn sender_terms(experiment: &Experiment) -> Settings {
+fn sender_settings(experiment: &Experiment) -> Settings {
     let senders = &experiment.senders;
     Settings {
         senders: senders.count,
--- a/crates/sailcart-lab/src/policies/baseline.rs
+++ b/crates/sailcart-lab/src/policies/baseline.rs
@@ -65,7 +65,7 @@
 /// A sender that decides by a baseline policy.
 pub struct Baseline {
     name: PolicyName,
-    terms: Settings,
+    settings: Settings,
     rng: ChaCha8Rng,
     packets: BTreeMap<PacketId, TrackedPacket>,
     queue: VecDeque<PacketId>,
@@ -81,10 +81,10 @@
 
 impl Baseline {
     /// Creates a sender; `name` is one of the baselines.
-    pub fn new(name: PolicyName, terms: Settings, seed: u64) -> Self {
+    pub fn new(name: PolicyName, settings: Settings, seed: u64) -> Self {
         Baseline {
             name,
-            terms,
+            settings,
             rng: ChaCha8Rng::seed_from_u64(seed),
             packets: BTreeMap::new(),
             queue: VecDeque::new(),
@@ -99,7 +99,7 @@
     /// Time from which no dispatch of a packet is started: shortly before its deadline or, if it may have
     /// been executed, before its receiver stops recognising repeats.
     fn last_dispatch_at(&self, tracked: &TrackedPacket) -> Duration {
-        let patience = self.terms.categories[tracked.packet.category.0].patience;
+        let patience = self.settings.categories[tracked.packet.category.0].patience;
         let last_dispatch_at = tracked.packet.deadline.saturating_sub(patience / FINAL_PATIENCE_DIVISOR);
         tracked.deduplicated_until.map_or(last_dispatch_at, |recognised_until| {
             last_dispatch_at.min(recognised_until.saturating_sub(patience / FINAL_PATIENCE_DIVISOR))
@@ -110,13 +110,13 @@
     /// it.
     fn fail_packet(&mut self, id: PacketId, host: &mut dyn Host) {
         let Some(tracked) = self.packets.remove(&id) else { return };
-        let repeat = self.terms.categories[tracked.packet.category.0].repeat;
+        let repeat = self.settings.categories[tracked.packet.category.0].repeat;
         if tracked.deduplicated_until.is_some() && repeat == Repeat::Unrepeatable {
             host.scrap(id);
         } else {
             host.dismiss(
                 id,
-                self.terms.max_retry_after.map(|max_delay| max_delay.min(BACKOFF_INITIAL_AND_MAX.0)),
+                self.settings.max_retry_after.map(|max_delay| max_delay.min(BACKOFF_INITIAL_AND_MAX.0)),
             );
         }
         self.queue.retain(|other| *other != id);
@@ -131,7 +131,7 @@
 
     /// Whether a packet is next in the order of its key, and the key is not blocked.
     fn is_first_of_key(&self, now: Duration, packet: &Packet) -> bool {
-        let in_order = self.terms.categories[packet.category.0].in_order;
+        let in_order = self.settings.categories[packet.category.0].in_order;
         let key_queue = packet.key.filter(|_| in_order).and_then(|key| self.key_queues.get(&key));
         key_queue.is_none_or(|(packets, blocked_until)| {
             packets.front() == Some(&packet.id) && *blocked_until <= now
@@ -176,7 +176,7 @@
     fn sort_by_soft_limit(&mut self, now: Duration) {
         let rank = |id: &PacketId| {
             let tracked = self.packets.get(id)?;
-            let category = &self.terms.categories[tracked.packet.category.0];
+            let category = &self.settings.categories[tracked.packet.category.0];
             let soft_deadline =
                 tracked.packet.deadline.saturating_sub(category.patience - category.soft_limit);
             Some((soft_deadline < now + RECONSIDER_INTERVAL, soft_deadline, *id))
@@ -189,7 +189,7 @@
     /// Records that a packet may have been executed: starts the deduplication window of its receiver and
     /// blocks its key.
     fn record_possible_execution(&mut self, now: Duration, packet: &Packet, elapsed: Duration) {
-        let deduplication_window = deduplication_window(self.terms.categories[packet.category.0].repeat);
+        let deduplication_window = deduplication_window(self.settings.categories[packet.category.0].repeat);
         let recognised_until = now.saturating_sub(elapsed).saturating_add(deduplication_window);
         if let Some(tracked) = self.packets.get_mut(&packet.id) {
             tracked.deduplicated_until = Some(
@@ -197,25 +197,25 @@
             );
         }
         if let Some((_, blocked_until)) = packet.key.and_then(|key| self.key_queues.get_mut(&key)) {
-            *blocked_until = now + self.terms.key_block_time;
+            *blocked_until = now + self.settings.key_block_time;
         }
     }
 
     /// Whether a packet gets no further dispatch.
     fn is_exhausted(&self, now: Duration, tracked: &TrackedPacket) -> bool {
-        let repeat = self.terms.categories[tracked.packet.category.0].repeat;
+        let repeat = self.settings.categories[tracked.packet.category.0].repeat;
         let may_repeat_effect = tracked.deduplicated_until.is_some() && repeat == Repeat::Unrepeatable;
         let one_try_used = self.name == PolicyName::OneTry && tracked.packet.dispatches > 0;
         may_repeat_effect
             || one_try_used
-            || tracked.packet.dispatches >= self.terms.max_dispatches
+            || tracked.packet.dispatches >= self.settings.max_dispatches
             || self.last_dispatch_at(tracked) <= now
     }
 
     /// Timeout of a call, at most `answer_timeout` if given.
     fn timeout(&self, now: Duration, packet: &Packet, answer_timeout: Option<Duration>) -> Duration {
         let remaining = packet.deadline.saturating_sub(now);
-        let category = self.terms.categories[packet.category.0];
+        let category = self.settings.categories[packet.category.0];
         let timeout = match category.repeat {
             Repeat::Unrepeatable => remaining,
             _ => remaining.min(category.patience / 3),
@@ -272,7 +272,7 @@
     }
 
     fn accept(&mut self, _: Duration, packet: Packet) {
-        let category = self.terms.categories[packet.category.0];
+        let category = self.settings.categories[packet.category.0];
         if let (true, Some(key)) = (category.in_order, packet.key) {
             self.key_queues.entry(key).or_default().0.push_back(packet.id);
         }
@@ -350,8 +350,9 @@
             }
             let (packet, last_dispatch_at, not_before) =
                 (tracked.packet.clone(), self.last_dispatch_at(tracked), tracked.not_before);
-            let may_dispatch =
-                not_before <= now && self.in_flight < self.terms.slots && self.is_first_of_key(now, &packet);
+            let may_dispatch = not_before <= now
+                && self.in_flight < self.settings.slots
+                && self.is_first_of_key(now, &packet);
             let additional = dispatched_to.get(&packet.destination).copied().unwrap_or(0);
             let endpoint = if may_dispatch {
                 self.choose_endpoint(now, packet.destination, additional, view)
--- a/crates/sailcart-lab/src/policies/mod.rs
+++ b/crates/sailcart-lab/src/policies/mod.rs
@@ -150,9 +150,9 @@
 }
 
 /// Creates the decisions of a sender that starts.
-pub fn start(name: PolicyName, terms: &Settings, seed: u64) -> Box<dyn Policy> {
+pub fn start(name: PolicyName, settings: &Settings, seed: u64) -> Box<dyn Policy> {
     match name {
-        PolicyName::Sailcart => Box::new(Sender::new(terms.clone(), seed)),
-        other => Box::new(Baseline::new(other, terms.clone(), seed)),
+        PolicyName::Sailcart => Box::new(Sender::new(settings.clone(), seed)),
+        other => Box::new(Baseline::new(other, settings.clone(), seed)),
     }
 }
--- a/crates/sailcart-lab/src/receivers/mod.rs
+++ b/crates/sailcart-lab/src/receivers/mod.rs
@@ -16,7 +16,7 @@
 use sailcart::{DestinationId, EndpointId, LimitReport};
 
 use crate::experiment::{Destinations, Repeat, Spoil};
-use crate::plan::{OriginId, Plan, chance};
+use crate::plan::{Plan, PlannedPacketId, seeded_rng};
 use limit::RateLimiter;
 use recovery::Recovery;
 pub use troubles::{Conditions, TroubleSchedule};
@@ -38,7 +38,7 @@
 /// One packet of a call, as its receiver sees it.
 #[derive(Clone, Copy, Debug)]
 pub struct Piece {
-    pub origin: OriginId,
+    pub planned_packet: PlannedPacketId,
     /// How the receiver treats a repeated packet.
     pub repeat: Repeat,
     /// How long the receiver recognises a repeated packet.
@@ -47,9 +47,9 @@
 
 impl Piece {
     /// The view that the receiver has of a planned packet.
-    pub fn new(plan: &Plan, origin: OriginId) -> Self {
-        let category = plan.category(plan.origins[origin.0].category);
-        Piece { origin, repeat: category.repeat, memory: category.memory.unwrap_or_default() }
+    pub fn new(plan: &Plan, planned_packet: PlannedPacketId) -> Self {
+        let category = plan.category(plan.planned_packets[planned_packet.0].category);
+        Piece { planned_packet, repeat: category.repeat, memory: category.memory.unwrap_or_default() }
     }
 }
 
@@ -143,7 +143,7 @@
     upstreams: Vec<Upstream>,
     /// When the receiver forgets each packet that took effect and is recognised when repeated, by
     /// destination.
-    remembered: BTreeMap<(DestinationId, OriginId), Duration>,
+    remembered: BTreeMap<(DestinationId, PlannedPacketId), Duration>,
     rng: ChaCha8Rng,
 }
 
@@ -153,45 +153,45 @@
         let (mut upstreams, mut endpoints) = (Vec::new(), Vec::<Endpoint>::new());
         let mut shared_upstreams: BTreeMap<DestinationId, usize> = BTreeMap::new();
         let troubles = TroubleSchedule::new(plan);
-        for place in &plan.places {
-            let group = plan.group(place.destination);
-            let destination = plan.destination(place.destination);
+        for planned_endpoint in &plan.endpoints {
+            let group = plan.group(planned_endpoint.destination);
+            let destination = plan.destination(planned_endpoint.destination);
             let mut add_upstream = || {
                 let capacity = destination.capacity;
-                let outages = troubles.outages(place.endpoint);
+                let outages = troubles.outages(planned_endpoint.endpoint);
                 upstreams.push(Upstream {
                     limiter: RateLimiter::new(&group.limit),
                     recovery: Recovery::new(&plan.experiment.rules, capacity, outages),
                 });
                 upstreams.len() - 1
             };
-            let upstream = if plan.own_limits(place.destination) {
+            let upstream = if plan.own_limits(planned_endpoint.destination) {
                 add_upstream()
             } else {
-                *shared_upstreams.entry(place.destination).or_insert_with(add_upstream)
+                *shared_upstreams.entry(planned_endpoint.destination).or_insert_with(add_upstream)
             };
             endpoints.push(Endpoint {
-                destination: place.destination,
+                destination: planned_endpoint.destination,
                 upstream,
                 free_at: vec![Duration::ZERO; group.servers],
                 queued_starts: VecDeque::new(),
                 connections: 0,
             });
         }
-        let rng = chance(plan.seed, 4);
+        let rng = seeded_rng(plan.seed, 4);
         Receivers { troubles, endpoints, upstreams, remembered: BTreeMap::new(), rng }
     }
 
     /// A sender opens a connection. An established one counts until [`Receivers::disconnected`].
     pub fn connect(&mut self, plan: &Plan, now: Duration, endpoint: EndpointId) -> Connect {
-        let place = plan.place(endpoint);
-        let group = plan.group(place.destination);
+        let planned_endpoint = plan.endpoint(endpoint);
+        let group = plan.group(planned_endpoint.destination);
         let conditions = self.troubles.at(now, endpoint);
         let state = &mut self.endpoints[endpoint.0 as usize];
         if conditions.black_hole {
             return Connect::Never;
         }
-        let is_available = place.from <= now && now < place.gone;
+        let is_available = planned_endpoint.added_at <= now && now < planned_endpoint.removed_at;
         let has_failed = self.upstreams[state.upstream].recovery.has_failed();
         if !is_available || conditions.down || has_failed || state.connections >= group.connections {
             return Connect::Refused;
@@ -208,15 +208,17 @@
 
     /// Whether open connections to an endpoint still work.
     pub fn reachable(&self, plan: &Plan, now: Duration, endpoint: EndpointId) -> bool {
-        let place = plan.place(endpoint);
+        let planned_endpoint = plan.endpoint(endpoint);
         let has_failed = self.upstreams[self.endpoints[endpoint.0 as usize].upstream].recovery.has_failed();
-        now < place.gone && !has_failed && !self.troubles.at(now, endpoint).down
+        now < planned_endpoint.removed_at && !has_failed && !self.troubles.at(now, endpoint).down
     }
 
     /// When the conditions of an endpoint next change.
     pub fn next_change(&self, plan: &Plan, now: Duration, endpoint: EndpointId) -> Option<Duration> {
-        let place = plan.place(endpoint);
-        let own_changes = [place.from, place.gone].into_iter().filter(|at| *at > now && *at < Duration::MAX);
+        let planned_endpoint = plan.endpoint(endpoint);
+        let own_changes = [planned_endpoint.added_at, planned_endpoint.removed_at]
+            .into_iter()
+            .filter(|at| *at > now && *at < Duration::MAX);
         own_changes.chain(self.troubles.next_change(now, endpoint)).min()
     }
 
@@ -365,7 +367,7 @@
 
     /// Whether a packet would take effect; a repeat that the receiver recognises does not.
     fn is_fresh(&self, now: Duration, endpoint: EndpointId, packet: &Piece) -> bool {
-        let key = (self.endpoints[endpoint.0 as usize].destination, packet.origin);
+        let key = (self.endpoints[endpoint.0 as usize].destination, packet.planned_packet);
         packet.repeat != Repeat::Deduplicated || self.remembered.get(&key).is_none_or(|until| *until < now)
     }
 
@@ -374,7 +376,7 @@
         let executed =
             packets.iter().zip(effects).filter(|(packet, executed)| **executed && !packet.memory.is_zero());
         for (packet, _) in executed {
-            self.remembered.insert((destination, packet.origin), now + packet.memory);
+            self.remembered.insert((destination, packet.planned_packet), now + packet.memory);
         }
     }
 
@@ -421,15 +423,16 @@
         endpoint: EndpointId,
         ahead: usize,
     ) -> Option<Duration> {
-        let place = plan.place(endpoint);
+        let planned_endpoint = plan.endpoint(endpoint);
         let state = &self.endpoints[endpoint.0 as usize];
         let upstream = &self.upstreams[state.upstream];
         let conditions = self.troubles.at(now, endpoint);
         let is_unresponsive = conditions.black_hole || conditions.silent || conditions.shut.is_some();
         let mostly_fails = conditions.errors + conditions.answer_lost + conditions.reset_after > 0.5;
         let group = plan.group(state.destination);
-        let is_available =
-            place.from <= now && self.reachable(plan, now, endpoint) && now < conditions.rejects_calls_from;
+        let is_available = planned_endpoint.added_at <= now
+            && self.reachable(plan, now, endpoint)
+            && now < conditions.rejects_calls_from;
         let mut limiter = upstream.limiter.clone();
         limiter.set_share(now, conditions.limit);
         if !is_available
--- a/crates/sailcart-lab/src/receivers/troubles.rs
+++ b/crates/sailcart-lab/src/receivers/troubles.rs
@@ -6,7 +6,7 @@
 use sailcart::EndpointId;
 
 use crate::experiment::{Spoil, TroubleKind};
-use crate::plan::{Plan, Standing, Struck};
+use crate::plan::{ListState, Plan, ScheduledTrouble};
 
 /// The combined effect of all troubles that are active at an endpoint. Shares are from 0 to 1, of calls or,
 /// where they concern parts of a call, of its packets.
@@ -69,7 +69,7 @@
 /// The troubles of all endpoints of a plan, with their times.
 pub struct TroubleSchedule {
     /// Indexed by endpoint.
-    troubles: Vec<Vec<Struck>>,
+    troubles: Vec<Vec<ScheduledTrouble>>,
 }
 
 /// A share of failing calls above this counts as an outage.
@@ -78,20 +78,27 @@
 impl TroubleSchedule {
     /// Assigns the troubles of a plan to its endpoints.
     pub fn new(plan: &Plan) -> Self {
-        let mut troubles = vec![Vec::new(); plan.places.len()];
-        for scheduled in &plan.struck {
-            let without_targets = Struck { endpoints: Vec::new(), senders: Vec::new(), ..scheduled.clone() };
+        let mut troubles = vec![Vec::new(); plan.endpoints.len()];
+        for scheduled in &plan.scheduled_troubles {
+            let without_targets =
+                ScheduledTrouble { endpoints: Vec::new(), senders: Vec::new(), ..scheduled.clone() };
             for endpoint in &scheduled.endpoints {
                 troubles[endpoint.0 as usize].push(without_targets.clone());
             }
         }
         // A replacement at the address of another endpoint inherits its troubles, except for its drain.
-        for place in plan.places.iter().filter(|place| place.address != place.endpoint) {
-            let inherited = troubles[place.address.0 as usize].clone();
-            let is_drain = |s: &Struck| matches!(s.trouble.kind, TroubleKind::Drain | TroubleKind::Replace);
-            troubles[place.endpoint.0 as usize] = inherited.into_iter().filter(|s| !is_drain(s)).collect();
+        for planned_endpoint in plan
+            .endpoints
+            .iter()
+            .filter(|planned_endpoint| planned_endpoint.address_owner != planned_endpoint.endpoint)
+        {
+            let inherited = troubles[planned_endpoint.address_owner.0 as usize].clone();
+            let is_drain =
+                |s: &ScheduledTrouble| matches!(s.trouble.kind, TroubleKind::Drain | TroubleKind::Replace);
+            troubles[planned_endpoint.endpoint.0 as usize] =
+                inherited.into_iter().filter(|s| !is_drain(s)).collect();
         }
-        debug_assert!(plan.changes.iter().all(|c| c.standing != Standing::Gone || c.at > Duration::ZERO));
+        debug_assert!(plan.list_changes.iter().all(|c| c.state != ListState::Gone || c.at > Duration::ZERO));
         TroubleSchedule { troubles }
     }
 
@@ -99,7 +106,9 @@
     pub fn at(&self, now: Duration, endpoint: EndpointId) -> Conditions {
         use TroubleKind::*;
         let mut conditions = Conditions::default();
-        for scheduled in self.troubles[endpoint.0 as usize].iter().filter(|scheduled| scheduled.stands(now)) {
+        for scheduled in
+            self.troubles[endpoint.0 as usize].iter().filter(|scheduled| scheduled.is_active(now))
+        {
             let share = scheduled.trouble.share.unwrap_or(1.0);
             let combine = |a: f64, b: f64| 1.0 - (1.0 - a) * (1.0 - b);
             match scheduled.trouble.kind {
@@ -129,7 +138,7 @@
 
     /// When the endpoint next starts to refuse connections, which breaks the calls in progress.
     pub fn next_refusal(&self, now: Duration, endpoint: EndpointId) -> Option<Duration> {
-        let future_refusal = |s: &&Struck| s.trouble.kind == TroubleKind::Refuse && s.from > now;
+        let future_refusal = |s: &&ScheduledTrouble| s.trouble.kind == TroubleKind::Refuse && s.from > now;
         self.troubles[endpoint.0 as usize].iter().filter(future_refusal).map(|s| s.from).min()
     }
 
@@ -144,7 +153,7 @@
     /// of them.
     pub fn outages(&self, endpoint: EndpointId) -> Vec<(Duration, Duration)> {
         use TroubleKind::*;
-        let is_outage = |s: &&Struck| match s.trouble.kind {
+        let is_outage = |s: &&ScheduledTrouble| match s.trouble.kind {
             Refuse | BlackHole | Silent | Shut => true,
             Errors | AnswerLost | ResetAfter | ResetBefore => s.trouble.share.unwrap_or(1.0) > OUTAGE_SHARE,
             _ => false,
--- a/crates/sailcart-lab/src/results/assemble.rs
+++ b/crates/sailcart-lab/src/results/assemble.rs
@@ -39,7 +39,7 @@
             span_s: experiment.span.as_secs_f64(),
             senders: experiment.senders.count,
             destinations: plan.destinations.len(),
-            endpoints: plan.places.len(),
+            endpoints: plan.endpoints.len(),
             rules: rule_lines(watcher),
             breaches: watcher.breaches().to_vec(),
             bounds: bound_lines(&experiment.bounds, &figures),
@@ -94,7 +94,7 @@
         insert("credit", credit.overall());
         insert("credit_worst_10s", credit.worst_window());
         insert("credit_worst_category", credit.worst_category());
-        insert("wanted", plan.origins.len() as f64);
+        insert("wanted", plan.planned_packets.len() as f64);
         insert("delivered", self.delivery_delays.iter().flatten().count() as f64);
         insert("late", self.late_count(plan) as f64);
         insert("jain", jain_index(plan, &self.delivery_delays));
@@ -110,8 +110,8 @@
 
     /// The number of packets that were delivered after their soft limit.
     fn late_count(&self, plan: &Plan) -> usize {
-        let late = plan.origins.iter().zip(&self.delivery_delays).filter(|(origin, delay)| {
-            delay.is_some_and(|delay| delay > plan.category(origin.category).soft_limit)
+        let late = plan.planned_packets.iter().zip(&self.delivery_delays).filter(|(planned, delay)| {
+            delay.is_some_and(|delay| delay > plan.category(planned.category).soft_limit)
         });
         late.count()
     }
@@ -145,10 +145,10 @@
 }
 
 fn trouble_lines(plan: &Plan) -> Vec<TroubleLine> {
-    let lines = plan.struck.iter().map(|struck| TroubleLine {
-        description: describe_trouble(&struck.trouble),
-        from_s: struck.from.as_secs_f64(),
-        until_s: struck.until.as_secs_f64(),
+    let lines = plan.scheduled_troubles.iter().map(|scheduled| TroubleLine {
+        description: describe_trouble(&scheduled.trouble),
+        from_s: scheduled.from.as_secs_f64(),
+        until_s: scheduled.until.as_secs_f64(),
     });
     lines.collect()
 }
@@ -183,8 +183,8 @@
 /// share.
 fn jain_index(plan: &Plan, delivery_delays: &[Option<Duration>]) -> f64 {
     let mut by_destination = vec![(0.0, 0.0); plan.destinations.len()];
-    for (origin, delay) in plan.origins.iter().zip(delivery_delays) {
-        let (delivered_count, wanted_count) = &mut by_destination[origin.destination.0 as usize];
+    for (planned, delay) in plan.planned_packets.iter().zip(delivery_delays) {
+        let (delivered_count, wanted_count) = &mut by_destination[planned.destination.0 as usize];
         *wanted_count += 1.0;
         *delivered_count += if delay.is_some() { 1.0 } else { 0.0 };
     }
--- a/crates/sailcart-lab/src/results/credit.rs
+++ b/crates/sailcart-lab/src/results/credit.rs
@@ -20,11 +20,11 @@
     pub fn new(plan: &Plan, delivery_delays: &[Option<Duration>]) -> Self {
         let seconds = (plan.experiment.span.as_secs_f64().ceil() as usize).max(1);
         let mut seconds_by_category = vec![vec![(0.0, 0.0); seconds]; plan.experiment.categories.len()];
-        for (origin, delay) in plan.origins.iter().zip(delivery_delays) {
-            let second = (origin.at.as_secs() as usize).min(seconds - 1);
-            let (earned, wanted) = &mut seconds_by_category[origin.category.0][second];
-            *earned += delay.map_or(0.0, |delay| plan.credit(origin, delay));
-            *wanted += plan.whole_credit(origin);
+        for (planned, delay) in plan.planned_packets.iter().zip(delivery_delays) {
+            let second = (planned.at.as_secs() as usize).min(seconds - 1);
+            let (earned, wanted) = &mut seconds_by_category[planned.category.0][second];
+            *earned += delay.map_or(0.0, |delay| plan.credit(planned, delay));
+            *wanted += plan.full_credit(planned);
         }
         Credit { seconds_by_category }
     }
--- a/crates/sailcart-lab/src/results/tally.rs
+++ b/crates/sailcart-lab/src/results/tally.rs
@@ -6,7 +6,7 @@
 use hdrhistogram::Histogram;
 use sailcart::DestinationId;
 
-use crate::plan::{OriginId, Plan};
+use crate::plan::{Plan, PlannedPacketId};
 
 /// Destinations that get a series of their own in the charts; all others share one.
 const MAX_PLOTTED_DESTINATIONS: usize = 6;
@@ -99,8 +99,8 @@
     pub fn new(plan: &Plan) -> Self {
         let mut by_demand: Vec<(usize, usize)> =
             (0..plan.destinations.len()).map(|index| (0, index)).collect();
-        for origin in &plan.origins {
-            by_demand[origin.destination.0 as usize].0 += 1;
+        for planned in &plan.planned_packets {
+            by_demand[planned.destination.0 as usize].0 += 1;
         }
         by_demand.sort_by(|a, b| b.cmp(a));
         let plotted: Vec<usize> =
@@ -114,7 +114,7 @@
         let no_values = vec![vec![0.0; seconds]; series_names.len()];
         Tally {
             counts: BTreeMap::new(),
-            delivery_delays: vec![None; plan.origins.len()],
+            delivery_delays: vec![None; plan.planned_packets.len()],
             answer_delays: microsecond_histogram(),
             series_of_destination,
             dispatches_per_second: no_values.clone(),
@@ -143,8 +143,8 @@
     }
 
     /// A planned packet was executed, this long after its intended moment. The shortest time is retained.
-    pub fn delivered(&mut self, origin: OriginId, delay: Duration) {
-        let shortest = &mut self.delivery_delays[origin.0];
+    pub fn delivered(&mut self, planned_packet: PlannedPacketId, delay: Duration) {
+        let shortest = &mut self.delivery_delays[planned_packet.0];
         *shortest = Some(shortest.map_or(delay, |previous| previous.min(delay)));
     }
 
@@ -176,7 +176,7 @@
     }
 
     /// The main counts so far, in one line for a terminal.
-    pub fn standing(&self) -> String {
+    pub fn progress_line(&self) -> String {
         let value = |counter| self.counts.get(&counter).copied().unwrap_or(0);
         format!(
             "{} calls with {} packets, {} calls rejected, {} errors; notices: {} dismissed, {} scrapped",
--- a/crates/sailcart-lab/src/run.rs
+++ b/crates/sailcart-lab/src/run.rs
@@ -6,7 +6,7 @@
 
 use indicatif::{ProgressBar, ProgressStyle};
 
-use crate::events::Log;
+use crate::events::EventLog;
 use crate::experiment::{Experiment, LabError, Mode};
 use crate::plan::Plan;
 use crate::policies::PolicyName;
@@ -46,10 +46,9 @@
     let mode = request.experiment.mode;
     let plan = Plan::new(request.experiment, request.seed)?;
     let log = match request.events {
-        Some(folder) => {
-            Log::create(folder).map_err(|error| LabError(format!("cannot create events.jsonl.zst: {error}")))?
-        }
-        None => Log::default(),
+        Some(folder) => EventLog::create(folder)
+            .map_err(|error| LabError(format!("cannot create events.jsonl.zst: {error}")))?,
+        None => EventLog::default(),
     };
     let bar = progress_bar(plan.end());
     let mut progress = |at: Duration| bar.set_position(at.as_millis() as u64);
--- a/crates/sailcart-lab/src/shipped.rs
+++ b/crates/sailcart-lab/src/shipped.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use crate::experiment::{Experiment, LabError, LimitBy, begins};
+use crate::experiment::{Experiment, LabError, LimitBy, start_times};
 
 macro_rules! shipped {
     ($($name:literal),* $(,)?) => {
@@ -68,7 +68,7 @@
             group.count, group.name, group.endpoints, group.pace
         );
     }
-    for (trouble, starts_at) in experiment.troubles.iter().zip(begins(experiment)?) {
+    for (trouble, starts_at) in experiment.troubles.iter().zip(start_times(experiment)?) {
         let target = trouble.destinations.as_deref().unwrap_or("all");
         let _ = writeln!(text, "At {starts_at:?} for {:?}: {:?} ({target}).", trouble.lasts, trouble.kind);
     }
--- a/crates/sailcart-lab/src/simulated/clients.rs
+++ b/crates/sailcart-lab/src/simulated/clients.rs
@@ -10,7 +10,7 @@
 use super::submission::{Completion, Submission};
 use super::world::World;
 use crate::experiment::choose_by_key;
-use crate::plan::{OriginId, SenderId};
+use crate::plan::{PlannedPacketId, SenderId};
 use crate::results::tally::Count;
 use crate::watcher::{End, Handed, Seen};
 
@@ -23,34 +23,35 @@
 
 impl World<'_> {
     /// A client submits its packet to a sender of its choice, unless the deadline of the packet has passed.
-    pub fn submit(&mut self, id: OriginId, resubmissions: u32) {
-        let origin = &self.plan.origins[id.0];
-        let deadline = origin.at + self.plan.category(origin.category).patience;
+    pub fn submit(&mut self, planned_packet: PlannedPacketId, resubmissions: u32) {
+        let planned = &self.plan.planned_packets[planned_packet.0];
+        let deadline = planned.at + self.plan.category(planned.category).patience;
         if self.now >= deadline {
             return;
         }
-        let Some(sender) = self.choose_sender(id) else {
-            self.queue.push(self.now + NO_SENDER_RETRY_DELAY, Event::Submit { origin: id, resubmissions });
+        let Some(sender) = self.choose_sender(planned_packet) else {
+            self.queue
+                .push(self.now + NO_SENDER_RETRY_DELAY, Event::Submit { planned_packet, resubmissions });
             return;
         };
         let packet = PacketId(self.submissions.len() as u64);
-        self.submissions.push(Submission::new(id, sender, resubmissions, self.now, deadline));
-        self.observe(Seen::Handed(Handed::new(self.plan, packet, id, sender)));
+        self.submissions.push(Submission::new(planned_packet, sender, resubmissions, self.now, deadline));
+        self.observe(Seen::Handed(Handed::new(self.plan, packet, planned_packet, sender)));
         self.tally.count(Count::HandedIn);
-        if self.senders[sender.0].held.len() >= self.plan.terms.max_held {
-            let retry_after = self.plan.terms.max_retry_after;
+        if self.senders[sender.0].held.len() >= self.plan.settings.max_held {
+            let retry_after = self.plan.settings.max_retry_after;
             return self.complete_packet(Completion { packet, end: End::Dismissed, retry_after });
         }
-        self.tally.holds(origin.destination, true);
+        self.tally.holds(planned.destination, true);
         self.accept(sender, packet);
     }
 
     /// Chooses an accepting sender: by key if the packet has one, so that all packets of a key go to the same
     /// sender while it runs, otherwise at random.
-    fn choose_sender(&mut self, id: OriginId) -> Option<SenderId> {
+    fn choose_sender(&mut self, planned_packet: PlannedPacketId) -> Option<SenderId> {
         let senders = (0..self.senders.len()).map(SenderId);
         let accepting: Vec<SenderId> = senders.filter(|sender| self.senders[sender.0].accepting).collect();
-        match self.plan.origins[id.0].key {
+        match self.plan.planned_packets[planned_packet.0].key {
             Some(key) => choose_by_key(key, &accepting),
             None => accepting.choose(&mut self.rng).copied(),
         }
@@ -58,7 +59,7 @@
 
     /// The client receives the answer to its submission; records the time it has waited.
     pub fn answer_client(&mut self, packet: PacketId) {
-        let first = self.origin_of(packet).at;
+        let first = self.planned(packet).at;
         let submission = self.submission_mut(packet);
         submission.answered = true;
         // The first submission is measured from its planned time, a resubmission from its own time.
@@ -92,7 +93,7 @@
     pub fn release(&mut self, packet: PacketId) {
         let sender = self.submission(packet).sender;
         if self.senders[sender.0].held.remove(&packet) {
-            self.tally.holds(self.origin_of(packet).destination, false);
+            self.tally.holds(self.planned(packet).destination, false);
         }
     }
 
@@ -106,9 +107,9 @@
         }
         let pause = load.pause.mul_f64(self.rng.random_range(1.0..MAX_PAUSE_FACTOR));
         let at = self.now + pause.max(retry_after.unwrap_or_default());
-        let (origin, resubmissions) = (submission.origin, submission.resubmissions);
-        if at < submission.deadline.min(self.plan.comes_again_until(origin)) {
-            self.queue.push(at, Event::Submit { origin, resubmissions: resubmissions + 1 });
+        let (planned_packet, resubmissions) = (submission.planned_packet, submission.resubmissions);
+        if at < submission.deadline.min(self.plan.resubmission_deadline(planned_packet)) {
+            self.queue.push(at, Event::Submit { planned_packet, resubmissions: resubmissions + 1 });
         }
     }
 
@@ -121,7 +122,7 @@
             self.release(packet);
         }
         let submission = self.submission(packet);
-        let (origin, resubmissions) = (submission.origin, submission.resubmissions);
-        self.queue.push(self.now + CLIENT_TIMEOUT, Event::Submit { origin, resubmissions });
+        let (planned_packet, resubmissions) = (submission.planned_packet, submission.resubmissions);
+        self.queue.push(self.now + CLIENT_TIMEOUT, Event::Submit { planned_packet, resubmissions });
     }
 }
--- a/crates/sailcart-lab/src/simulated/connections.rs
+++ b/crates/sailcart-lab/src/simulated/connections.rs
@@ -10,7 +10,7 @@
 /// Time after which a sender closes an idle connection to an endpoint: 7/8 of the idle timeout of the
 /// receiver, so that the sender closes it first.
 fn idle_timeout(plan: &Plan, endpoint: EndpointId) -> Duration {
-    plan.group(plan.place(endpoint).destination).idle_close * 7 / 8
+    plan.group(plan.endpoint(endpoint).destination).idle_close * 7 / 8
 }
 
 impl World<'_> {
--- a/crates/sailcart-lab/src/simulated/dispatching.rs
+++ b/crates/sailcart-lab/src/simulated/dispatching.rs
@@ -38,7 +38,7 @@
 
     /// Maximum number of packets in a call to an endpoint.
     fn max_batch(&self, endpoint: EndpointId) -> usize {
-        let destination = self.plan.place(endpoint).destination;
+        let destination = self.plan.endpoint(endpoint).destination;
         let kind = self.plan.destination(destination).kind;
         self.plan.experiment.kinds[kind.0].batch.max(1)
     }
@@ -52,7 +52,7 @@
             submission.dispatches += 1;
             submission.call = Some(id);
         }
-        self.tally.calls_out(self.plan.place(endpoint).destination, true);
+        self.tally.calls_out(self.plan.endpoint(endpoint).destination, true);
         let mut call = Call::new(sender, endpoint, packets, self.now);
         call.holds_connection = self.connect(id, &call, timeout);
         let gate = self.gate(endpoint);
@@ -80,7 +80,7 @@
                 false
             }
             Connect::Never => {
-                let timeout = self.plan.terms.connect_timeout.min(timeout);
+                let timeout = self.plan.settings.connect_timeout.min(timeout);
                 self.queue.push(self.now + timeout, Event::ConnectFailed(id));
                 false
             }
--- a/crates/sailcart-lab/src/simulated/event.rs
+++ b/crates/sailcart-lab/src/simulated/event.rs
@@ -2,14 +2,14 @@
 
 use sailcart::Outcome;
 
-use crate::plan::{OriginId, SenderId};
+use crate::plan::{PlannedPacketId, SenderId};
 use crate::watcher::{CallId, GateId};
 
 /// Something that happens at a point of simulated time.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A client submits a packet that has been resubmitted `resubmissions` times so far after a dismissal.
-    Submit { origin: OriginId, resubmissions: u32 },
+    Submit { planned_packet: PlannedPacketId, resubmissions: u32 },
     /// A round of a sender is due. It is ignored if the process that requested it has ended.
     Round { sender: SenderId, process_number: u32 },
     /// The connection of a call is established.
--- a/crates/sailcart-lab/src/simulated/mod.rs
+++ b/crates/sailcart-lab/src/simulated/mod.rs
@@ -25,7 +25,7 @@
 
 use sailcart::Outcome as CallOutcome;
 
-use crate::events::Log;
+use crate::events::EventLog;
 use crate::experiment::Mode;
 use crate::plan::{Plan, SenderId};
 use crate::policies::{self, PolicyName};
@@ -38,15 +38,15 @@
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Runs an experiment and returns its outcome. `progress` is called with the simulated time at intervals.
-pub fn run(plan: &Plan, policy: PolicyName, log: Log, progress: &mut dyn FnMut(Duration)) -> Outcome {
-    run_with(plan, policy, log, progress, &|seed| policies::start(policy, &plan.terms, seed))
+pub fn run(plan: &Plan, policy: PolicyName, log: EventLog, progress: &mut dyn FnMut(Duration)) -> Outcome {
+    run_with(plan, policy, log, progress, &|seed| policies::start(policy, &plan.settings, seed))
 }
 
 /// Like [`run`], with senders made by `make_policy`. Tests use it to run faulty senders.
 pub fn run_with(
     plan: &Plan,
     policy: PolicyName,
-    log: Log,
+    log: EventLog,
     progress: &mut dyn FnMut(Duration),
     make_policy: &MakePolicy,
 ) -> Outcome {
@@ -78,7 +78,7 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Submit { origin, resubmissions } => self.submit(origin, resubmissions),
+            Event::Submit { planned_packet, resubmissions } => self.submit(planned_packet, resubmissions),
             Event::Round { sender, process_number } => self.run_round(sender, process_number),
             Event::Connected(call) => self.on_connected(call),
             Event::ConnectFailed(call) => self.finish_call(call, CallOutcome::NoConnection),
--- a/crates/sailcart-lab/src/simulated/outcomes.rs
+++ b/crates/sailcart-lab/src/simulated/outcomes.rs
@@ -43,7 +43,7 @@
         let Some(call) = self.remove_call(id) else { return };
         let first_outcome = outcomes.first().copied().unwrap_or(Outcome::NoSlot);
         self.release_connection(&call, first_outcome);
-        self.tally.calls_out(self.plan.place(call.endpoint).destination, false);
+        self.tally.calls_out(self.plan.endpoint(call.endpoint).destination, false);
         self.count_failure(first_outcome);
         if call.has_arrived() {
             self.observe(Seen::Over { call: id, heard: observed_result(&outcomes) });
@@ -115,10 +115,10 @@
 
     /// Records that a packet was executed. That completes it, unless it was completed before.
     fn record_delivery(&mut self, packet: PacketId) {
-        let delay = self.now.saturating_sub(self.origin_of(packet).at);
+        let delay = self.now.saturating_sub(self.planned(packet).at);
         let submission = self.submission(packet);
         let was_completed = submission.end.is_some();
-        self.tally.delivered(submission.origin, delay);
+        self.tally.delivered(submission.planned_packet, delay);
         if !was_completed {
             self.complete_packet(Completion { packet, end: End::Done, retry_after: None });
         }
--- a/crates/sailcart-lab/src/simulated/processes.rs
+++ b/crates/sailcart-lab/src/simulated/processes.rs
@@ -4,7 +4,7 @@
 use sailcart::{ListEntry, Packet};
 
 use super::world::World;
-use crate::plan::{SenderId, Standing, chance};
+use crate::plan::{ListState, SenderId, seeded_rng};
 use crate::results::tally::Count;
 use crate::watcher::{CallId, Heard, Seen};
 
@@ -33,7 +33,7 @@
     fn sender_seed(&self, sender: SenderId) -> u64 {
         let process_number = u64::from(self.senders[sender.0].process_number);
         let stream = FIRST_SENDER_STREAM + sender.0 as u64;
-        chance(self.plan.seed ^ (process_number << 32), stream).random()
+        seeded_rng(self.plan.seed ^ (process_number << 32), stream).random()
     }
 
     fn observe_start(&mut self, sender: SenderId, entries: &[ListEntry]) {
@@ -50,9 +50,9 @@
         let Some(policy) = &mut self.senders[sender.0].policy else {
             return; // a process reads the full list when it starts
         };
-        let change = self.plan.changes[change];
-        let live = change.standing == Standing::Ready;
-        policy.update_list(self.now, false, &[self.plan.listing(change.endpoint, live)]);
+        let change = self.plan.list_changes[change];
+        let live = change.state == ListState::Ready;
+        policy.update_list(self.now, false, &[self.plan.list_entry(change.endpoint, live)]);
         self.observe(if live {
             Seen::ToldOn(sender, change.endpoint)
         } else {
@@ -91,7 +91,7 @@
         if call.holds_connection {
             self.receivers.disconnected(call.endpoint);
         }
-        self.tally.calls_out(self.plan.place(call.endpoint).destination, false);
+        self.tally.calls_out(self.plan.endpoint(call.endpoint).destination, false);
         for packet in &call.packets {
             self.submission_mut(*packet).call = None;
         }
--- a/crates/sailcart-lab/src/simulated/reception.rs
+++ b/crates/sailcart-lab/src/simulated/reception.rs
@@ -15,7 +15,7 @@
         let (sender, endpoint, packets) = (call.sender, call.endpoint, call.packets.clone());
         let gate = self.gate(endpoint);
         self.calls_not_arrived[gate.0] -= 1;
-        let destination = self.plan.place(endpoint).destination;
+        let destination = self.plan.endpoint(endpoint).destination;
         self.tally.dispatched(self.now, destination, packets.len());
         let call_packets = self.call_packets(&packets);
         let reception = self.receivers.arrive(self.plan, self.now, endpoint, &call_packets);
@@ -56,7 +56,7 @@
         let Some(call) = self.calls.get(&id) else { return };
         let Stage::Arrived { answer: Some(answer), .. } = call.stage().clone() else { return };
         let several_packets = call.packets.len() > 1;
-        let destination = self.plan.place(call.endpoint).destination;
+        let destination = self.plan.endpoint(call.endpoint).destination;
         self.pass_report(id, &answer);
         if let Answer::Full(_) = answer {
             self.tally.refused(self.now, destination);
--- a/crates/sailcart-lab/src/simulated/rounds.rs
+++ b/crates/sailcart-lab/src/simulated/rounds.rs
@@ -43,13 +43,13 @@
     /// The description of a packet that its sender passes to the policy.
     pub fn describe(&self, packet: PacketId) -> sailcart::Packet {
         let submission = self.submission(packet);
-        let origin = self.origin_of(packet);
+        let planned = self.planned(packet);
         sailcart::Packet {
             id: packet,
-            destination: origin.destination,
-            category: origin.category,
-            customer: origin.customer,
-            key: origin.key,
+            destination: planned.destination,
+            category: planned.category,
+            customer: planned.customer,
+            key: planned.key,
             deadline: submission.deadline,
             dispatches: submission.dispatches,
             possibly_executed_at: submission.possibly_executed_at,
--- a/crates/sailcart-lab/src/simulated/schedule.rs
+++ b/crates/sailcart-lab/src/simulated/schedule.rs
@@ -6,7 +6,7 @@
 use super::queue::Queue;
 use super::world::World;
 use crate::experiment::TroubleKind;
-use crate::plan::{OriginId, Plan, SenderId, Struck};
+use crate::plan::{Plan, PlannedPacketId, ScheduledTrouble, SenderId};
 use crate::receivers::TroubleSchedule;
 
 /// Time that a sender stopped in an orderly way has to complete its calls.
@@ -25,22 +25,23 @@
     }
 
     fn schedule_load(&mut self) {
-        for (index, origin) in self.plan.origins.iter().enumerate() {
-            self.queue.push(origin.at, Event::Submit { origin: OriginId(index), resubmissions: 0 });
+        for (index, planned) in self.plan.planned_packets.iter().enumerate() {
+            self.queue
+                .push(planned.at, Event::Submit { planned_packet: PlannedPacketId(index), resubmissions: 0 });
         }
     }
 
     fn schedule_list_changes(&mut self) {
         for sender in (0..self.senders.len()).map(SenderId) {
-            for (index, change) in self.plan.changes.iter().enumerate() {
-                let at = self.plan.told_at(change, sender);
+            for (index, change) in self.plan.list_changes.iter().enumerate() {
+                let at = self.plan.list_change_received_at(change, sender);
                 self.queue.push(at, Event::ListChange { sender, change: index });
             }
         }
     }
 
     fn schedule_sender_troubles(&mut self) {
-        for scheduled in &self.plan.struck {
+        for scheduled in &self.plan.scheduled_troubles {
             match scheduled.trouble.kind {
                 TroubleKind::Kill => schedule_kills(scheduled, &mut self.queue),
                 TroubleKind::Roll => schedule_rolling_restart(scheduled, &mut self.queue),
@@ -52,9 +53,9 @@
     fn schedule_outages(&mut self) {
         let plan: &Plan = self.plan;
         let troubles = TroubleSchedule::new(plan);
-        for place in &plan.places {
-            let gate = self.gate(place.endpoint);
-            for (from, _) in troubles.outages(place.endpoint) {
+        for planned_endpoint in &plan.endpoints {
+            let gate = self.gate(planned_endpoint.endpoint);
+            for (from, _) in troubles.outages(planned_endpoint.endpoint) {
                 self.queue.push(from, Event::OutageBegins(gate));
             }
         }
@@ -68,15 +69,15 @@
 }
 
 /// Adds the deaths of senders and their restarts.
-fn schedule_kills(scheduled: &Struck, queue: &mut Queue<Event>) {
-    for (at, sender, downtime) in scheduled.deaths(RESTART_TIME) {
+fn schedule_kills(scheduled: &ScheduledTrouble, queue: &mut Queue<Event>) {
+    for (at, sender, downtime) in scheduled.sender_deaths(RESTART_TIME) {
         queue.push(at, Event::Kill(sender));
         queue.push(at + downtime, Event::Start(sender));
     }
 }
 
 /// Adds orderly stops and restarts of senders, in waves of `count` senders.
-fn schedule_rolling_restart(scheduled: &Struck, queue: &mut Queue<Event>) {
+fn schedule_rolling_restart(scheduled: &ScheduledTrouble, queue: &mut Queue<Event>) {
     let wave_size = scheduled.trouble.count.unwrap_or(1).max(1);
     let waves = scheduled.senders.len().div_ceil(wave_size) as u32;
     for (wave_index, senders) in scheduled.senders.chunks(wave_size).enumerate() {
--- a/crates/sailcart-lab/src/simulated/submission.rs
+++ b/crates/sailcart-lab/src/simulated/submission.rs
@@ -4,12 +4,12 @@
 
 use sailcart::PacketId;
 
-use crate::plan::{OriginId, SenderId};
+use crate::plan::{PlannedPacketId, SenderId};
 use crate::watcher::{CallId, End};
 
 /// A packet as submitted once to one sender.
 pub struct Submission {
-    pub origin: OriginId,
+    pub planned_packet: PlannedPacketId,
     pub sender: SenderId,
     /// Number of earlier submissions of the same planned packet that were dismissed.
     pub resubmissions: u32,
@@ -30,14 +30,14 @@
 impl Submission {
     /// Creates a submission to a sender.
     pub fn new(
-        origin: OriginId,
+        planned_packet: PlannedPacketId,
         sender: SenderId,
         resubmissions: u32,
         submitted_at: Duration,
         deadline: Duration,
     ) -> Self {
         Submission {
-            origin,
+            planned_packet,
             sender,
             resubmissions,
             submitted_at,
--- a/crates/sailcart-lab/src/simulated/world.rs
+++ b/crates/sailcart-lab/src/simulated/world.rs
@@ -12,8 +12,8 @@
 use super::queue::Queue;
 use super::sender::SenderState;
 use super::submission::Submission;
-use crate::events::Log;
-use crate::plan::{Origin, Plan, chance};
+use crate::events::EventLog;
+use crate::plan::{Plan, PlannedPacket, seeded_rng};
 use crate::policies::Policy;
 use crate::receivers::{Piece, Receivers};
 use crate::results::tally::Tally;
@@ -34,7 +34,7 @@
     pub receivers: Receivers,
     pub watcher: Watcher,
     pub tally: Tally,
-    pub log: Log,
+    pub log: EventLog,
     pub senders: Vec<SenderState>,
     /// Calls that have not reached their receiver yet, by upstream.
     pub calls_not_arrived: Vec<usize>,
@@ -48,7 +48,7 @@
 
 impl<'a> World<'a> {
     /// Creates the world before its first event: nothing is scheduled and no sender runs.
-    pub fn new(plan: &'a Plan, log: Log, make_policy: &'a MakePolicy<'a>) -> Self {
+    pub fn new(plan: &'a Plan, log: EventLog, make_policy: &'a MakePolicy<'a>) -> Self {
         World {
             plan,
             make_policy,
@@ -59,11 +59,11 @@
             tally: Tally::new(plan),
             log,
             senders: (0..plan.experiment.senders.count).map(|_| SenderState::default()).collect(),
-            calls_not_arrived: vec![0; plan.places.len()],
+            calls_not_arrived: vec![0; plan.endpoints.len()],
             submissions: Vec::new(),
             calls: HashMap::new(),
             next_call_id: 0,
-            rng: chance(plan.seed, CLIENTS_STREAM),
+            rng: seeded_rng(plan.seed, CLIENTS_STREAM),
         }
     }
 
@@ -84,8 +84,8 @@
     }
 
     /// The planned packet that a submitted packet stands for.
-    pub fn origin_of(&self, packet: PacketId) -> &'a Origin {
-        &self.plan.origins[self.submission(packet).origin.0]
+    pub fn planned(&self, packet: PacketId) -> &'a PlannedPacket {
+        &self.plan.planned_packets[self.submission(packet).planned_packet.0]
     }
 
     /// The upstream that an endpoint belongs to.
@@ -95,6 +95,6 @@
 
     /// The packets of a call as its receiver sees them.
     pub fn call_packets(&self, packets: &[PacketId]) -> Vec<Piece> {
-        packets.iter().map(|packet| Piece::new(self.plan, self.submission(*packet).origin)).collect()
+        packets.iter().map(|packet| Piece::new(self.plan, self.submission(*packet).planned_packet)).collect()
     }
 }
--- a/crates/sailcart-lab/src/soak/machine.rs
+++ b/crates/sailcart-lab/src/soak/machine.rs
@@ -11,7 +11,7 @@
 use super::kinds::SoakKind;
 use super::proxy::Manner;
 use super::schedule::Planned;
-use crate::plan::{SenderId, chance};
+use crate::plan::{SenderId, seeded_rng};
 
 /// The stream of random numbers for these draws.
 const RNG_STREAM: u64 = 21;
@@ -58,7 +58,7 @@
 
 /// Draws those troubles of the schedule that affect machines and links, for each sender concerned.
 pub fn troubles(schedule: &[Planned], senders: usize, seed: u64) -> Vec<MachineTrouble> {
-    let mut rng = chance(seed, RNG_STREAM);
+    let mut rng = seeded_rng(seed, RNG_STREAM);
     let mut drawn = Vec::new();
     for planned in schedule {
         for sender in (0..senders).map(SenderId) {
--- a/crates/sailcart-lab/src/soak/mod.rs
+++ b/crates/sailcart-lab/src/soak/mod.rs
@@ -17,7 +17,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use crate::events::Log;
+use crate::events::EventLog;
 use crate::experiment::LabError;
 use crate::plan::Plan;
 use crate::sockets;
@@ -136,7 +136,7 @@
     let experiment = experiment::of(&run.schedule, run.senders, span, options.rate);
     fs::write(folder.join("schedule.txt"), format_schedule(&run.schedule)).map_err(io_error)?;
     let plan = Plan::new(experiment, run.seed)?;
-    let log = Log::create(folder).map_err(io_error)?;
+    let log = EventLog::create(folder).map_err(io_error)?;
     let machine_troubles = machine::troubles(&run.schedule, run.senders, run.seed);
     let outcome = sockets::soak(&plan, log, options.sender.as_deref(), folder, &machine_troubles)?;
     outcome.write(folder).map_err(io_error)?;
--- a/crates/sailcart-lab/src/soak/schedule.rs
+++ b/crates/sailcart-lab/src/soak/schedule.rs
@@ -8,7 +8,7 @@
 use rand::seq::{IndexedRandom, SliceRandom};
 
 use super::kinds::SoakKind;
-use crate::plan::chance;
+use crate::plan::seeded_rng;
 
 /// The number of troubles in a group; all troubles of a group overlap.
 pub const TROUBLES_PER_GROUP: usize = 3;
@@ -58,7 +58,7 @@
 /// earlier group covered and then the kind that adds the most uncovered pairs, so that all pairs are covered
 /// in few runs. Once all are covered, it starts again with all pairs.
 pub fn row(seed: u64, runs: usize, span: Duration) -> Vec<Vec<Planned>> {
-    let mut rng = chance(seed, RNG_STREAM);
+    let mut rng = seeded_rng(seed, RNG_STREAM);
     let mut uncovered = all_pairs();
     let mut schedules = Vec::new();
     for _ in 0..runs {
--- a/crates/sailcart-lab/src/sockets/clients.rs
+++ b/crates/sailcart-lab/src/sockets/clients.rs
@@ -20,7 +20,7 @@
 use super::protocol::submit_command;
 use super::shared::SharedState;
 use crate::experiment::choose_by_key;
-use crate::plan::{OriginId, SenderId, Struck, chance};
+use crate::plan::{PlannedPacketId, ScheduledTrouble, SenderId, seeded_rng};
 use crate::results::tally::Count;
 use crate::watcher::{End, Seen};
 
@@ -52,7 +52,7 @@
 
 impl Clients {
     pub fn new(shared: &Rc<SharedState>, processes: &Rc<SenderProcesses>) -> Rc<Clients> {
-        let rng = RefCell::new(chance(shared.plan.seed, 6));
+        let rng = RefCell::new(seeded_rng(shared.plan.seed, 6));
         Rc::new(Clients {
             shared: shared.clone(),
             processes: processes.clone(),
@@ -65,11 +65,11 @@
     pub async fn submit_all(self: Rc<Self>) {
         let clients = self.clone();
         spawn_local(async move { clients.resubmit_dismissed().await });
-        for (number, origin) in self.shared.plan.origins.iter().enumerate() {
-            if origin.at > self.shared.now() {
-                sleep_until(self.shared.instant(origin.at)).await;
+        for (number, planned) in self.shared.plan.planned_packets.iter().enumerate() {
+            if planned.at > self.shared.now() {
+                sleep_until(self.shared.instant(planned.at)).await;
             }
-            spawn_local(self.clone().submit(OriginId(number), 0, origin.at));
+            spawn_local(self.clone().submit(PlannedPacketId(number), 0, planned.at));
         }
     }
 
@@ -85,17 +85,17 @@
                 *resubmissions = later;
                 due
             };
-            for (origin, attempt, at) in due {
-                spawn_local(self.clone().submit(origin, attempt, at));
+            for (planned_packet, attempt, at) in due {
+                spawn_local(self.clone().submit(planned_packet, attempt, at));
             }
         }
     }
 
     /// Chooses among the senders that accept packets. Packets with a key go to the sender that the key
     /// selects, so that one sender gets all packets of a key while it runs; others go to a random one.
-    fn choose_sender(&self, origin: OriginId) -> Option<SenderId> {
+    fn choose_sender(&self, planned_packet: PlannedPacketId) -> Option<SenderId> {
         let accepting = self.processes.accepting();
-        match self.shared.plan.origins[origin.0].key {
+        match self.shared.plan.planned_packets[planned_packet.0].key {
             Some(key) => choose_by_key(key, &accepting),
             None => accepting.choose(&mut *self.rng.borrow_mut()).copied(),
         }
@@ -103,16 +103,16 @@
 
     /// Submits a packet until a sender replies or its deadline has passed. `scheduled_at` is the start of the
     /// latency.
-    async fn submit(self: Rc<Self>, origin_id: OriginId, attempt: u32, scheduled_at: Duration) {
+    async fn submit(self: Rc<Self>, planned_packet: PlannedPacketId, attempt: u32, scheduled_at: Duration) {
         let plan = &self.shared.plan;
-        let origin = &plan.origins[origin_id.0];
-        let deadline = origin.at + plan.category(origin.category).patience;
+        let planned = &plan.planned_packets[planned_packet.0];
+        let deadline = planned.at + plan.category(planned.category).patience;
         loop {
             let now = self.shared.now();
             if now >= deadline {
                 return;
             }
-            let Some(sender) = self.choose_sender(origin_id) else {
+            let Some(sender) = self.choose_sender(planned_packet) else {
                 sleep(RETRY_DELAY).await;
                 continue;
             };
@@ -120,8 +120,8 @@
                 sleep(RETRY_DELAY).await;
                 continue;
             };
-            let packet = self.shared.record_submission(origin_id, sender, attempt);
-            let command = submit_command(plan, origin_id, packet.0, deadline - now);
+            let packet = self.shared.record_submission(planned_packet, sender, attempt);
+            let command = submit_command(plan, planned_packet, packet.0, deadline - now);
             let reply = match send_command(&mut stream, &command).await {
                 Err(_) if !is_new => self.resend(sender, &mut stream, &command).await,
                 reply => reply,
@@ -131,7 +131,7 @@
                 sleep(RETRY_DELAY).await;
                 continue;
             };
-            let measured_from = if attempt == 0 { origin.at } else { scheduled_at };
+            let measured_from = if attempt == 0 { planned.at } else { scheduled_at };
             self.shared.tally.borrow_mut().answered(self.shared.now().saturating_sub(measured_from));
             self.handle_reply(packet, reply);
             self.idle_connections.borrow_mut().entry(sender).or_default().push(stream);
@@ -215,14 +215,18 @@
 
 /// Sends malformed input at the rate that the trouble sets, each on a new connection, and counts the
 /// connections that get neither an error nor a close within [`MALFORMED_INPUT_TIMEOUT`].
-pub async fn send_malformed_input(shared: Rc<SharedState>, processes: Rc<SenderProcesses>, struck: Struck) {
-    sleep_until(shared.instant(struck.from)).await;
-    let interval = Duration::from_secs(1) / struck.trouble.count.unwrap_or(10).max(1) as u32;
-    let mut rng = chance(shared.plan.seed, 7);
+pub async fn send_malformed_input(
+    shared: Rc<SharedState>,
+    processes: Rc<SenderProcesses>,
+    scheduled: ScheduledTrouble,
+) {
+    sleep_until(shared.instant(scheduled.from)).await;
+    let interval = Duration::from_secs(1) / scheduled.trouble.count.unwrap_or(10).max(1) as u32;
+    let mut rng = seeded_rng(shared.plan.seed, 7);
     let mut index = 0;
-    while shared.now() < struck.until {
+    while shared.now() < scheduled.until {
         let input = malformed_input(index, &mut rng);
-        let sender = struck.senders[index % struck.senders.len()];
+        let sender = scheduled.senders[index % scheduled.senders.len()];
         let (shared, address) = (shared.clone(), processes.address(sender));
         spawn_local(async move {
             let Ok(mut stream) = TcpStream::connect(address).await else { return };
--- a/crates/sailcart-lab/src/sockets/discovery.rs
+++ b/crates/sailcart-lab/src/sockets/discovery.rs
@@ -18,7 +18,7 @@
 use super::protocol::list_entry;
 use super::shared::SharedState;
 use crate::experiment::TroubleKind;
-use crate::plan::{Change, SenderId, Standing};
+use crate::plan::{ListChange, ListState, SenderId};
 use crate::watcher::{End, Seen};
 
 /// Maximum time for which a request for the list is held until the list changes.
@@ -30,7 +30,7 @@
     sender: SenderId,
     /// The changes of the list with the time at which each reaches this agent, ordered by that time. Before
     /// the first one the list has generation 1; each change increments the generation.
-    changes: Vec<(Duration, Change)>,
+    changes: Vec<(Duration, ListChange)>,
     addresses: Rc<[SocketAddr]>,
 }
 
@@ -65,8 +65,12 @@
     listener: TcpListener,
 ) -> io::Result<SocketAddr> {
     let address = listener.local_addr()?;
-    let mut changes: Vec<(Duration, Change)> =
-        shared.plan.changes.iter().map(|change| (shared.plan.told_at(change, sender), *change)).collect();
+    let mut changes: Vec<(Duration, ListChange)> = shared
+        .plan
+        .list_changes
+        .iter()
+        .map(|change| (shared.plan.list_change_received_at(change, sender), *change))
+        .collect();
     changes.sort_by_key(|(at, change)| (*at, change.at, change.endpoint));
     let agent = Rc::new(Agent { shared: shared.clone(), sender, changes, addresses: addresses.clone() });
     spawn_local(async move {
@@ -127,10 +131,10 @@
 
     /// Waits while a trouble keeps discovery silent for this sender.
     async fn wait_while_silent(&self) {
-        let outage = self.shared.plan.struck.iter().find(|struck| {
+        let outage = self.shared.plan.scheduled_troubles.iter().find(|scheduled| {
             let affects_sender =
-                struck.trouble.kind == TroubleKind::ListSilent && struck.senders.contains(&self.sender);
-            affects_sender && struck.stands(self.shared.now())
+                scheduled.trouble.kind == TroubleKind::ListSilent && scheduled.senders.contains(&self.sender);
+            affects_sender && scheduled.is_active(self.shared.now())
         });
         if let Some(outage) = outage {
             sleep_until(self.shared.instant(outage.until)).await;
@@ -147,18 +151,18 @@
         self.wait_for_change(from, Instant::now() + hold).await;
         let reached = self.reached_count(self.shared.now());
         let mut updates = self.updates_since(from, reached);
-        for (endpoint, standing) in &updates {
-            self.shared.observe(match standing {
-                Standing::Ready => Seen::ToldOn(self.sender, *endpoint),
+        for (endpoint, state) in &updates {
+            self.shared.observe(match state {
+                ListState::Ready => Seen::ToldOn(self.sender, *endpoint),
                 _ => Seen::ToldOff(self.sender, *endpoint),
             });
         }
         if from.is_none() {
-            updates.retain(|(_, standing)| *standing != Standing::Gone);
+            updates.retain(|(_, state)| *state != ListState::Gone);
         }
         let entries: Vec<Value> = updates
             .iter()
-            .map(|(endpoint, standing)| list_entry(&self.shared.plan, *endpoint, *standing, &self.addresses))
+            .map(|(endpoint, state)| list_entry(&self.shared.plan, *endpoint, *state, &self.addresses))
             .collect();
         let list = json!({"generation": reached + 1, "reset": from.is_none(), "instances": entries});
         response("200 OK", "", &list.to_string())
@@ -177,16 +181,21 @@
 
     /// The endpoints that changed after generation `from`, or all endpoints without it, with the last change
     /// that has reached this agent.
-    fn updates_since(&self, from: Option<u64>, reached: usize) -> Vec<(EndpointId, Standing)> {
+    fn updates_since(&self, from: Option<u64>, reached: usize) -> Vec<(EndpointId, ListState)> {
         let already_listed = from.map_or(0, |from| (from as usize - 1).min(reached));
         let mut updates = Vec::new();
         if from.is_none() {
-            let initial = self.shared.plan.places.iter().filter(|place| place.from.is_zero());
-            updates.extend(initial.map(|place| (place.endpoint, Standing::Ready)));
+            let initial = self
+                .shared
+                .plan
+                .endpoints
+                .iter()
+                .filter(|planned_endpoint| planned_endpoint.added_at.is_zero());
+            updates.extend(initial.map(|planned_endpoint| (planned_endpoint.endpoint, ListState::Ready)));
         }
         for (_, change) in &self.changes[already_listed..reached] {
             updates.retain(|(endpoint, _)| *endpoint != change.endpoint);
-            updates.push((change.endpoint, change.standing));
+            updates.push((change.endpoint, change.state));
         }
         updates
     }
--- a/crates/sailcart-lab/src/sockets/endpoints.rs
+++ b/crates/sailcart-lab/src/sockets/endpoints.rs
@@ -30,12 +30,12 @@
 /// number. An endpoint that replaces another one at the same address shares its socket.
 pub async fn open_all(shared: &Rc<SharedState>) -> io::Result<Rc<[SocketAddr]>> {
     let mut addresses: Vec<SocketAddr> = Vec::new();
-    for place in &shared.plan.places {
-        if place.address != place.endpoint {
-            addresses.push(addresses[place.address.0 as usize]);
+    for planned_endpoint in &shared.plan.endpoints {
+        if planned_endpoint.address_owner != planned_endpoint.endpoint {
+            addresses.push(addresses[planned_endpoint.address_owner.0 as usize]);
             continue;
         }
-        let number = place.endpoint.0;
+        let number = planned_endpoint.endpoint.0;
         let ip = Ipv4Addr::new(
             127,
             10 + (number / 62_500) as u8,
@@ -46,8 +46,12 @@
         let address = listener.local_addr()?;
         addresses.push(address);
         spawn_local(
-            Rc::new(ListeningAddress { shared: shared.clone(), address, first_endpoint: place.endpoint })
-                .serve(listener),
+            Rc::new(ListeningAddress {
+                shared: shared.clone(),
+                address,
+                first_endpoint: planned_endpoint.endpoint,
+            })
+            .serve(listener),
         );
     }
     Ok(addresses.into())
@@ -64,10 +68,10 @@
 /// accepted no connections, the senders that must have failed to connect.
 pub fn report_outages(shared: &Rc<SharedState>) {
     let schedule = TroubleSchedule::new(&shared.plan);
-    for place in &shared.plan.places {
-        let gate = shared.gate(place.endpoint);
-        for (from, until) in schedule.outages(place.endpoint) {
-            let (shared, endpoint) = (shared.clone(), place.endpoint);
+    for planned_endpoint in &shared.plan.endpoints {
+        let gate = shared.gate(planned_endpoint.endpoint);
+        for (from, until) in schedule.outages(planned_endpoint.endpoint) {
+            let (shared, endpoint) = (shared.clone(), planned_endpoint.endpoint);
             spawn_local(async move {
                 sleep_until(shared.instant(from)).await;
                 shared.observe(Seen::OutageFrom(gate));
@@ -106,9 +110,19 @@
 impl ListeningAddress {
     /// The endpoint that uses the address now.
     fn current_endpoint(&self, now: Duration) -> Option<EndpointId> {
-        let at_this_address = |place: &&crate::plan::Place| place.address == self.first_endpoint;
-        let in_use = |place: &&crate::plan::Place| place.from <= now && now < place.gone;
-        self.shared.plan.places.iter().filter(at_this_address).find(in_use).map(|place| place.endpoint)
+        let at_this_address = |planned_endpoint: &&crate::plan::PlannedEndpoint| {
+            planned_endpoint.address_owner == self.first_endpoint
+        };
+        let in_use = |planned_endpoint: &&crate::plan::PlannedEndpoint| {
+            planned_endpoint.added_at <= now && now < planned_endpoint.removed_at
+        };
+        self.shared
+            .plan
+            .endpoints
+            .iter()
+            .filter(at_this_address)
+            .find(in_use)
+            .map(|planned_endpoint| planned_endpoint.endpoint)
     }
 
     fn listen_state(&self, now: Duration) -> ListenState {
@@ -123,9 +137,18 @@
 
     /// The time before which the state does not change; `None` if no change is planned.
     fn next_change(&self, now: Duration) -> Option<Duration> {
-        let places = self.shared.plan.places.iter().filter(|place| place.address == self.first_endpoint);
+        let planned_endpoints = self
+            .shared
+            .plan
+            .endpoints
+            .iter()
+            .filter(|planned_endpoint| planned_endpoint.address_owner == self.first_endpoint);
         let receivers = self.shared.receivers.borrow();
-        places.filter_map(|place| receivers.next_change(&self.shared.plan, now, place.endpoint)).min()
+        planned_endpoints
+            .filter_map(|planned_endpoint| {
+                receivers.next_change(&self.shared.plan, now, planned_endpoint.endpoint)
+            })
+            .min()
     }
 
     /// Follows the state of the address for the whole run.
@@ -266,7 +289,7 @@
     /// Serves calls until the connection ends. True if it is to be closed with a reset.
     async fn serve_calls(&mut self) -> bool {
         let idle_timeout =
-            self.shared.plan.group(self.shared.plan.place(self.endpoint).destination).idle_close;
+            self.shared.plan.group(self.shared.plan.endpoint(self.endpoint).destination).idle_close;
         loop {
             let call = tokio::select! {
                 call = timeout(idle_timeout, self.reader.read_call(&mut self.stream)) => call,
@@ -318,7 +341,7 @@
     ) -> AfterCall {
         let shared = self.shared;
         let (id, gate) = (shared.next_call(), shared.gate(self.endpoint));
-        let destination = shared.plan.place(self.endpoint).destination;
+        let destination = shared.plan.endpoint(self.endpoint).destination;
         let sender = shared.sender(packets[0].0);
         let pieces: Vec<_> = packets
             .iter()
@@ -424,7 +447,7 @@
                 Heard::Done
             }
             Answer::Full(wait) => {
-                let destination = shared.plan.place(self.endpoint).destination;
+                let destination = shared.plan.endpoint(self.endpoint).destination;
                 shared.tally.borrow_mut().refused(shared.now(), destination);
                 Heard::Full(*wait)
             }
--- a/crates/sailcart-lab/src/sockets/mod.rs
+++ b/crates/sailcart-lab/src/sockets/mod.rs
@@ -19,9 +19,9 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until};
 
-use crate::events::Log;
+use crate::events::EventLog;
 use crate::experiment::{LabError, Mode, TroubleKind};
-use crate::plan::{Plan, SenderId, chance};
+use crate::plan::{Plan, SenderId, seeded_rng};
 use crate::policies::PolicyName;
 use crate::results::Outcome;
 use crate::soak::machine::{MachineTrouble, needs_links};
@@ -59,7 +59,7 @@
 /// If the sender's program is not found, a socket or file cannot be opened, or a sender does not start.
 pub fn run(
     plan: &Plan,
-    log: Log,
+    log: EventLog,
     program: Option<&Path>,
     progress: &mut dyn FnMut(Duration),
 ) -> Result<Outcome, LabError> {
@@ -82,7 +82,7 @@
 /// As [`run`].
 pub fn soak(
     plan: &Plan,
-    log: Log,
+    log: EventLog,
     program: Option<&Path>,
     folder: &Path,
     machine_troubles: &[MachineTrouble],
@@ -99,7 +99,7 @@
 
 async fn run_plan(
     plan: Plan,
-    log: Log,
+    log: EventLog,
     program: PathBuf,
     soak_options: SoakOptions<'_>,
     progress: &mut dyn FnMut(Duration),
@@ -130,7 +130,7 @@
         endpoint_proxies.into_iter().zip(platform_proxies).enumerate()
     {
         let sender = SenderId(sender);
-        let rng = chance(plan.seed, FIRST_CLIENT_LINK_STREAM + sender.0 as u64);
+        let rng = seeded_rng(plan.seed, FIRST_CLIENT_LINK_STREAM + sender.0 as u64);
         let client_proxy = Proxy::open(processes.listen_address(sender), false, rng)
             .await
             .map_err(error_context("proxy"))?;
@@ -151,8 +151,10 @@
     let clients = clients::Clients::new(&shared, &processes);
     spawn_local(clients.clone().submit_all());
     schedule_restarts(&shared, &processes);
-    if let Some(struck) = plan.struck.iter().find(|s| s.trouble.kind == TroubleKind::BadClients) {
-        spawn_local(clients::send_malformed_input(shared.clone(), processes.clone(), struck.clone()));
+    if let Some(scheduled) =
+        plan.scheduled_troubles.iter().find(|s| s.trouble.kind == TroubleKind::BadClients)
+    {
+        spawn_local(clients::send_malformed_input(shared.clone(), processes.clone(), scheduled.clone()));
     }
     let (span, end) = (plan.experiment.span, plan.end());
     let mut next_sample = Duration::ZERO;
@@ -183,7 +185,7 @@
             let proxy = match existing {
                 Some(existing) => proxies[existing].clone(),
                 None => {
-                    let rng = chance(
+                    let rng = seeded_rng(
                         shared.plan.seed,
                         FIRST_ENDPOINT_LINK_STREAM + sender * addresses.len() as u64 + index as u64,
                     );
@@ -204,7 +206,7 @@
 ) -> Result<Vec<Rc<Proxy>>, LabError> {
     let mut proxies = Vec::new();
     for (sender, address) in discovery.iter_mut().enumerate() {
-        let rng = chance(shared.plan.seed, FIRST_PLATFORM_LINK_STREAM + sender as u64);
+        let rng = seeded_rng(shared.plan.seed, FIRST_PLATFORM_LINK_STREAM + sender as u64);
         let proxy = Proxy::open(*address, false, rng).await.map_err(error_context("proxy"))?;
         *address = proxy.address;
         proxies.push(proxy);
@@ -214,8 +216,10 @@
 
 /// Schedules the kills, the restarts in waves and the reloads of the plan.
 fn schedule_restarts(shared: &Rc<SharedState>, processes: &Rc<SenderProcesses>) {
-    for struck in shared.plan.struck.iter().filter(|struck| struck.trouble.kind == TroubleKind::Kill) {
-        for (at, sender, downtime) in struck.deaths(RESTART_DELAY) {
+    for scheduled in
+        shared.plan.scheduled_troubles.iter().filter(|scheduled| scheduled.trouble.kind == TroubleKind::Kill)
+    {
+        for (at, sender, downtime) in scheduled.sender_deaths(RESTART_DELAY) {
             let (processes, start_at) = (processes.clone(), shared.instant(at));
             spawn_local(async move {
                 sleep_until(start_at).await;
@@ -223,21 +227,23 @@
             });
         }
     }
-    for struck in &shared.plan.struck {
-        let wave_size = match struck.trouble.kind {
-            TroubleKind::Roll => struck.trouble.count.unwrap_or(1).max(1),
-            TroubleKind::Reload => struck.senders.len().max(1),
+    for scheduled in &shared.plan.scheduled_troubles {
+        let wave_size = match scheduled.trouble.kind {
+            TroubleKind::Roll => scheduled.trouble.count.unwrap_or(1).max(1),
+            TroubleKind::Reload => scheduled.senders.len().max(1),
             _ => continue,
         };
-        let waves = struck.senders.len().div_ceil(wave_size) as u32;
-        for (wave, senders) in struck.senders.chunks(wave_size).enumerate() {
-            let wave_start = match struck.trouble.kind {
-                TroubleKind::Roll => struck.from + (struck.until - struck.from) * wave as u32 / waves,
-                _ => struck.from,
+        let waves = scheduled.senders.len().div_ceil(wave_size) as u32;
+        for (wave, senders) in scheduled.senders.chunks(wave_size).enumerate() {
+            let wave_start = match scheduled.trouble.kind {
+                TroubleKind::Roll => {
+                    scheduled.from + (scheduled.until - scheduled.from) * wave as u32 / waves
+                }
+                _ => scheduled.from,
             };
             for sender in senders.iter().copied() {
                 let (processes, start_at) = (processes.clone(), shared.instant(wave_start));
-                let kind = struck.trouble.kind;
+                let kind = scheduled.trouble.kind;
                 spawn_local(async move {
                     sleep_until(start_at).await;
                     match kind {
@@ -256,7 +262,12 @@
 ///
 /// # Errors
 /// If a socket or file cannot be opened.
-pub fn receivers(plan: &Plan, discovery: SocketAddr, sender: SocketAddr, folder: &Path) -> Result<(), LabError> {
+pub fn receivers(
+    plan: &Plan,
+    discovery: SocketAddr,
+    sender: SocketAddr,
+    folder: &Path,
+) -> Result<(), LabError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(error_context("runtime"))?;
     let run_receivers = async {
@@ -272,7 +283,7 @@
         std::fs::write(&config_path, config.to_string()).map_err(error_context("folder"))?;
         shared.start_clock();
         endpoints::report_outages(&shared);
-        println!("{} endpoints; discovery and notices at {discovery_address}", shared.plan.places.len());
+        println!("{} endpoints; discovery and notices at {discovery_address}", shared.plan.endpoints.len());
         println!("start the sender with: sailcart serve --config {}", config_path.display());
         let mut last_printed = String::new();
         loop {
--- a/crates/sailcart-lab/src/sockets/protocol.rs
+++ b/crates/sailcart-lab/src/sockets/protocol.rs
@@ -14,7 +14,7 @@
 
 use super::http::{Call, response};
 use crate::experiment::{Category, Late, Repeat, Spoil};
-use crate::plan::{OriginId, Plan, SenderId, Standing};
+use crate::plan::{ListState, Plan, PlannedPacketId, SenderId};
 use crate::receivers::{Answer, PieceAnswer};
 
 /// Socket addresses by endpoint number.
@@ -26,19 +26,19 @@
 }
 
 /// One entry of the discovery list.
-pub fn list_entry(plan: &Plan, endpoint: EndpointId, standing: Standing, addresses: &Addresses) -> Value {
-    let place = plan.place(endpoint);
-    let destination = plan.destination(place.destination);
-    let lifecycle = match standing {
-        Standing::Ready => "Ready",
-        Standing::Draining => "Terminating",
-        Standing::Gone => "Gone",
+pub fn list_entry(plan: &Plan, endpoint: EndpointId, state: ListState, addresses: &Addresses) -> Value {
+    let planned_endpoint = plan.endpoint(endpoint);
+    let destination = plan.destination(planned_endpoint.destination);
+    let lifecycle = match state {
+        ListState::Ready => "Ready",
+        ListState::Draining => "Terminating",
+        ListState::Gone => "Gone",
     };
     let weight = if plan.experiment.senders.rates_listed { destination.rate } else { 1.0 };
     json!({
-        "instanceId": format!("e-{}", endpoint.0), "hostPort": addresses[place.address.0 as usize].to_string(),
+        "instanceId": format!("e-{}", endpoint.0), "hostPort": addresses[planned_endpoint.address_owner.0 as usize].to_string(),
         "zone": "z", "machineType": plan.experiment.kinds[destination.kind.0].name,
-        "cell": place.destination.0, "lifecycle": lifecycle, "weight": weight, "startedAtMs": 0,
+        "cell": planned_endpoint.destination.0, "lifecycle": lifecycle, "weight": weight, "startedAtMs": 0,
     })
 }
 
@@ -52,9 +52,10 @@
     addresses: &Addresses,
 ) -> Value {
     let senders = &plan.experiment.senders;
-    let initial = plan.places.iter().filter(|place| place.from.is_zero());
-    let initial_entries: Vec<Value> =
-        initial.map(|place| list_entry(plan, place.endpoint, Standing::Ready, addresses)).collect();
+    let initial = plan.endpoints.iter().filter(|planned_endpoint| planned_endpoint.added_at.is_zero());
+    let initial_entries: Vec<Value> = initial
+        .map(|planned_endpoint| list_entry(plan, planned_endpoint.endpoint, ListState::Ready, addresses))
+        .collect();
     json!({
         "name": format!("s{}", sender.0), "listen": listen.to_string(), "discovery": discovery.to_string(),
         "state": state, "seed": format!("{:x}", plan.seed.wrapping_mul(1000) + sender.0 as u64),
@@ -116,19 +117,19 @@
 }
 
 /// The command `MSG.PUT` with which a client submits a packet. `time_left` is the time to its deadline.
-pub fn submit_command(plan: &Plan, origin_id: OriginId, id: u64, time_left: Duration) -> Vec<u8> {
-    let origin = &plan.origins[origin_id.0];
-    let category = plan.category(origin.category);
+pub fn submit_command(plan: &Plan, planned_packet: PlannedPacketId, id: u64, time_left: Duration) -> Vec<u8> {
+    let planned = &plan.planned_packets[planned_packet.0];
+    let category = plan.category(planned.category);
     let mut fields = format!("c={}", category.name);
-    if let Some(customer) = origin.customer {
+    if let Some(customer) = planned.customer {
         let _ = write!(fields, ",t={}", plan.experiment.customers[customer.0].name);
     }
     let _ = write!(fields, ",d={}", time_left.as_millis());
     if category.repeat == Repeat::Deduplicated {
-        let _ = write!(fields, ",k={:016x}", origin_id.0);
+        let _ = write!(fields, ",k={:016x}", planned_packet.0);
     }
-    let _ = write!(fields, ",dest={}", origin.destination.0);
-    let (key, id) = (format!("{:016x}", origin.key.map_or(0, |key| key.0 + 1)), format!("{id:016x}"));
+    let _ = write!(fields, ",dest={}", planned.destination.0);
+    let (key, id) = (format!("{:016x}", planned.key.map_or(0, |key| key.0 + 1)), format!("{id:016x}"));
     let body = "b".repeat(plan.experiment.load.body);
     let mut bytes = Vec::with_capacity(body.len() + 128);
     bytes.extend_from_slice(b"*5\r\n");
--- a/crates/sailcart-lab/src/sockets/shared.rs
+++ b/crates/sailcart-lab/src/sockets/shared.rs
@@ -9,9 +9,9 @@
 use sailcart::{EndpointId, PacketId};
 use tokio::time::Instant;
 
-use crate::events::Log;
+use crate::events::EventLog;
 use crate::experiment::{Mode, Repeat};
-use crate::plan::{OriginId, Plan, SenderId};
+use crate::plan::{Plan, PlannedPacketId, SenderId};
 use crate::policies::PolicyName;
 use crate::receivers::{Piece, Receivers};
 use crate::results::tally::{Count, Tally};
@@ -20,7 +20,7 @@
 
 /// One submission of a packet. Each further submission of the same packet has an id of its own.
 pub struct Submission {
-    pub origin: OriginId,
+    pub planned_packet: PlannedPacketId,
     pub sender: SenderId,
     /// How often the packet had been resubmitted after a dismissal; 0 until the first dismissal.
     pub attempt: u32,
@@ -35,34 +35,35 @@
     pub receivers: RefCell<Receivers>,
     watcher: RefCell<Watcher>,
     pub tally: RefCell<Tally>,
-    log: RefCell<Log>,
+    log: RefCell<EventLog>,
     submissions: RefCell<Vec<Submission>>,
     next_call: Cell<u64>,
     /// Number of submissions that have not completed.
     incomplete: Cell<usize>,
     /// Set if this process plays only the receivers or only the clients. A packet in a call is then
-    /// identified by its idempotency key or id alone, and gets an origin here when it is first seen.
-    external_origins: Option<RefCell<HashMap<String, OriginId>>>,
-    /// Dismissed packets that the clients are to submit again: origin, the new value of `attempt`, and the
+    /// identified by its idempotency key or id alone, and gets the number of a planned packet here when it is
+    /// first seen.
+    external_packets: Option<RefCell<HashMap<String, PlannedPacketId>>>,
+    /// Dismissed packets that the clients are to submit again: planned packet, the new value of `attempt`, and the
     /// time since the start of the experiment.
-    pub resubmissions: RefCell<Vec<(OriginId, u32, Duration)>>,
+    pub resubmissions: RefCell<Vec<(PlannedPacketId, u32, Duration)>>,
 }
 
 impl SharedState {
     /// For a run in which this process plays clients and receivers.
-    pub fn new(plan: Plan, log: Log) -> Rc<SharedState> {
+    pub fn new(plan: Plan, log: EventLog) -> Rc<SharedState> {
         Rc::new(Self::build(plan, log, None))
     }
 
     /// For a run in which this process plays only the receivers or only the clients.
     pub fn standalone(plan: Plan) -> Rc<SharedState> {
-        Rc::new(Self::build(plan, Log::default(), Some(RefCell::default())))
+        Rc::new(Self::build(plan, EventLog::default(), Some(RefCell::default())))
     }
 
     fn build(
         plan: Plan,
-        log: Log,
-        external_origins: Option<RefCell<HashMap<String, OriginId>>>,
+        log: EventLog,
+        external_packets: Option<RefCell<HashMap<String, PlannedPacketId>>>,
     ) -> SharedState {
         SharedState {
             receivers: RefCell::new(Receivers::new(&plan)),
@@ -74,7 +75,7 @@
             submissions: RefCell::default(),
             next_call: Cell::new(0),
             incomplete: Cell::new(0),
-            external_origins,
+            external_packets,
             resubmissions: RefCell::default(),
         }
     }
@@ -113,16 +114,27 @@
     }
 
     /// Records a submission. The id that it returns is also the packet's id on the wire.
-    pub fn record_submission(&self, origin_id: OriginId, sender: SenderId, attempt: u32) -> PacketId {
+    pub fn record_submission(
+        &self,
+        planned_packet: PlannedPacketId,
+        sender: SenderId,
+        attempt: u32,
+    ) -> PacketId {
         let mut submissions = self.submissions.borrow_mut();
         let packet = PacketId(submissions.len() as u64);
-        submissions.push(Submission { origin: origin_id, sender, attempt, accepted: false, end: None });
+        submissions.push(Submission {
+            planned_packet: planned_packet,
+            sender,
+            attempt,
+            accepted: false,
+            end: None,
+        });
         drop(submissions);
-        let origin = &self.plan.origins[origin_id.0];
+        let planned = &self.plan.planned_packets[planned_packet.0];
         self.tally.borrow_mut().count(Count::HandedIn);
-        self.tally.borrow_mut().holds(origin.destination, true);
+        self.tally.borrow_mut().holds(planned.destination, true);
         self.incomplete.set(self.incomplete.get() + 1);
-        self.observe(Seen::Handed(Handed::new(&self.plan, packet, origin_id, sender)));
+        self.observe(Seen::Handed(Handed::new(&self.plan, packet, planned_packet, sender)));
         packet
     }
 
@@ -151,7 +163,7 @@
         let first = submission.end.is_none();
         submission.end.get_or_insert(end);
         if first {
-            let destination = self.plan.origins[submission.origin.0].destination;
+            let destination = self.plan.planned_packets[submission.planned_packet.0].destination;
             self.tally.borrow_mut().holds(destination, false);
             self.incomplete.set(self.incomplete.get() - 1);
         }
@@ -166,14 +178,14 @@
         }
         let first = self.mark_completed(packet, end);
         self.observe(Seen::Ended(packet, end));
-        let (origin, attempt) = {
+        let (planned_packet, attempt) = {
             let submissions = self.submissions.borrow();
-            (submissions[packet.0 as usize].origin, submissions[packet.0 as usize].attempt)
+            (submissions[packet.0 as usize].planned_packet, submissions[packet.0 as usize].attempt)
         };
         match end {
             End::Done => {
-                let after = self.now().saturating_sub(self.plan.origins[origin.0].at);
-                self.tally.borrow_mut().delivered(origin, after);
+                let after = self.now().saturating_sub(self.plan.planned_packets[planned_packet.0].at);
+                self.tally.borrow_mut().delivered(planned_packet, after);
             }
             End::Dismissed => self.tally.borrow_mut().count(Count::Dismissed),
             End::Scrapped => self.tally.borrow_mut().count(Count::Scrapped),
@@ -182,8 +194,8 @@
         if end == End::Dismissed && first && attempt < load.again {
             let delay = load.pause.mul_f64(1.0 + (packet.0 % 50) as f64 / 100.0).max(wait);
             let at = self.now() + delay;
-            if at < self.plan.comes_again_until(origin) {
-                self.resubmissions.borrow_mut().push((origin, attempt + 1, at));
+            if at < self.plan.resubmission_deadline(planned_packet) {
+                self.resubmissions.borrow_mut().push((planned_packet, attempt + 1, at));
             }
         }
     }
@@ -192,7 +204,7 @@
     /// clients every hexadecimal number counts as the id of a packet.
     pub fn find_packet(&self, id: &str) -> Option<PacketId> {
         let number = u64::from_str_radix(id, 16).ok()?;
-        if self.external_origins.is_some() {
+        if self.external_packets.is_some() {
             return Some(PacketId(number));
         }
         (number < self.submissions.borrow().len() as u64).then_some(PacketId(number))
@@ -205,17 +217,21 @@
 
     /// The packet as the model of the receivers sees it.
     pub fn piece(&self, packet: PacketId, idempotency_key: Option<&str>) -> Piece {
-        if let Some(origins) = &self.external_origins {
+        if let Some(external_packets) = &self.external_packets {
             // Only the idempotency key or the id shows which submissions belong to the same packet.
-            let mut origins = origins.borrow_mut();
-            let next = OriginId(origins.len());
+            let mut external_packets = external_packets.borrow_mut();
+            let next = PlannedPacketId(external_packets.len());
             let packet_name = idempotency_key.map_or_else(|| format!("id {}", packet.0), str::to_owned);
             let memory = self.plan.experiment.categories.iter().filter_map(|c| c.memory).max();
             let repeat = if idempotency_key.is_some() { Repeat::Deduplicated } else { Repeat::Idempotent };
             let memory = if idempotency_key.is_some() { memory.unwrap_or_default() } else { Duration::ZERO };
-            return Piece { origin: *origins.entry(packet_name).or_insert(next), repeat, memory };
+            return Piece {
+                planned_packet: *external_packets.entry(packet_name).or_insert(next),
+                repeat,
+                memory,
+            };
         }
-        Piece::new(&self.plan, self.submissions.borrow()[packet.0 as usize].origin)
+        Piece::new(&self.plan, self.submissions.borrow()[packet.0 as usize].planned_packet)
     }
 
     /// Reports a failed connection for each sender with incomplete packets for one of these endpoints. The
@@ -223,8 +239,8 @@
     pub fn record_failed_connections(&self, gate: GateId, endpoints: &[EndpointId]) {
         let mut senders: Vec<SenderId> = Vec::new();
         for submission in self.submissions.borrow().iter().filter(|submission| submission.end.is_none()) {
-            let destination = self.plan.origins[submission.origin.0].destination;
-            if endpoints.iter().any(|endpoint| self.plan.place(*endpoint).destination == destination) {
+            let destination = self.plan.planned_packets[submission.planned_packet.0].destination;
+            if endpoints.iter().any(|endpoint| self.plan.endpoint(*endpoint).destination == destination) {
                 senders.push(submission.sender);
             }
         }
@@ -242,13 +258,13 @@
 
     /// The counts so far as one line of text.
     pub fn progress_line(&self) -> String {
-        self.tally.borrow().standing()
+        self.tally.borrow().progress_line()
     }
 
     /// Ends the checks of the watcher and returns the result of the run.
     pub fn finish(&self, mode: Mode, policy: PolicyName, cost: Vec<Cost>) -> Outcome {
         let mut watcher = self.watcher.borrow_mut();
-        if self.external_origins.is_none() {
+        if self.external_packets.is_none() {
             watcher.finish(self.plan.end());
         }
         self.log.borrow_mut().finish();
--- a/crates/sailcart-lab/src/watcher/exactly_once.rs
+++ b/crates/sailcart-lab/src/watcher/exactly_once.rs
@@ -8,7 +8,7 @@
 
 use super::{CallId, End, ObservedCall, Rule, RunState, format_ms};
 use crate::experiment::Repeat;
-use crate::plan::{OriginId, SenderId};
+use crate::plan::{PlannedPacketId, SenderId};
 
 /// Extra time for overdue completions of a restarted sender, from the moment it is ready.
 const RESTART_GRACE: Duration = Duration::from_millis(1500);
@@ -18,7 +18,7 @@
     /// Accepted packets that are not completed, by the time at which their completion is overdue.
     incomplete: BTreeSet<(Duration, PacketId)>,
     /// For each planned packet, when it last took effect, and as which submission.
-    last_effects: HashMap<OriginId, (Duration, PacketId)>,
+    last_effects: HashMap<PlannedPacketId, (Duration, PacketId)>,
     /// Recent deliveries whose answers may not have been read by their senders yet.
     recent_deliveries: VecDeque<(Duration, PacketId)>,
     /// Packets whose sender may have crashed before it read the answer that reported the delivery. Its next
@@ -43,8 +43,8 @@
         let Some(tracked) = state.packets.get_mut(&packet) else { return };
         tracked.abandoned = true;
         self.incomplete.remove(&(tracked.submission.ends + state.rules.slack, packet));
-        if self.last_effects.get(&tracked.submission.origin).is_some_and(|(_, by)| *by == packet) {
-            self.last_effects.remove(&tracked.submission.origin);
+        if self.last_effects.get(&tracked.submission.planned_packet).is_some_and(|(_, by)| *by == packet) {
+            self.last_effects.remove(&tracked.submission.planned_packet);
         }
     }
 
@@ -83,7 +83,7 @@
         if completion == End::Dismissed
             && !repeated
             && submission.repeat == Repeat::Unrepeatable
-            && let Some((at, earlier_packet)) = self.last_effects.get(&submission.origin).copied()
+            && let Some((at, earlier_packet)) = self.last_effects.get(&submission.planned_packet).copied()
         {
             let events = vec![
                 format!("handed in to sender {}", submission.sender.0),
@@ -135,7 +135,7 @@
             }
             let submission = tracked.submission;
             let Some((at, earlier_packet)) =
-                self.last_effects.insert(submission.origin, (state.now, *packet))
+                self.last_effects.insert(submission.planned_packet, (state.now, *packet))
             else {
                 continue;
             };
--- a/crates/sailcart-lab/src/watcher/mod.rs
+++ b/crates/sailcart-lab/src/watcher/mod.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::experiment::{Repeat, Rules};
-use crate::plan::{OriginId, Plan, SenderId};
+use crate::plan::{Plan, PlannedPacketId, SenderId};
 
 /// Identifies a call within a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -75,7 +75,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Handed {
     pub packet: PacketId,
-    pub origin: OriginId,
+    pub planned_packet: PlannedPacketId,
     pub sender: SenderId,
     pub destination: DestinationId,
     pub repeat: Repeat,
@@ -87,12 +87,12 @@
 
 impl Handed {
     /// The submission of a planned packet to a sender.
-    pub fn new(plan: &Plan, packet: PacketId, origin: OriginId, sender: SenderId) -> Self {
-        let planned = &plan.origins[origin.0];
+    pub fn new(plan: &Plan, packet: PacketId, planned_packet: PlannedPacketId, sender: SenderId) -> Self {
+        let planned = &plan.planned_packets[planned_packet.0];
         let category = plan.category(planned.category);
         Handed {
             packet,
-            origin,
+            planned_packet,
             sender,
             destination: planned.destination,
             repeat: category.repeat,
--- a/crates/sailcart-lab/tests/common/mod.rs
+++ b/crates/sailcart-lab/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use sailcart_lab::events::Log;
+use sailcart_lab::events::EventLog;
 use sailcart_lab::experiment::{Experiment, read_text};
 use sailcart_lab::plan::Plan;
 use sailcart_lab::policies::{Policy, PolicyName};
@@ -67,12 +67,12 @@
 
 /// Runs a plan in the simulation with a built-in policy.
 pub fn run(plan: &Plan, policy: PolicyName) -> Outcome {
-    simulated::run(plan, policy, Log::default(), &mut |_| {})
+    simulated::run(plan, policy, EventLog::default(), &mut |_| {})
 }
 
 /// Runs a plan in the simulation; each sender uses a policy created from its seed.
 pub fn run_with_policy(plan: &Plan, new_policy: &dyn Fn(u64) -> Box<dyn Policy>) -> Outcome {
-    simulated::run_with(plan, PolicyName::OneTry, Log::default(), &mut |_: Duration| {}, new_policy)
+    simulated::run_with(plan, PolicyName::OneTry, EventLog::default(), &mut |_: Duration| {}, new_policy)
 }
 
 /// The rules that were violated in a run.
--- a/crates/sailcart-lab/tests/edge_cases.rs
+++ b/crates/sailcart-lab/tests/edge_cases.rs
@@ -7,7 +7,7 @@
 use common::{experiment, experiment_text, plan, run, violated_rules};
 use sailcart::{DestinationId, EndpointId, PacketId};
 use sailcart_lab::experiment::{Repeat, Rules, read_text};
-use sailcart_lab::plan::{OriginId, SenderId};
+use sailcart_lab::plan::{PlannedPacketId, SenderId};
 use sailcart_lab::policies::PolicyName;
 use sailcart_lab::receivers::{Answer, Connect, Piece, PieceAnswer, Receivers, TroubleSchedule};
 use sailcart_lab::watcher::{CallId, End, GateId, Handed, Heard, Rule, Seen, Watcher};
@@ -18,14 +18,18 @@
     Duration::from_secs_f64(value)
 }
 
-fn piece(origin: usize) -> Piece {
-    Piece { origin: OriginId(origin), repeat: Repeat::Deduplicated, memory: seconds(5.0) }
+fn piece(planned_packet: usize) -> Piece {
+    Piece {
+        planned_packet: PlannedPacketId(planned_packet),
+        repeat: Repeat::Deduplicated,
+        memory: seconds(5.0),
+    }
 }
 
-fn submitted(packet: u64, origin: usize) -> Seen {
+fn submitted(packet: u64, planned_packet: usize) -> Seen {
     Seen::Handed(Handed {
         packet: PacketId(packet),
-        origin: OriginId(origin),
+        planned_packet: PlannedPacketId(planned_packet),
         sender: SenderId(0),
         destination: DestinationId(0),
         repeat: Repeat::Unrepeatable,
@@ -90,19 +94,19 @@
 fn an_endpoint_replaced_at_the_same_address_during_a_call_is_a_new_one() {
     let troubles = "[[troubles]]\nkind = \"replace\"\nat = \"2s\"\nfor = \"3s\"\nsame_address = true\n";
     let plan = plan(&[("DESTINATION", "spread = 0.0")], troubles);
-    let (old_place, new_place) = (&plan.places[0], &plan.places[2]);
+    let (old_endpoint, new_endpoint) = (&plan.endpoints[0], &plan.endpoints[2]);
     assert_eq!(
-        (new_place.address, new_place.from, old_place.gone),
-        (old_place.endpoint, seconds(5.0), seconds(5.0))
+        (new_endpoint.address_owner, new_endpoint.added_at, old_endpoint.removed_at),
+        (old_endpoint.endpoint, seconds(5.0), seconds(5.0))
     );
     let mut receivers = Receivers::new(&plan);
-    assert!(receivers.reachable(&plan, seconds(4.99), old_place.endpoint));
+    assert!(receivers.reachable(&plan, seconds(4.99), old_endpoint.endpoint));
     assert!(
-        !receivers.reachable(&plan, seconds(5.0), old_place.endpoint),
+        !receivers.reachable(&plan, seconds(5.0), old_endpoint.endpoint),
         "a call in flight to the old endpoint is lost"
     );
-    assert_eq!(receivers.connect(&plan, seconds(4.99), new_place.endpoint), Connect::Refused);
-    assert!(matches!(receivers.connect(&plan, seconds(5.0), new_place.endpoint), Connect::Up(_)));
+    assert_eq!(receivers.connect(&plan, seconds(4.99), new_endpoint.endpoint), Connect::Refused);
+    assert!(matches!(receivers.connect(&plan, seconds(5.0), new_endpoint.endpoint), Connect::Up(_)));
     assert_eq!(violated_rules(&run(&plan, PolicyName::Sailcart)), vec![]);
 }
 
@@ -201,7 +205,7 @@
     assert!(error.contains("troubles.0.after"), "{error}");
     let acyclic_troubles = cyclic_troubles.replacen("after = \"b\"", "at = \"2s\"", 1);
     let plan = plan(&[], &acyclic_troubles);
-    assert_eq!(plan.struck[1].from, seconds(3.0), "b begins when a ends");
+    assert_eq!(plan.scheduled_troubles[1].from, seconds(3.0), "b begins when a ends");
 }
 
 #[test]
--- a/crates/sailcart-lab/tests/recorded_days.rs
+++ b/crates/sailcart-lab/tests/recorded_days.rs
@@ -10,7 +10,7 @@
 
 use crc32fast::Hasher;
 use sailcart::{EndpointId, Host, LimitReport, ListEntry, Outcome, Packet, PacketId, Sender};
-use sailcart_lab::events::Log;
+use sailcart_lab::events::EventLog;
 use sailcart_lab::experiment::read_text;
 use sailcart_lab::plan::Plan;
 use sailcart_lab::policies::{OracleView, Policy, PolicyName};
@@ -143,10 +143,10 @@
         Plan::new(read_text(text, &overrides).expect("a valid experiment"), 1).expect("a valid experiment");
     let requests = Rc::new(RefCell::new(Requests::default()));
     let new_policy = |seed| -> Box<dyn Policy> {
-        let module = Sender::new(plan.terms.clone(), seed);
+        let module = Sender::new(plan.settings.clone(), seed);
         Box::new(RecordedModule { module, seed, requests: requests.clone(), dispatched_to: BTreeSet::new() })
     };
-    simulated::run_with(&plan, PolicyName::Sailcart, Log::default(), &mut |_| {}, &new_policy);
+    simulated::run_with(&plan, PolicyName::Sailcart, EventLog::default(), &mut |_| {}, &new_policy);
     let requests = requests.borrow();
     format!("{experiment} {} {:08x}", requests.count, requests.digest.clone().finalize())
 }
--- a/crates/sailcart-lab/tests/rule_violations.rs
+++ b/crates/sailcart-lab/tests/rule_violations.rs
@@ -23,8 +23,8 @@
 }
 
 impl FaultySender {
-    fn new(terms: &Settings, seed: u64) -> Self {
-        let module = Sender::new(terms.clone(), seed);
+    fn new(settings: &Settings, seed: u64) -> Self {
+        let module = Sender::new(settings.clone(), seed);
         FaultySender {
             module,
             ignores_packet: |_| false,
@@ -130,21 +130,21 @@
     );
 }
 
-/// The backoff policy with terms that differ from those of the experiment.
+/// The backoff policy with settings that differ from those of the experiment.
 fn misconfigured(plan: &Plan, change: fn(&mut Category)) -> impl Fn(u64) -> Box<dyn Policy> {
-    let mut terms = plan.terms.clone();
-    terms.categories.iter_mut().for_each(change);
-    move |seed| Box::new(Baseline::new(PolicyName::Backoff, terms.clone(), seed))
+    let mut settings = plan.settings.clone();
+    settings.categories.iter_mut().for_each(change);
+    move |seed| Box::new(Baseline::new(PolicyName::Backoff, settings.clone(), seed))
 }
 
 #[test]
 fn a_packet_that_is_never_completed_is_detected() {
     let plan = plan(&[], "");
-    let terms = plan.terms.clone();
+    let settings = plan.settings.clone();
     assert_detected(&plan, Rule::OneEnd, &move |seed| {
         Box::new(FaultySender {
             ignores_packet: |packet| packet.id.0 % 40 == 7,
-            ..FaultySender::new(&terms, seed)
+            ..FaultySender::new(&settings, seed)
         })
     });
 }
@@ -155,9 +155,9 @@
     // again.
     let troubles = "[[troubles]]\nkind = \"silent\"\nat = \"2s\"\nfor = \"10s\"\n";
     let plan = plan(&[("LOAD", "again = 0")], troubles);
-    let terms = plan.terms.clone();
+    let settings = plan.settings.clone();
     let new_faulty_policy = move |seed| -> Box<dyn Policy> {
-        Box::new(FaultySender { repeats_after_completion: true, ..FaultySender::new(&terms, seed) })
+        Box::new(FaultySender { repeats_after_completion: true, ..FaultySender::new(&settings, seed) })
     };
     let outcome = run_with_policy(&plan, &new_faulty_policy);
     assert!(violated_rules(&outcome).contains(&Rule::OneEnd), "{:?}", outcome.rules);
@@ -189,9 +189,9 @@
 fn a_call_to_a_draining_endpoint_is_detected() {
     let troubles = "[[troubles]]\nkind = \"drain\"\nat = \"5s\"\nfor = \"20s\"\nendpoint = 0\n";
     let plan = plan(&[], troubles);
-    let terms = plan.terms.clone();
+    let settings = plan.settings.clone();
     assert_detected(&plan, Rule::Drains, &move |seed| {
-        Box::new(FaultySender { ignores_drains: true, ..FaultySender::new(&terms, seed) })
+        Box::new(FaultySender { ignores_drains: true, ..FaultySender::new(&settings, seed) })
     });
 }
 
--- a/crates/sailcart-lab/tests/soak.rs
+++ b/crates/sailcart-lab/tests/soak.rs
@@ -9,7 +9,7 @@
 
 use sailcart::{EndpointId, PacketId};
 use sailcart_lab::experiment::Repeat;
-use sailcart_lab::plan::{OriginId, Plan, SenderId, chance};
+use sailcart_lab::plan::{Plan, PlannedPacketId, SenderId, seeded_rng};
 use sailcart_lab::soak::kinds::SoakKind;
 use sailcart_lab::soak::proxy::{Manner, Proxy};
 use sailcart_lab::soak::schedule::{Planned, all_pairs, pairs, row};
@@ -72,7 +72,7 @@
 fn a_proxy_forwards_data_and_applies_each_fault() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
-        let proxy = Proxy::open(echo_server(), false, chance(1, 1)).await.expect("a proxy");
+        let proxy = Proxy::open(echo_server(), false, seeded_rng(1, 1)).await.expect("a proxy");
         let mut answers = Vec::new();
         for manner in [None, Some(Manner::Delay), Some(Manner::Trickle)] {
             proxy.set(manner);
@@ -113,12 +113,15 @@
     let ms = Duration::from_millis;
     let soak_experiment = experiment::of(&[], 2, RUN_SPAN, 40.0);
     let plan = Plan::new(soak_experiment.clone(), 1).expect("a plan");
-    let unrepeatable =
-        plan.origins.iter().position(|origin| plan.category(origin.category).repeat == Repeat::Unrepeatable);
-    let origin = OriginId(unrepeatable.expect("an unrepeatable packet"));
+    let unrepeatable = plan
+        .planned_packets
+        .iter()
+        .position(|planned| plan.category(planned.category).repeat == Repeat::Unrepeatable);
+    let planned_packet = PlannedPacketId(unrepeatable.expect("an unrepeatable packet"));
     for first_is_early in [true, false] {
         let mut watcher = Watcher::new(&soak_experiment.rules);
-        let submitted = |packet| Seen::Handed(Handed::new(&plan, PacketId(packet), origin, SenderId(0)));
+        let submitted =
+            |packet| Seen::Handed(Handed::new(&plan, PacketId(packet), planned_packet, SenderId(0)));
         let call = Seen::Came {
             call: CallId(1),
             sender: SenderId(0),
