--- a/crates/sailcart-lab/src/events.rs
+++ b/crates/sailcart-lab/src/events.rs
@@ -8,7 +8,7 @@
 
 use serde_json::{Value, json};
 
-use crate::watcher::{Heard, Seen};
+use crate::watcher::{CallResult, Observation};
 
 /// Compression level; low, because runs wait for the compression.
 const COMPRESSION_LEVEL: i32 = 3;
@@ -32,9 +32,9 @@
     }
 
     /// Writes an observation. After a failed write the log discards everything.
-    pub fn write(&mut self, now: Duration, seen: &Seen) {
+    pub fn write(&mut self, now: Duration, observation: &Observation) {
         let Some(encoder) = &mut self.encoder else { return };
-        let line = event_json(now, seen);
+        let line = event_json(now, observation);
         if let Err(error) = writeln!(encoder, "{line}") {
             log::error!(
                 "events: code=not_written cannot write events.jsonl.zst, further events are lost: {error}"
@@ -51,51 +51,53 @@
     }
 }
 
-fn event_json(now: Duration, seen: &Seen) -> Value {
+fn event_json(now: Duration, observation: &Observation) -> Value {
     let ms = now.as_micros() as f64 / 1000.0;
-    match seen {
-        Seen::Handed(handed) => json!({
-            "ms": ms, "seen": "handed", "packet": handed.packet.0, "origin": handed.planned_packet.0,
-            "sender": handed.sender.0, "destination": handed.destination.0,
-            "key": handed.key.map(|key| key.0), "ends_ms": handed.ends.as_micros() as f64 / 1000.0,
+    match observation {
+        Observation::Submitted(submitted) => json!({
+            "ms": ms, "seen": "handed", "packet": submitted.packet.0, "origin": submitted.planned_packet.0,
+            "sender": submitted.sender.0, "destination": submitted.destination.0,
+            "key": submitted.key.map(|key| key.0), "ends_ms": submitted.deadline.as_micros() as f64 / 1000.0,
         }),
-        Seen::Taken(packet) => json!({"ms": ms, "seen": "taken", "packet": packet.0}),
-        Seen::Ended(packet, end) => {
-            json!({"ms": ms, "seen": "ended", "packet": packet.0, "end": format!("{end:?}")})
+        Observation::Accepted(packet) => json!({"ms": ms, "seen": "taken", "packet": packet.0}),
+        Observation::Completed(packet, completion) => {
+            json!({"ms": ms, "seen": "ended", "packet": packet.0, "end": format!("{completion:?}")})
         }
-        Seen::Abandoned(packet) => json!({"ms": ms, "seen": "abandoned", "packet": packet.0}),
-        Seen::Came { call, sender, endpoint, gate, packets } => json!({
+        Observation::Abandoned(packet) => json!({"ms": ms, "seen": "abandoned", "packet": packet.0}),
+        Observation::CallReceived { call, sender, endpoint, upstream, packets } => json!({
             "ms": ms, "seen": "came", "call": call.0, "sender": sender.0, "endpoint": endpoint.0,
-            "gate": gate.0, "packets": packets.iter().map(|packet| packet.0).collect::<Vec<_>>(),
+            "gate": upstream.0, "packets": packets.iter().map(|packet| packet.0).collect::<Vec<_>>(),
         }),
-        Seen::Ran(call, effects) => json!({"ms": ms, "seen": "ran", "call": call.0, "effects": effects}),
-        Seen::Over { call, heard } => {
-            let wait = match heard {
-                Heard::Full(wait) => wait.map(|wait| wait.as_micros() as f64 / 1000.0),
+        Observation::Executed(call, effects) => {
+            json!({"ms": ms, "seen": "ran", "call": call.0, "effects": effects})
+        }
+        Observation::CallCompleted { call, result } => {
+            let wait = match result {
+                CallResult::Rejected(wait) => wait.map(|wait| wait.as_micros() as f64 / 1000.0),
                 _ => None,
             };
-            let heard_text = match heard {
-                Heard::Done => "done",
-                Heard::Full(_) => "full",
-                Heard::Unsure => "unsure",
-                Heard::Error => "error",
+            let result_text = match result {
+                CallResult::Done => "done",
+                CallResult::Rejected(_) => "full",
+                CallResult::PossiblyExecuted => "unsure",
+                CallResult::Error => "error",
             };
-            json!({"ms": ms, "seen": "over", "call": call.0, "heard": heard_text, "wait_ms": wait})
+            json!({"ms": ms, "seen": "over", "call": call.0, "heard": result_text, "wait_ms": wait})
         }
-        Seen::NoConnection { sender, gate } => {
-            json!({"ms": ms, "seen": "no_connection", "sender": sender.0, "gate": gate.0})
+        Observation::ConnectionFailed { sender, upstream } => {
+            json!({"ms": ms, "seen": "no_connection", "sender": sender.0, "gate": upstream.0})
         }
-        Seen::ToldOff(sender, endpoint) => {
+        Observation::EndpointDraining(sender, endpoint) => {
             json!({"ms": ms, "seen": "told_off", "sender": sender.0, "endpoint": endpoint.0})
         }
-        Seen::ToldOn(sender, endpoint) => {
+        Observation::EndpointReady(sender, endpoint) => {
             json!({"ms": ms, "seen": "told_on", "sender": sender.0, "endpoint": endpoint.0})
         }
-        Seen::OutageFrom(gate) => json!({"ms": ms, "seen": "outage", "gate": gate.0}),
-        Seen::Fell(gate) => json!({"ms": ms, "seen": "fell", "gate": gate.0}),
-        Seen::SenderDown(sender) => json!({"ms": ms, "seen": "sender_down", "sender": sender.0}),
-        Seen::SenderUp(sender) => json!({"ms": ms, "seen": "sender_up", "sender": sender.0}),
-        Seen::Folder { sender, fails } => {
+        Observation::OutageStarted(upstream) => json!({"ms": ms, "seen": "outage", "gate": upstream.0}),
+        Observation::Collapsed(upstream) => json!({"ms": ms, "seen": "fell", "gate": upstream.0}),
+        Observation::SenderDown(sender) => json!({"ms": ms, "seen": "sender_down", "sender": sender.0}),
+        Observation::SenderUp(sender) => json!({"ms": ms, "seen": "sender_up", "sender": sender.0}),
+        Observation::StateFolder { sender, fails } => {
             json!({"ms": ms, "seen": "folder", "sender": sender.0, "fails": fails})
         }
     }
--- a/crates/sailcart-lab/src/main.rs
+++ b/crates/sailcart-lab/src/main.rs
@@ -275,7 +275,7 @@
             .iter()
             .enumerate()
             .map(|(index, line)| {
-                (line.rule, outcomes.iter().map(|outcome| outcome.rules[index].broken).sum::<u64>())
+                (line.rule, outcomes.iter().map(|outcome| outcome.rules[index].violations).sum::<u64>())
             })
             .filter(|(_, violations)| *violations > 0)
             .map(|(rule, violations)| format!("{rule:?} {violations}"))
--- a/crates/sailcart-lab/src/receivers/mod.rs
+++ b/crates/sailcart-lab/src/receivers/mod.rs
@@ -458,7 +458,7 @@
     }
 
     /// Index of the upstream of an endpoint; endpoints with the same one share a limit and a recovery.
-    pub fn gate(&self, endpoint: EndpointId) -> usize {
+    pub fn upstream(&self, endpoint: EndpointId) -> usize {
         self.endpoints[endpoint.0 as usize].upstream
     }
 }
--- a/crates/sailcart-lab/src/results/assemble.rs
+++ b/crates/sailcart-lab/src/results/assemble.rs
@@ -15,8 +15,8 @@
 use crate::watcher::{Rule, Watcher};
 
 impl Tally {
-    /// Builds the result of the run, with the breaches that the watcher found and the resources its processes
-    /// used.
+    /// Builds the result of the run, with the violations that the watcher found and the resources its
+    /// processes used.
     pub fn outcome(
         self,
         plan: &Plan,
@@ -41,7 +41,7 @@
             destinations: plan.destinations.len(),
             endpoints: plan.endpoints.len(),
             rules: rule_lines(watcher),
-            breaches: watcher.breaches().to_vec(),
+            violations: watcher.violations().to_vec(),
             bounds: bound_lines(&experiment.bounds, &figures),
             troubles: trouble_lines(plan),
             series: self.series(plan, &credit),
@@ -129,7 +129,7 @@
     let lines = Rule::ALL.iter().map(|rule| RuleLine {
         rule: *rule,
         description: rule.description().to_owned(),
-        broken: watcher.count(*rule),
+        violations: watcher.count(*rule),
     });
     lines.collect()
 }
--- a/crates/sailcart-lab/src/results/outcome.rs
+++ b/crates/sailcart-lab/src/results/outcome.rs
@@ -6,7 +6,7 @@
 
 use crate::experiment::Mode;
 use crate::policies::PolicyName;
-use crate::watcher::{Breach, Rule};
+use crate::watcher::{Rule, Violation};
 
 /// Version of the format of `result.json`; raised when a field changes its meaning or is removed.
 pub const VERSION: u32 = 1;
@@ -31,7 +31,8 @@
     /// Figures by name; [`super::figures::FIGURES`] explains each.
     pub figures: BTreeMap<String, f64>,
     pub rules: Vec<RuleLine>,
-    pub breaches: Vec<Breach>,
+    #[serde(rename = "breaches")]
+    pub violations: Vec<Violation>,
     pub bounds: Vec<BoundLine>,
     pub troubles: Vec<TroubleLine>,
     /// Values over time, one a second.
@@ -51,7 +52,8 @@
     pub rule: Rule,
     #[serde(rename = "words")]
     pub description: String,
-    pub broken: u64,
+    #[serde(rename = "broken")]
+    pub violations: u64,
 }
 
 /// A bound, the value of its figure, and whether the bound held.
@@ -101,7 +103,7 @@
 
     /// Whether no rule was broken.
     pub fn rules_kept(&self) -> bool {
-        self.rules.iter().all(|line| line.broken == 0)
+        self.rules.iter().all(|line| line.violations == 0)
     }
 
     /// Whether all bounds held.
@@ -129,8 +131,9 @@
     }
 
     fn rules_summary(&self) -> String {
-        let broken = self.rules.iter().filter(|line| line.broken > 0);
-        let broken: Vec<String> = broken.map(|line| format!("{:?} x{}", line.rule, line.broken)).collect();
+        let broken = self.rules.iter().filter(|line| line.violations > 0);
+        let broken: Vec<String> =
+            broken.map(|line| format!("{:?} x{}", line.rule, line.violations)).collect();
         if broken.is_empty() {
             return "all rules kept".to_owned();
         }
--- a/crates/sailcart-lab/src/results/report.rs
+++ b/crates/sailcart-lab/src/results/report.rs
@@ -75,19 +75,19 @@
 fn write_rules_and_bounds(outcome: &Outcome, html: &mut String) {
     html.push_str("<h2>rules</h2><table>");
     for line in &outcome.rules {
-        let (class, word) = match line.broken {
+        let (class, word) = match line.violations {
             0 => ("good", "kept".to_owned()),
             times => ("bad", format!("broken {times} times")),
         };
         let _ = write!(html, "<tr><td>{}<td class=\"{class}\">{word}", escape_html(&line.description));
     }
     html.push_str("</table>");
-    if !outcome.breaches.is_empty() {
+    if !outcome.violations.is_empty() {
         html.push_str("<h2>what shows it</h2><table><tr><th>rule<th>packet<th>events");
-        for breach in &outcome.breaches {
-            let packet = breach.packet.map_or("-".to_owned(), |id| id.to_string());
-            let events = escape_html(&breach.events.join("; "));
-            let _ = write!(html, "<tr><td>{:?}<td>{packet}<td>{events}", breach.rule);
+        for violation in &outcome.violations {
+            let packet = violation.packet.map_or("-".to_owned(), |id| id.to_string());
+            let events = escape_html(&violation.events.join("; "));
+            let _ = write!(html, "<tr><td>{:?}<td>{packet}<td>{events}", violation.rule);
         }
         html.push_str("</table>");
     }
--- a/crates/sailcart-lab/src/simulated/clients.rs
+++ b/crates/sailcart-lab/src/simulated/clients.rs
@@ -12,7 +12,7 @@
 use crate::experiment::choose_by_key;
 use crate::plan::{PlannedPacketId, SenderId};
 use crate::results::tally::Count;
-use crate::watcher::{End, Handed, Seen};
+use crate::watcher::{CompletionKind, Observation, SubmittedPacket};
 
 /// Time after which a client without an answer submits its packet to another sender.
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(400);
@@ -36,11 +36,11 @@
         };
         let packet = PacketId(self.submissions.len() as u64);
         self.submissions.push(Submission::new(planned_packet, sender, resubmissions, self.now, deadline));
-        self.observe(Seen::Handed(Handed::new(self.plan, packet, planned_packet, sender)));
+        self.observe(Observation::Submitted(SubmittedPacket::new(self.plan, packet, planned_packet, sender)));
         self.tally.count(Count::HandedIn);
         if self.senders[sender.0].held.len() >= self.plan.settings.max_held {
             let retry_after = self.plan.settings.max_retry_after;
-            return self.complete_packet(Completion { packet, end: End::Dismissed, retry_after });
+            return self.complete_packet(Completion { packet, kind: CompletionKind::Dismissed, retry_after });
         }
         self.tally.holds(planned.destination, true);
         self.accept(sender, packet);
@@ -69,22 +69,22 @@
 
     /// Completes a packet: notifies its client, which may resubmit after a dismissal.
     pub fn complete_packet(&mut self, completion: Completion) {
-        let Completion { packet, end, retry_after } = completion;
-        let is_first_completion = self.submission_mut(packet).end.replace(end).is_none();
+        let Completion { packet, kind, retry_after } = completion;
+        let is_first_completion = self.submission_mut(packet).completion.replace(kind).is_none();
         if is_first_completion {
             self.release(packet);
         }
         let was_answered = self.submission(packet).answered;
-        self.observe(Seen::Ended(packet, end));
-        match end {
-            End::Done => {}
-            End::Dismissed => self.tally.count(Count::Dismissed),
-            End::Scrapped => self.tally.count(Count::Scrapped),
+        self.observe(Observation::Completed(packet, kind));
+        match kind {
+            CompletionKind::Done => {}
+            CompletionKind::Dismissed => self.tally.count(Count::Dismissed),
+            CompletionKind::Scrapped => self.tally.count(Count::Scrapped),
         }
-        if !was_answered && end != End::Done {
+        if !was_answered && kind != CompletionKind::Done {
             self.answer_client(packet);
         }
-        if end == End::Dismissed && is_first_completion {
+        if kind == CompletionKind::Dismissed && is_first_completion {
             self.schedule_resubmission(packet, retry_after);
         }
     }
@@ -116,8 +116,8 @@
     /// The sender of a packet died before its client had an answer: the client submits the packet again after
     /// its timeout, possibly to another sender.
     pub fn abandon(&mut self, packet: PacketId) {
-        let was_open = self.submission_mut(packet).end.replace(End::Dismissed).is_none();
-        self.observe(Seen::Abandoned(packet));
+        let was_open = self.submission_mut(packet).completion.replace(CompletionKind::Dismissed).is_none();
+        self.observe(Observation::Abandoned(packet));
         if was_open {
             self.release(packet);
         }
--- a/crates/sailcart-lab/src/simulated/dispatching.rs
+++ b/crates/sailcart-lab/src/simulated/dispatching.rs
@@ -55,8 +55,8 @@
         self.tally.calls_out(self.plan.endpoint(endpoint).destination, true);
         let mut call = Call::new(sender, endpoint, packets, self.now);
         call.holds_connection = self.connect(id, &call, timeout);
-        let gate = self.gate(endpoint);
-        self.calls_not_arrived[gate.0] += 1;
+        let upstream = self.upstream(endpoint);
+        self.calls_not_arrived[upstream.0] += 1;
         self.calls.insert(id, call);
         self.queue.push(self.now + timeout, Event::AbortCall(id, Outcome::TimedOut));
     }
--- a/crates/sailcart-lab/src/simulated/event.rs
+++ b/crates/sailcart-lab/src/simulated/event.rs
@@ -3,7 +3,7 @@
 use sailcart::Outcome;
 
 use crate::plan::{PlannedPacketId, SenderId};
-use crate::watcher::{CallId, GateId};
+use crate::watcher::{CallId, UpstreamId};
 
 /// Something that happens at a point of simulated time.
 #[derive(Clone, Debug)]
@@ -31,7 +31,7 @@
     /// A sender process starts, unless one is running.
     Start(SenderId),
     /// An outage begins at a receiver.
-    OutageBegins(GateId),
+    OutageBegins(UpstreamId),
     /// The figures of the past second are sampled.
     Sample,
 }
--- a/crates/sailcart-lab/src/simulated/mod.rs
+++ b/crates/sailcart-lab/src/simulated/mod.rs
@@ -30,7 +30,7 @@
 use crate::plan::{Plan, SenderId};
 use crate::policies::{self, PolicyName};
 use crate::results::Outcome;
-use crate::watcher::Seen;
+use crate::watcher::Observation;
 use event::Event;
 use world::{MakePolicy, World};
 
@@ -89,7 +89,7 @@
             Event::StopAccepting(sender) => self.senders[sender.0].accepting = false,
             Event::Kill(sender) => self.kill_sender(sender),
             Event::Start(sender) => self.start_sender(sender),
-            Event::OutageBegins(gate) => self.observe(Seen::OutageFrom(gate)),
+            Event::OutageBegins(upstream) => self.observe(Observation::OutageStarted(upstream)),
             Event::Sample => self.sample(),
         }
     }
--- a/crates/sailcart-lab/src/simulated/outcomes.rs
+++ b/crates/sailcart-lab/src/simulated/outcomes.rs
@@ -6,18 +6,18 @@
 use super::submission::Completion;
 use super::world::World;
 use crate::results::tally::Count;
-use crate::watcher::{CallId, End, Heard, Seen};
+use crate::watcher::{CallId, CallResult, CompletionKind, Observation};
 
 /// What a sender has learnt from an answer it received.
-fn observed_result(outcomes: &[Outcome]) -> Heard {
+fn observed_result(outcomes: &[Outcome]) -> CallResult {
     let rejection = outcomes.iter().find_map(|outcome| match outcome {
-        Outcome::Full(wait) => Some(Heard::Full(*wait)),
+        Outcome::Full(wait) => Some(CallResult::Rejected(*wait)),
         _ => None,
     });
     rejection.unwrap_or(match outcomes.first() {
-        Some(Outcome::Done) => Heard::Done,
-        Some(Outcome::Error) => Heard::Error,
-        _ => Heard::Unsure,
+        Some(Outcome::Done) => CallResult::Done,
+        Some(Outcome::Error) => CallResult::Error,
+        _ => CallResult::PossiblyExecuted,
     })
 }
 
@@ -46,10 +46,10 @@
         self.tally.calls_out(self.plan.endpoint(call.endpoint).destination, false);
         self.count_failure(first_outcome);
         if call.has_arrived() {
-            self.observe(Seen::Over { call: id, heard: observed_result(&outcomes) });
+            self.observe(Observation::CallCompleted { call: id, result: observed_result(&outcomes) });
         } else if first_outcome == Outcome::NoConnection {
-            let gate = self.gate(call.endpoint);
-            self.observe(Seen::NoConnection { sender: call.sender, gate });
+            let upstream = self.upstream(call.endpoint);
+            self.observe(Observation::ConnectionFailed { sender: call.sender, upstream });
         }
         for (packet, outcome) in call.packets.iter().zip(outcomes) {
             self.record_packet_outcome(&call, *packet, outcome);
@@ -62,8 +62,8 @@
     pub fn remove_call(&mut self, id: CallId) -> Option<Call> {
         let call = self.calls.remove(&id)?;
         if !call.has_arrived() {
-            let gate = self.gate(call.endpoint);
-            self.calls_not_arrived[gate.0] -= 1;
+            let upstream = self.upstream(call.endpoint);
+            self.calls_not_arrived[upstream.0] -= 1;
         }
         if *call.stage() == Stage::InTransit {
             self.arrive_abandoned(id, &call);
@@ -102,7 +102,7 @@
             // This dispatch was not executed, and no earlier one may have been.
             submission.possibly_executed_at = None;
         }
-        let was_completed = submission.end.is_some();
+        let was_completed = submission.completion.is_some();
         let done = outcome == Outcome::Done;
         if done {
             self.record_delivery(packet);
@@ -117,10 +117,10 @@
     fn record_delivery(&mut self, packet: PacketId) {
         let delay = self.now.saturating_sub(self.planned(packet).at);
         let submission = self.submission(packet);
-        let was_completed = submission.end.is_some();
+        let was_completed = submission.completion.is_some();
         self.tally.delivered(submission.planned_packet, delay);
         if !was_completed {
-            self.complete_packet(Completion { packet, end: End::Done, retry_after: None });
+            self.complete_packet(Completion { packet, kind: CompletionKind::Done, retry_after: None });
         }
     }
 }
--- a/crates/sailcart-lab/src/simulated/processes.rs
+++ b/crates/sailcart-lab/src/simulated/processes.rs
@@ -6,7 +6,7 @@
 use super::world::World;
 use crate::plan::{ListState, SenderId, seeded_rng};
 use crate::results::tally::Count;
-use crate::watcher::{CallId, Heard, Seen};
+use crate::watcher::{CallId, CallResult, Observation};
 
 /// Random stream that the seed of the first sender is drawn from. The streams of the other senders follow it.
 const FIRST_SENDER_STREAM: u64 = 100;
@@ -38,10 +38,10 @@
 
     fn observe_start(&mut self, sender: SenderId, entries: &[ListEntry]) {
         if !self.now.is_zero() {
-            self.observe(Seen::SenderUp(sender));
+            self.observe(Observation::SenderUp(sender));
         }
         for entry in entries.iter().filter(|entry| !entry.live) {
-            self.observe(Seen::ToldOff(sender, entry.endpoint));
+            self.observe(Observation::EndpointDraining(sender, entry.endpoint));
         }
     }
 
@@ -54,9 +54,9 @@
         let live = change.state == ListState::Ready;
         policy.update_list(self.now, false, &[self.plan.list_entry(change.endpoint, live)]);
         self.observe(if live {
-            Seen::ToldOn(sender, change.endpoint)
+            Observation::EndpointReady(sender, change.endpoint)
         } else {
-            Seen::ToldOff(sender, change.endpoint)
+            Observation::EndpointDraining(sender, change.endpoint)
         });
         self.request_round(sender);
     }
@@ -71,7 +71,7 @@
         }
         self.close_all_idle(sender);
         self.tally.count(Count::Kills);
-        self.observe(Seen::SenderDown(sender));
+        self.observe(Observation::SenderDown(sender));
         for packet in self.senders[sender.0].stop() {
             self.abandon(packet);
         }
@@ -96,7 +96,7 @@
             self.submission_mut(*packet).call = None;
         }
         if call.has_arrived() {
-            self.observe(Seen::Over { call: id, heard: Heard::Unsure });
+            self.observe(Observation::CallCompleted { call: id, result: CallResult::PossiblyExecuted });
         }
     }
 }
--- a/crates/sailcart-lab/src/simulated/reception.rs
+++ b/crates/sailcart-lab/src/simulated/reception.rs
@@ -6,25 +6,25 @@
 use super::event::Event;
 use super::world::World;
 use crate::receivers::{Answer, PieceAnswer};
-use crate::watcher::{CallId, Heard, Seen};
+use crate::watcher::{CallId, CallResult, Observation};
 
 impl World<'_> {
     /// Handles the arrival of the last byte of a call.
     pub fn on_arrived(&mut self, id: CallId) {
         let Some(call) = self.calls.get(&id) else { return };
         let (sender, endpoint, packets) = (call.sender, call.endpoint, call.packets.clone());
-        let gate = self.gate(endpoint);
-        self.calls_not_arrived[gate.0] -= 1;
+        let upstream = self.upstream(endpoint);
+        self.calls_not_arrived[upstream.0] -= 1;
         let destination = self.plan.endpoint(endpoint).destination;
         self.tally.dispatched(self.now, destination, packets.len());
         let call_packets = self.call_packets(&packets);
         let reception = self.receivers.arrive(self.plan, self.now, endpoint, &call_packets);
-        self.observe(Seen::Came { call: id, sender, endpoint, gate, packets });
+        self.observe(Observation::CallReceived { call: id, sender, endpoint, upstream, packets });
         if reception.effects.contains(&true) {
-            self.observe(Seen::Ran(id, reception.effects));
+            self.observe(Observation::Executed(id, reception.effects));
         }
         if reception.fell {
-            self.observe(Seen::Fell(gate));
+            self.observe(Observation::Collapsed(upstream));
         }
         let (due, answer) = reception.answer.unzip();
         if let Some(call) = self.calls.get_mut(&id) {
@@ -37,18 +37,18 @@
 
     /// Handles the arrival of a call that was written before its sender died or aborted it.
     pub fn arrive_abandoned(&mut self, id: CallId, call: &Call) {
-        let gate = self.gate(call.endpoint);
+        let upstream = self.upstream(call.endpoint);
         let call_packets = self.call_packets(&call.packets);
         let reception = self.receivers.arrive(self.plan, self.now, call.endpoint, &call_packets);
-        self.observe(Seen::Came {
+        self.observe(Observation::CallReceived {
             call: id,
             sender: call.sender,
             endpoint: call.endpoint,
-            gate,
+            upstream,
             packets: call.packets.clone(),
         });
-        self.observe(Seen::Ran(id, reception.effects));
-        self.observe(Seen::Over { call: id, heard: Heard::Unsure });
+        self.observe(Observation::Executed(id, reception.effects));
+        self.observe(Observation::CallCompleted { call: id, result: CallResult::PossiblyExecuted });
     }
 
     /// Handles the arrival of an answer at the sender.
--- a/crates/sailcart-lab/src/simulated/rounds.rs
+++ b/crates/sailcart-lab/src/simulated/rounds.rs
@@ -10,7 +10,7 @@
 use crate::plan::{Plan, SenderId};
 use crate::policies::OracleView;
 use crate::receivers::Receivers;
-use crate::watcher::Seen;
+use crate::watcher::Observation;
 
 /// The state of the world that the oracle policy may look at.
 struct WorldView<'a> {
@@ -22,7 +22,7 @@
 
 impl OracleView for WorldView<'_> {
     fn would_finish(&self, now: Duration, endpoint: EndpointId, additional: usize) -> Option<Duration> {
-        let ahead = self.calls_not_arrived[self.receivers.gate(endpoint)] + additional;
+        let ahead = self.calls_not_arrived[self.receivers.upstream(endpoint)] + additional;
         self.receivers.would_finish(self.plan, now, endpoint, ahead)
     }
 }
@@ -122,9 +122,9 @@
     /// meantime.
     fn confirm_accepted(&mut self, sender: SenderId) {
         for packet in std::mem::take(&mut self.senders[sender.0].unconfirmed) {
-            if self.submission(packet).end.is_none() {
+            if self.submission(packet).completion.is_none() {
                 self.answer_client(packet);
-                self.observe(Seen::Taken(packet));
+                self.observe(Observation::Accepted(packet));
             }
         }
     }
--- a/crates/sailcart-lab/src/simulated/schedule.rs
+++ b/crates/sailcart-lab/src/simulated/schedule.rs
@@ -54,9 +54,9 @@
         let plan: &Plan = self.plan;
         let troubles = TroubleSchedule::new(plan);
         for planned_endpoint in &plan.endpoints {
-            let gate = self.gate(planned_endpoint.endpoint);
+            let upstream = self.upstream(planned_endpoint.endpoint);
             for (from, _) in troubles.outages(planned_endpoint.endpoint) {
-                self.queue.push(from, Event::OutageBegins(gate));
+                self.queue.push(from, Event::OutageBegins(upstream));
             }
         }
     }
--- a/crates/sailcart-lab/src/simulated/sender.rs
+++ b/crates/sailcart-lab/src/simulated/sender.rs
@@ -7,7 +7,7 @@
 
 use super::submission::Completion;
 use crate::policies::Policy;
-use crate::watcher::End;
+use crate::watcher::CompletionKind;
 
 /// The state of one sender across its processes.
 #[derive(Default)]
@@ -104,11 +104,11 @@
     }
 
     fn dismiss(&mut self, packet: PacketId, retry_after: Option<Duration>) {
-        self.completions.push(Completion { packet, end: End::Dismissed, retry_after });
+        self.completions.push(Completion { packet, kind: CompletionKind::Dismissed, retry_after });
     }
 
     fn scrap(&mut self, packet: PacketId) {
-        self.completions.push(Completion { packet, end: End::Scrapped, retry_after: None });
+        self.completions.push(Completion { packet, kind: CompletionKind::Scrapped, retry_after: None });
     }
 
     fn close_idle(&mut self, endpoint: EndpointId) {
--- a/crates/sailcart-lab/src/simulated/submission.rs
+++ b/crates/sailcart-lab/src/simulated/submission.rs
@@ -5,7 +5,7 @@
 use sailcart::PacketId;
 
 use crate::plan::{PlannedPacketId, SenderId};
-use crate::watcher::{CallId, End};
+use crate::watcher::{CallId, CompletionKind};
 
 /// A packet as submitted once to one sender.
 pub struct Submission {
@@ -24,7 +24,7 @@
     /// Whether its client has received an answer.
     pub answered: bool,
     /// The way in which it completed, if it has.
-    pub end: Option<End>,
+    pub completion: Option<CompletionKind>,
 }
 
 impl Submission {
@@ -46,7 +46,7 @@
             possibly_executed_at: None,
             call: None,
             answered: false,
-            end: None,
+            completion: None,
         }
     }
 
@@ -59,7 +59,7 @@
 /// The completion of a packet.
 pub struct Completion {
     pub packet: PacketId,
-    pub end: End,
+    pub kind: CompletionKind,
     /// Time that the client is asked to wait before it resubmits.
     pub retry_after: Option<Duration>,
 }
--- a/crates/sailcart-lab/src/simulated/world.rs
+++ b/crates/sailcart-lab/src/simulated/world.rs
@@ -17,7 +17,7 @@
 use crate::policies::Policy;
 use crate::receivers::{Piece, Receivers};
 use crate::results::tally::Tally;
-use crate::watcher::{CallId, GateId, Seen, Watcher};
+use crate::watcher::{CallId, Observation, UpstreamId, Watcher};
 
 /// Random stream that clients draw from.
 const CLIENTS_STREAM: u64 = 5;
@@ -68,9 +68,9 @@
     }
 
     /// Reports an observation to the watcher and writes it to the event log.
-    pub fn observe(&mut self, seen: Seen) {
-        self.log.write(self.now, &seen);
-        self.watcher.see(self.now, &seen);
+    pub fn observe(&mut self, observation: Observation) {
+        self.log.write(self.now, &observation);
+        self.watcher.observe(self.now, &observation);
     }
 
     /// The submission of a packet.
@@ -89,8 +89,8 @@
     }
 
     /// The upstream that an endpoint belongs to.
-    pub fn gate(&self, endpoint: EndpointId) -> GateId {
-        GateId(self.receivers.gate(endpoint))
+    pub fn upstream(&self, endpoint: EndpointId) -> UpstreamId {
+        UpstreamId(self.receivers.upstream(endpoint))
     }
 
     /// The packets of a call as its receiver sees them.
--- a/crates/sailcart-lab/src/soak/verdict.rs
+++ b/crates/sailcart-lab/src/soak/verdict.rs
@@ -10,14 +10,14 @@
 /// The verdict on one run, with its most important counts.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
-    /// The rules that were broken, each followed by the number of its breaches.
+    /// The rules that were broken, each followed by the number of its violations.
     pub broken_rules: Vec<String>,
     /// Sender processes that ended although nobody stopped them.
     pub crashes: u64,
     /// Clients with malformed input that got no reply in time.
     pub ignored: u64,
     /// Log lines of senders that report a violated invariant or a panic.
-    pub violations: usize,
+    pub logged_violations: usize,
     /// Packets submitted, resubmissions included.
     pub submitted: u64,
     pub delivered: u64,
@@ -28,13 +28,13 @@
 impl Verdict {
     /// Judges a run by its outcome and by the logs in its folder.
     pub fn of(outcome: &Outcome, folder: &Path) -> Verdict {
-        let broken_rules = outcome.rules.iter().filter(|line| line.broken > 0);
+        let broken_rules = outcome.rules.iter().filter(|line| line.violations > 0);
         let figure = |name: &str| outcome.figure(name) as u64;
         Verdict {
-            broken_rules: broken_rules.map(|line| format!("{:?} {}", line.rule, line.broken)).collect(),
+            broken_rules: broken_rules.map(|line| format!("{:?} {}", line.rule, line.violations)).collect(),
             crashes: figure("crashes"),
             ignored: figure("ignored"),
-            violations: count_violations(folder),
+            logged_violations: count_logged_violations(folder),
             submitted: figure("handed_in"),
             delivered: figure("delivered"),
             kills: figure("kills"),
@@ -43,12 +43,12 @@
 
     /// Whether the run passed: no rule broken, no crash, no client ignored, no violation logged.
     pub fn passed(&self) -> bool {
-        self.broken_rules.is_empty() && self.crashes == 0 && self.ignored == 0 && self.violations == 0
+        self.broken_rules.is_empty() && self.crashes == 0 && self.ignored == 0 && self.logged_violations == 0
     }
 }
 
 /// Counts the log lines in the folder that report a violated invariant or a panic.
-fn count_violations(folder: &Path) -> usize {
+fn count_logged_violations(folder: &Path) -> usize {
     let Ok(files) = fs::read_dir(folder) else { return 0 };
     let logs =
         files.flatten().filter(|file| file.path().extension().is_some_and(|extension| extension == "log"));
@@ -76,7 +76,7 @@
         for (count, label) in [
             (self.crashes as usize, "crashes"),
             (self.ignored as usize, "ignored"),
-            (self.violations, "violations"),
+            (self.logged_violations, "violations"),
         ] {
             if count > 0 {
                 write!(formatter, "; {count} {label}")?;
--- a/crates/sailcart-lab/src/sockets/clients.rs
+++ b/crates/sailcart-lab/src/sockets/clients.rs
@@ -22,7 +22,7 @@
 use crate::experiment::choose_by_key;
 use crate::plan::{PlannedPacketId, ScheduledTrouble, SenderId, seeded_rng};
 use crate::results::tally::Count;
-use crate::watcher::{End, Seen};
+use crate::watcher::{CompletionKind, Observation};
 
 /// How long a client waits for a connection, and then for a reply.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(400);
@@ -151,10 +151,10 @@
     fn handle_reply(&self, packet: PacketId, reply: Reply) {
         match reply {
             Reply::Accepted => self.shared.record_acceptance(packet),
-            Reply::Dismissed(wait) => self.shared.record_completion(packet, End::Dismissed, wait),
+            Reply::Dismissed(wait) => self.shared.record_completion(packet, CompletionKind::Dismissed, wait),
             Reply::Error => {
                 log::warn!("packet {}: code=error_answer", packet.0);
-                self.shared.observe(Seen::Ended(packet, End::Dismissed));
+                self.shared.observe(Observation::Completed(packet, CompletionKind::Dismissed));
                 self.shared.record_abandonment(packet);
             }
         }
--- a/crates/sailcart-lab/src/sockets/discovery.rs
+++ b/crates/sailcart-lab/src/sockets/discovery.rs
@@ -19,7 +19,7 @@
 use super::shared::SharedState;
 use crate::experiment::TroubleKind;
 use crate::plan::{ListChange, ListState, SenderId};
-use crate::watcher::{End, Seen};
+use crate::watcher::{CompletionKind, Observation};
 
 /// Maximum time for which a request for the list is held until the list changes.
 const MAX_HOLD_MS: u64 = 60_000;
@@ -105,23 +105,23 @@
         let text = String::from_utf8_lossy(&call.body);
         let notices: Option<Vec<_>> = text.lines().map(|line| self.parse_notice(line)).collect();
         let Some(notices) = notices else { return response("400 Bad Request", "", "") };
-        for (packet, end, wait) in notices {
-            self.shared.record_completion(packet, end, wait);
+        for (packet, completion, wait) in notices {
+            self.shared.record_completion(packet, completion, wait);
         }
         bodiless_response("204 No Content")
     }
 
     /// Parses one notice: the packet, its end, and the wait before a resubmission. `None` if it is malformed.
-    fn parse_notice(&self, line: &str) -> Option<(sailcart::PacketId, End, Duration)> {
+    fn parse_notice(&self, line: &str) -> Option<(sailcart::PacketId, CompletionKind, Duration)> {
         let notice: Value = serde_json::from_str(line).ok()?;
         let packet = self.shared.find_packet(notice.get("message")?.as_str()?)?;
-        let end = match notice.get("outcome")?.as_str()? {
-            "given_up" => End::Scrapped,
-            "handed_back" => End::Dismissed,
+        let completion = match notice.get("outcome")?.as_str()? {
+            "given_up" => CompletionKind::Scrapped,
+            "handed_back" => CompletionKind::Dismissed,
             _ => return None,
         };
         let wait = notice.get("retry_in_ms").and_then(Value::as_f64).unwrap_or(0.0);
-        Some((packet, end, Duration::from_secs_f64(wait.clamp(0.0, 3.6e6) / 1000.0)))
+        Some((packet, completion, Duration::from_secs_f64(wait.clamp(0.0, 3.6e6) / 1000.0)))
     }
 
     /// Number of changes that have reached this agent.
@@ -153,8 +153,8 @@
         let mut updates = self.updates_since(from, reached);
         for (endpoint, state) in &updates {
             self.shared.observe(match state {
-                ListState::Ready => Seen::ToldOn(self.sender, *endpoint),
-                _ => Seen::ToldOff(self.sender, *endpoint),
+                ListState::Ready => Observation::EndpointReady(self.sender, *endpoint),
+                _ => Observation::EndpointDraining(self.sender, *endpoint),
             });
         }
         if from.is_none() {
--- a/crates/sailcart-lab/src/sockets/endpoints.rs
+++ b/crates/sailcart-lab/src/sockets/endpoints.rs
@@ -18,7 +18,7 @@
 use crate::plan::SenderId;
 use crate::receivers::{Answer, Connect, Reception, TroubleSchedule};
 use crate::results::tally::Count;
-use crate::watcher::{CallId, End, GateId, Heard, Seen};
+use crate::watcher::{CallId, CallResult, CompletionKind, Observation, UpstreamId};
 
 /// Maximum number of connections that wait to be accepted at an endpoint that is up.
 const LISTEN_BACKLOG: u32 = 1024;
@@ -69,19 +69,19 @@
 pub fn report_outages(shared: &Rc<SharedState>) {
     let schedule = TroubleSchedule::new(&shared.plan);
     for planned_endpoint in &shared.plan.endpoints {
-        let gate = shared.gate(planned_endpoint.endpoint);
+        let upstream = shared.upstream(planned_endpoint.endpoint);
         for (from, until) in schedule.outages(planned_endpoint.endpoint) {
             let (shared, endpoint) = (shared.clone(), planned_endpoint.endpoint);
             spawn_local(async move {
                 sleep_until(shared.instant(from)).await;
-                shared.observe(Seen::OutageFrom(gate));
+                shared.observe(Observation::OutageStarted(upstream));
                 let refuses_connections = {
                     let conditions = shared.receivers.borrow().conditions(from, endpoint);
                     conditions.down || conditions.black_hole
                 };
                 sleep_until(shared.instant(until)).await;
                 if refuses_connections {
-                    shared.record_failed_connections(gate, &[endpoint]);
+                    shared.record_failed_connections(upstream, &[endpoint]);
                 }
             });
         }
@@ -340,7 +340,7 @@
         packets: &[(PacketId, Option<String>)],
     ) -> AfterCall {
         let shared = self.shared;
-        let (id, gate) = (shared.next_call(), shared.gate(self.endpoint));
+        let (id, upstream) = (shared.next_call(), shared.upstream(self.endpoint));
         let destination = shared.plan.endpoint(self.endpoint).destination;
         let sender = shared.sender(packets[0].0);
         let pieces: Vec<_> = packets
@@ -351,7 +351,7 @@
         shared.tally.borrow_mut().dispatched(now, destination, packets.len());
         shared.tally.borrow_mut().calls_out(destination, true);
         let packet_ids: Vec<PacketId> = packets.iter().map(|(id, _)| *id).collect();
-        self.record_arrival(id, sender, gate, &packet_ids, &reception);
+        self.record_arrival(id, sender, upstream, &packet_ids, &reception);
         let after_call = self.respond(id, ids, &packet_ids, reception).await;
         shared.tally.borrow_mut().calls_out(destination, false);
         after_call
@@ -362,17 +362,23 @@
         &self,
         call: CallId,
         sender: SenderId,
-        gate: GateId,
+        upstream: UpstreamId,
         packets: &[PacketId],
         reception: &Reception,
     ) {
         let packets = packets.to_vec();
-        self.shared.observe(Seen::Came { call, sender, endpoint: self.endpoint, gate, packets });
+        self.shared.observe(Observation::CallReceived {
+            call,
+            sender,
+            endpoint: self.endpoint,
+            upstream,
+            packets,
+        });
         if reception.effects.contains(&true) {
-            self.shared.observe(Seen::Ran(call, reception.effects.clone()));
+            self.shared.observe(Observation::Executed(call, reception.effects.clone()));
         }
         if reception.fell {
-            self.shared.observe(Seen::Fell(gate));
+            self.shared.observe(Observation::Collapsed(upstream));
         }
     }
 
@@ -393,8 +399,8 @@
             return self.end_without_response(id, Count::Errors, AfterCall::Reset);
         };
         // The completion is recorded first, as the sender may act on the response as soon as it is written.
-        let heard = self.record_response(&answer, packets);
-        self.shared.observe(Seen::Over { call: id, heard });
+        let result = self.record_response(&answer, packets);
+        self.shared.observe(Observation::CallCompleted { call: id, result });
         // A malformed response may be longer than the sender reads. Then the sender closes, or the write
         // times out.
         let written = timeout(Duration::from_secs(1), self.stream.write_all(&bytes)).await;
@@ -427,46 +433,47 @@
     /// Records that a call has ended without a response.
     fn end_without_response(&self, id: CallId, count: Count, after_call: AfterCall) -> AfterCall {
         self.shared.tally.borrow_mut().count(count);
-        self.shared.observe(Seen::Over { call: id, heard: Heard::Unsure });
+        self.shared.observe(Observation::CallCompleted { call: id, result: CallResult::PossiblyExecuted });
         after_call
     }
 
     /// Records the packets that this response completes and the counts; returns what the sender learns from
     /// it.
-    fn record_response(&self, answer: &Answer, packets: &[PacketId]) -> Heard {
+    fn record_response(&self, answer: &Answer, packets: &[PacketId]) -> CallResult {
         let shared = self.shared;
-        let complete = |packet: &PacketId| shared.record_completion(*packet, End::Done, Duration::ZERO);
+        let complete =
+            |packet: &PacketId| shared.record_completion(*packet, CompletionKind::Done, Duration::ZERO);
         let count = |counter| shared.tally.borrow_mut().count(counter);
         match answer {
             Answer::Done => {
                 packets.iter().for_each(complete);
-                Heard::Done
+                CallResult::Done
             }
             Answer::Spoilt(kind) if kind.settles(packets.len() > 1) => {
                 packets.iter().for_each(complete);
-                Heard::Done
+                CallResult::Done
             }
             Answer::Full(wait) => {
                 let destination = shared.plan.endpoint(self.endpoint).destination;
                 shared.tally.borrow_mut().refused(shared.now(), destination);
-                Heard::Full(*wait)
+                CallResult::Rejected(*wait)
             }
             Answer::Mixed(each, wait) => {
                 let accepted = packets.iter().zip(each);
                 let accepted = accepted
                     .filter(|(_, piece_answer)| **piece_answer == crate::receivers::PieceAnswer::Accepted);
                 accepted.map(|(packet, _)| packet).for_each(complete);
-                wait.map_or(Heard::Done, |wait| Heard::Full(Some(wait)))
+                wait.map_or(CallResult::Done, |wait| CallResult::Rejected(Some(wait)))
             }
             // A malformed response is a response all the same: the call is no longer in progress at the
             // endpoint.
             Answer::Error | Answer::Spoilt(_) => {
                 count(Count::Errors);
-                Heard::Error
+                CallResult::Error
             }
             Answer::Reset => {
                 count(Count::Errors);
-                Heard::Unsure
+                CallResult::PossiblyExecuted
             }
         }
     }
--- a/crates/sailcart-lab/src/sockets/machine_troubles.rs
+++ b/crates/sailcart-lab/src/sockets/machine_troubles.rs
@@ -14,7 +14,7 @@
 use crate::plan::SenderId;
 use crate::soak::machine::{MachineTrouble, What};
 use crate::soak::proxy::{Manner, Proxy};
-use crate::watcher::Seen;
+use crate::watcher::Observation;
 
 /// Share of the calls that fail with a local error of the sender's host, in thousandths.
 const LOCAL_ERRORS_PER_MILLE: i64 = 150;
@@ -92,7 +92,7 @@
     fn set_machine_fault(&self, sender: SenderId, what: What, active: bool) {
         let Some(control_page) = self.processes.control_page(sender) else { return };
         if matches!(what, What::Folder { .. }) {
-            self.shared.observe(Seen::Folder { sender, fails: active });
+            self.shared.observe(Observation::StateFolder { sender, fails: active });
         }
         if let Err(error) = write_settings(control_page, what, active) {
             log::error!("sender {}: code=no_page {error}", sender.0);
--- a/crates/sailcart-lab/src/sockets/process.rs
+++ b/crates/sailcart-lab/src/sockets/process.rs
@@ -25,7 +25,7 @@
 use crate::plan::SenderId;
 use crate::results::Cost;
 use crate::results::tally::Count;
-use crate::watcher::Seen;
+use crate::watcher::Observation;
 
 /// The subcommand with which the lab starts itself to become a sender.
 pub const KEEP_COMMAND: &str = "keep";
@@ -290,7 +290,7 @@
         }
         self.shared.tally.borrow_mut().count(Count::Kills);
         self.measure(sender);
-        self.shared.observe(Seen::SenderDown(sender));
+        self.shared.observe(Observation::SenderDown(sender));
         if let Some(within) = stop_within {
             let _ = kill(pid, Signal::SIGTERM);
             if process.control_page.is_some() {
@@ -311,7 +311,7 @@
         }
         match self.start(sender).await {
             Ok(()) if self.wait_until_ready(sender, Duration::from_secs(10)).await.is_ok() => {
-                self.shared.observe(Seen::SenderUp(sender));
+                self.shared.observe(Observation::SenderUp(sender));
             }
             _ => self.shared.tally.borrow_mut().count(Count::Crashes),
         }
@@ -339,14 +339,14 @@
         let process = &self.processes[sender.0];
         process.expected_running.set(false);
         process.accepting.set(false);
-        self.shared.observe(Seen::SenderDown(sender));
+        self.shared.observe(Observation::SenderDown(sender));
         *process.child.borrow_mut() = None;
         process.accumulate_cpu_time();
         sleep(super::RESTART_DELAY).await;
         if self.start(sender).await.is_ok()
             && self.wait_until_ready(sender, Duration::from_secs(10)).await.is_ok()
         {
-            self.shared.observe(Seen::SenderUp(sender));
+            self.shared.observe(Observation::SenderUp(sender));
         }
     }
 
--- a/crates/sailcart-lab/src/sockets/shared.rs
+++ b/crates/sailcart-lab/src/sockets/shared.rs
@@ -16,7 +16,7 @@
 use crate::receivers::{Piece, Receivers};
 use crate::results::tally::{Count, Tally};
 use crate::results::{Cost, Outcome};
-use crate::watcher::{CallId, End, GateId, Handed, Seen, Watcher};
+use crate::watcher::{CallId, CompletionKind, Observation, SubmittedPacket, UpstreamId, Watcher};
 
 /// One submission of a packet. Each further submission of the same packet has an id of its own.
 pub struct Submission {
@@ -25,7 +25,7 @@
     /// How often the packet had been resubmitted after a dismissal; 0 until the first dismissal.
     pub attempt: u32,
     pub accepted: bool,
-    pub end: Option<End>,
+    pub completion: Option<CompletionKind>,
 }
 
 /// The state of one run.
@@ -44,8 +44,8 @@
     /// identified by its idempotency key or id alone, and gets the number of a planned packet here when it is
     /// first seen.
     external_packets: Option<RefCell<HashMap<String, PlannedPacketId>>>,
-    /// Dismissed packets that the clients are to submit again: planned packet, the new value of `attempt`, and the
-    /// time since the start of the experiment.
+    /// Dismissed packets that the clients are to submit again: planned packet, the new value of `attempt`,
+    /// and the time since the start of the experiment.
     pub resubmissions: RefCell<Vec<(PlannedPacketId, u32, Duration)>>,
 }
 
@@ -96,15 +96,15 @@
     }
 
     /// Writes an event to the log and reports it to the watcher.
-    pub fn observe(&self, seen: Seen) {
+    pub fn observe(&self, observation: Observation) {
         let now = self.now();
-        self.log.borrow_mut().write(now, &seen);
-        self.watcher.borrow_mut().see(now, &seen);
+        self.log.borrow_mut().write(now, &observation);
+        self.watcher.borrow_mut().observe(now, &observation);
     }
 
-    /// The gate of an endpoint: the unit that has a limit of its own.
-    pub fn gate(&self, endpoint: EndpointId) -> GateId {
-        GateId(self.receivers.borrow().gate(endpoint))
+    /// The upstream of an endpoint: the unit that has a limit of its own.
+    pub fn upstream(&self, endpoint: EndpointId) -> UpstreamId {
+        UpstreamId(self.receivers.borrow().upstream(endpoint))
     }
 
     /// The number of a new call.
@@ -127,14 +127,19 @@
             sender,
             attempt,
             accepted: false,
-            end: None,
+            completion: None,
         });
         drop(submissions);
         let planned = &self.plan.planned_packets[planned_packet.0];
         self.tally.borrow_mut().count(Count::HandedIn);
         self.tally.borrow_mut().holds(planned.destination, true);
         self.incomplete.set(self.incomplete.get() + 1);
-        self.observe(Seen::Handed(Handed::new(&self.plan, packet, planned_packet, sender)));
+        self.observe(Observation::Submitted(SubmittedPacket::new(
+            &self.plan,
+            packet,
+            planned_packet,
+            sender,
+        )));
         packet
     }
 
@@ -146,22 +151,22 @@
             !std::mem::replace(&mut submission.accepted, true)
         };
         if newly_accepted {
-            self.observe(Seen::Taken(packet));
+            self.observe(Observation::Accepted(packet));
         }
     }
 
     /// The client got no usable reply and abandons this submission.
     pub fn record_abandonment(&self, packet: PacketId) {
-        self.mark_completed(packet, End::Dismissed);
-        self.observe(Seen::Abandoned(packet));
+        self.mark_completed(packet, CompletionKind::Dismissed);
+        self.observe(Observation::Abandoned(packet));
     }
 
     /// Marks a submission as completed; true if it had not been.
-    fn mark_completed(&self, packet: PacketId, end: End) -> bool {
+    fn mark_completed(&self, packet: PacketId, completion: CompletionKind) -> bool {
         let mut submissions = self.submissions.borrow_mut();
         let submission = &mut submissions[packet.0 as usize];
-        let first = submission.end.is_none();
-        submission.end.get_or_insert(end);
+        let first = submission.completion.is_none();
+        submission.completion.get_or_insert(completion);
         if first {
             let destination = self.plan.planned_packets[submission.planned_packet.0].destination;
             self.tally.borrow_mut().holds(destination, false);
@@ -172,26 +177,26 @@
 
     /// The completion of a packet was reported to its client or by a notice. A dismissed packet may be
     /// submitted again, after `wait` at the earliest.
-    pub fn record_completion(&self, packet: PacketId, end: End, wait: Duration) {
+    pub fn record_completion(&self, packet: PacketId, completion: CompletionKind, wait: Duration) {
         if packet.0 as usize >= self.submissions.borrow().len() {
             return self.tally.borrow_mut().count(Count::Strays);
         }
-        let first = self.mark_completed(packet, end);
-        self.observe(Seen::Ended(packet, end));
+        let first = self.mark_completed(packet, completion);
+        self.observe(Observation::Completed(packet, completion));
         let (planned_packet, attempt) = {
             let submissions = self.submissions.borrow();
             (submissions[packet.0 as usize].planned_packet, submissions[packet.0 as usize].attempt)
         };
-        match end {
-            End::Done => {
+        match completion {
+            CompletionKind::Done => {
                 let after = self.now().saturating_sub(self.plan.planned_packets[planned_packet.0].at);
                 self.tally.borrow_mut().delivered(planned_packet, after);
             }
-            End::Dismissed => self.tally.borrow_mut().count(Count::Dismissed),
-            End::Scrapped => self.tally.borrow_mut().count(Count::Scrapped),
+            CompletionKind::Dismissed => self.tally.borrow_mut().count(Count::Dismissed),
+            CompletionKind::Scrapped => self.tally.borrow_mut().count(Count::Scrapped),
         }
         let load = &self.plan.experiment.load;
-        if end == End::Dismissed && first && attempt < load.again {
+        if completion == CompletionKind::Dismissed && first && attempt < load.again {
             let delay = load.pause.mul_f64(1.0 + (packet.0 % 50) as f64 / 100.0).max(wait);
             let at = self.now() + delay;
             if at < self.plan.resubmission_deadline(planned_packet) {
@@ -236,9 +241,11 @@
 
     /// Reports a failed connection for each sender with incomplete packets for one of these endpoints. The
     /// lab cannot observe a connection attempt that fails, so it assumes that each such sender has made one.
-    pub fn record_failed_connections(&self, gate: GateId, endpoints: &[EndpointId]) {
+    pub fn record_failed_connections(&self, upstream: UpstreamId, endpoints: &[EndpointId]) {
         let mut senders: Vec<SenderId> = Vec::new();
-        for submission in self.submissions.borrow().iter().filter(|submission| submission.end.is_none()) {
+        for submission in
+            self.submissions.borrow().iter().filter(|submission| submission.completion.is_none())
+        {
             let destination = self.plan.planned_packets[submission.planned_packet.0].destination;
             if endpoints.iter().any(|endpoint| self.plan.endpoint(*endpoint).destination == destination) {
                 senders.push(submission.sender);
@@ -247,7 +254,7 @@
         senders.sort();
         senders.dedup();
         for sender in senders {
-            self.observe(Seen::NoConnection { sender, gate });
+            self.observe(Observation::ConnectionFailed { sender, upstream });
         }
     }
 
--- a/crates/sailcart-lab/src/watcher/backpressure.rs
+++ b/crates/sailcart-lab/src/watcher/backpressure.rs
@@ -6,7 +6,7 @@
 
 use sailcart::EndpointId;
 
-use super::{GateId, Heard, ObservedCall, Rule, RunState, format_ms};
+use super::{CallResult, ObservedCall, Rule, RunState, UpstreamId, format_ms};
 use crate::plan::SenderId;
 
 /// A collapse breaks rule 4 only if at least this share of the calls before it came from senders that had
@@ -17,13 +17,13 @@
 pub struct BackpressureCheck {
     /// When discovery first reported to a sender that an endpoint drains.
     drains: HashMap<(SenderId, EndpointId), Duration>,
-    /// For each sender and gate, when the longest wait was requested, and until when.
-    waits: HashMap<(SenderId, GateId), (Duration, Duration)>,
-    /// For each gate with an outage, the senders that saw a call or connection fail or be rejected since it
-    /// began.
-    informed_senders: HashMap<GateId, BTreeSet<SenderId>>,
-    /// Calls received within the period [`crate::experiment::Rules::fall`], by gate.
-    recent_calls: HashMap<GateId, VecDeque<(Duration, SenderId)>>,
+    /// For each sender and upstream, when the longest wait was requested, and until when.
+    waits: HashMap<(SenderId, UpstreamId), (Duration, Duration)>,
+    /// For each upstream with an outage, the senders that saw a call or connection fail or be rejected since
+    /// it began.
+    informed_senders: HashMap<UpstreamId, BTreeSet<SenderId>>,
+    /// Calls received within the period [`crate::experiment::Rules::fall`], by upstream.
+    recent_calls: HashMap<UpstreamId, VecDeque<(Duration, SenderId)>>,
 }
 
 impl BackpressureCheck {
@@ -35,13 +35,13 @@
         self.drains.remove(&(sender, endpoint));
     }
 
-    pub fn outage_started(&mut self, gate: GateId) {
-        self.informed_senders.insert(gate, BTreeSet::new());
+    pub fn outage_started(&mut self, upstream: UpstreamId) {
+        self.informed_senders.insert(upstream, BTreeSet::new());
     }
 
     /// A call or a connection attempt of a sender failed or was rejected.
-    pub fn call_failed(&mut self, sender: SenderId, gate: GateId) {
-        if let Some(senders) = self.informed_senders.get_mut(&gate) {
+    pub fn call_failed(&mut self, sender: SenderId, upstream: UpstreamId) {
+        if let Some(senders) = self.informed_senders.get_mut(&upstream) {
             senders.insert(sender);
         }
     }
@@ -70,9 +70,9 @@
                 format!("{}: the grace was over", format_ms(reported_at + grace)),
                 format!("{}: a call came from it", format_ms(now)),
             ];
-            state.record_breach(Rule::Drains, call.packets.first().copied(), events);
+            state.record_violation(Rule::Drains, call.packets.first().copied(), events);
         }
-        if let Some((requested_at, until)) = self.waits.get(&(call.sender, call.gate)).copied()
+        if let Some((requested_at, until)) = self.waits.get(&(call.sender, call.upstream)).copied()
             && now > requested_at + crossing
             && now + Duration::from_millis(1) < until
         {
@@ -81,35 +81,35 @@
                 format!("the wait ends at {}", format_ms(until)),
                 format!("{}: a call came from it to endpoint {}", format_ms(now), call.endpoint.0),
             ];
-            state.record_breach(Rule::Waits, call.packets.first().copied(), events);
+            state.record_violation(Rule::Waits, call.packets.first().copied(), events);
         }
-        let recent = self.recent_calls.entry(call.gate).or_default();
+        let recent = self.recent_calls.entry(call.upstream).or_default();
         while recent.front().is_some_and(|(at, _)| *at + state.rules.fall < now) {
             recent.pop_front();
         }
         recent.push_back((now, call.sender));
     }
 
-    pub fn call_completed(&mut self, state: &RunState, call: &ObservedCall, result: Heard) {
-        if result != Heard::Done {
-            self.call_failed(call.sender, call.gate);
+    pub fn call_completed(&mut self, state: &RunState, call: &ObservedCall, result: CallResult) {
+        if result != CallResult::Done {
+            self.call_failed(call.sender, call.upstream);
         }
-        if let Heard::Full(Some(wait)) = result {
+        if let CallResult::Rejected(Some(wait)) = result {
             let until = state.now + wait;
             let is_longest =
-                self.waits.get(&(call.sender, call.gate)).is_none_or(|(_, other)| *other < until);
+                self.waits.get(&(call.sender, call.upstream)).is_none_or(|(_, other)| *other < until);
             if is_longest {
-                self.waits.insert((call.sender, call.gate), (state.now, until));
+                self.waits.insert((call.sender, call.upstream), (state.now, until));
             }
         }
     }
 
-    /// The capacity behind a gate collapsed under load. This breaks rule 4 if most of the recent calls came
-    /// from senders that knew of the outage.
-    pub fn gate_collapsed(&mut self, state: &mut RunState, gate: GateId) {
+    /// The capacity behind an upstream collapsed under load. This breaks rule 4 if most of the recent calls
+    /// came from senders that knew of the outage.
+    pub fn upstream_collapsed(&mut self, state: &mut RunState, upstream: UpstreamId) {
         let no_senders = BTreeSet::new();
-        let informed = self.informed_senders.get(&gate).unwrap_or(&no_senders);
-        let recent = self.recent_calls.get(&gate).into_iter().flatten();
+        let informed = self.informed_senders.get(&upstream).unwrap_or(&no_senders);
+        let recent = self.recent_calls.get(&upstream).into_iter().flatten();
         let calls: Vec<(Duration, SenderId)> = recent.copied().collect();
         let from_informed = calls.iter().filter(|(_, sender)| informed.contains(sender)).count();
         if calls.is_empty() || (from_informed as f64) < MIN_INFORMED_SHARE * calls.len() as f64 {
@@ -118,8 +118,8 @@
         let events = vec![
             format!("an outage was seen by {} senders", informed.len()),
             format!("{} of {} calls within the span came from them", from_informed, calls.len()),
-            format!("{}: what the endpoints share (gate {}) fell over", format_ms(state.now), gate.0),
+            format!("{}: what the endpoints share (gate {}) fell over", format_ms(state.now), upstream.0),
         ];
-        state.record_breach(Rule::Return, None, events);
+        state.record_violation(Rule::Return, None, events);
     }
 }
--- a/crates/sailcart-lab/src/watcher/exactly_once.rs
+++ b/crates/sailcart-lab/src/watcher/exactly_once.rs
@@ -6,7 +6,7 @@
 
 use sailcart::PacketId;
 
-use super::{CallId, End, ObservedCall, Rule, RunState, format_ms};
+use super::{CallId, CompletionKind, ObservedCall, Rule, RunState, format_ms};
 use crate::experiment::Repeat;
 use crate::plan::{PlannedPacketId, SenderId};
 
@@ -35,20 +35,20 @@
         let Some(tracked) = state.packets.get_mut(&packet) else { return };
         tracked.accepted_at.get_or_insert(now);
         if tracked.completion.is_none() {
-            self.incomplete.insert((tracked.submission.ends + slack, packet));
+            self.incomplete.insert((tracked.submission.deadline + slack, packet));
         }
     }
 
     pub fn packet_abandoned(&mut self, state: &mut RunState, packet: PacketId) {
         let Some(tracked) = state.packets.get_mut(&packet) else { return };
         tracked.abandoned = true;
-        self.incomplete.remove(&(tracked.submission.ends + state.rules.slack, packet));
+        self.incomplete.remove(&(tracked.submission.deadline + state.rules.slack, packet));
         if self.last_effects.get(&tracked.submission.planned_packet).is_some_and(|(_, by)| *by == packet) {
             self.last_effects.remove(&tracked.submission.planned_packet);
         }
     }
 
-    pub fn packet_completed(&mut self, state: &mut RunState, packet: PacketId, completion: End) {
+    pub fn packet_completed(&mut self, state: &mut RunState, packet: PacketId, completion: CompletionKind) {
         let (now, crossing) = (state.now, state.rules.crossing);
         let Some(tracked) = state.packets.get_mut(&packet) else { return };
         let submission = tracked.submission;
@@ -59,28 +59,29 @@
             None => {
                 let unrecorded = state.down_senders.contains(&submission.sender)
                     || self.failing_folders.contains(&submission.sender);
-                if completion == End::Done && unrecorded {
+                if completion == CompletionKind::Done && unrecorded {
                     self.unread_deliveries.insert(packet);
-                } else if completion == End::Done {
+                } else if completion == CompletionKind::Done {
                     self.recent_deliveries.push_back((now, packet));
                 }
                 tracked.completion = Some((now, completion));
-                self.incomplete.remove(&(submission.ends + state.rules.slack, packet));
+                self.incomplete.remove(&(submission.deadline + state.rules.slack, packet));
             }
             // Allowed: the same completion reported again, and one that was on its way when the delivery was
             // reported.
             Some((_, previous)) if previous == completion => {}
-            Some((at, End::Done)) if now <= at + crossing || self.unread_deliveries.contains(&packet) => {}
+            Some((at, CompletionKind::Done))
+                if now <= at + crossing || self.unread_deliveries.contains(&packet) => {}
             Some((at, previous)) => {
                 let events = vec![
                     format!("handed in to sender {}", submission.sender.0),
                     format!("{}: ended as {previous:?}", format_ms(at)),
                     format!("{}: ended as {completion:?}", format_ms(now)),
                 ];
-                state.record_breach(Rule::OneEnd, Some(packet), events);
+                state.record_violation(Rule::OneEnd, Some(packet), events);
             }
         }
-        if completion == End::Dismissed
+        if completion == CompletionKind::Dismissed
             && !repeated
             && submission.repeat == Repeat::Unrepeatable
             && let Some((at, earlier_packet)) = self.last_effects.get(&submission.planned_packet).copied()
@@ -90,7 +91,7 @@
                 format!("{}: took effect, as packet {}", format_ms(at), earlier_packet.0),
                 format!("{}: dismissed, which says that again is harmless", format_ms(now)),
             ];
-            state.record_breach(Rule::NoDouble, Some(packet), events);
+            state.record_violation(Rule::NoDouble, Some(packet), events);
         }
     }
 
@@ -100,15 +101,16 @@
             let Some(tracked) = state.packets.get_mut(packet) else { continue };
             let (completion, previous_call) = (tracked.completion, tracked.current_call.replace(id));
             tracked.last_call_at = Some(now);
-            let is_late =
-                |(at, _): &(Duration, End)| now > *at + crossing && !self.unread_deliveries.contains(packet);
+            let is_late = |(at, _): &(Duration, CompletionKind)| {
+                now > *at + crossing && !self.unread_deliveries.contains(packet)
+            };
             if let Some((at, completion)) = completion.filter(is_late) {
                 let events = vec![
                     format!("handed in to sender {}", tracked.submission.sender.0),
                     format!("{}: ended as {completion:?}", format_ms(at)),
                     format!("{}: a call with it came to endpoint {}", format_ms(now), call.endpoint.0),
                 ];
-                state.record_breach(Rule::OneEnd, Some(*packet), events);
+                state.record_violation(Rule::OneEnd, Some(*packet), events);
             }
             let earlier_call = previous_call.and_then(|call| state.calls.get(&call)).cloned();
             if let Some(earlier_call) = earlier_call {
@@ -121,7 +123,7 @@
                     format!("{}: another came to endpoint {}", format_ms(now), call.endpoint.0),
                     "the first was still out".to_owned(),
                 ];
-                state.record_breach(Rule::NoDouble, Some(*packet), events);
+                state.record_violation(Rule::NoDouble, Some(*packet), events);
             }
         }
     }
@@ -150,7 +152,7 @@
                 format!("handed in to sender {}, as packet {}", submission.sender.0, packet.0),
                 format!("{}: took effect again at endpoint {}", format_ms(state.now), call.endpoint.0),
             ];
-            state.record_breach(Rule::NoDouble, Some(*packet), events);
+            state.record_violation(Rule::NoDouble, Some(*packet), events);
         }
     }
 
@@ -226,9 +228,9 @@
             tracked
                 .last_call_at
                 .map_or("no call with it came".to_owned(), |at| format!("{}: last call", format_ms(at))),
-            format!("{}: its time was up, and no end was told", format_ms(tracked.submission.ends)),
+            format!("{}: its time was up, and no end was told", format_ms(tracked.submission.deadline)),
         ];
-        state.record_breach(Rule::OneEnd, Some(packet), events);
+        state.record_violation(Rule::OneEnd, Some(packet), events);
     }
 
     /// Reports all accepted packets that were never completed.
--- a/crates/sailcart-lab/src/watcher/key_order.rs
+++ b/crates/sailcart-lab/src/watcher/key_order.rs
@@ -6,7 +6,7 @@
 
 use sailcart::{KeyId, PacketId};
 
-use super::{Handed, Heard, ObservedCall, Rule, RunState, format_ms};
+use super::{CallResult, ObservedCall, Rule, RunState, SubmittedPacket, format_ms};
 use crate::plan::SenderId;
 
 #[derive(Default)]
@@ -26,7 +26,7 @@
 }
 
 impl KeyOrderCheck {
-    pub fn packet_submitted(&mut self, state: &RunState, submission: &Handed) {
+    pub fn packet_submitted(&mut self, state: &RunState, submission: &SubmittedPacket) {
         let Some(key) = submission.key.filter(|_| submission.in_order) else { return };
         let queue = self.queues.entry((submission.sender, key)).or_default();
         queue.packets.retain(|id| {
@@ -66,7 +66,7 @@
                     "it has no end yet".to_owned(),
                     format!("{}: a call with packet {} came", format_ms(state.now), packet.0),
                 ];
-                state.record_breach(Rule::Order, Some(*packet), events);
+                state.record_violation(Rule::Order, Some(*packet), events);
             } else if queue.possibly_executing.is_some_and(|other| other != *packet)
                 && queue.blocked_until > state.now
             {
@@ -78,13 +78,13 @@
                     format!("the key rests until {}", format_ms(queue.blocked_until)),
                     format!("{}: a call with packet {} came", format_ms(state.now), packet.0),
                 ];
-                state.record_breach(Rule::Order, Some(*packet), events);
+                state.record_violation(Rule::Order, Some(*packet), events);
             }
         }
     }
 
-    pub fn call_completed(&mut self, state: &RunState, call: &ObservedCall, result: Heard) {
-        if result != Heard::Unsure {
+    pub fn call_completed(&mut self, state: &RunState, call: &ObservedCall, result: CallResult) {
+        if result != CallResult::PossiblyExecuted {
             return;
         }
         for packet in &call.packets {
--- a/crates/sailcart-lab/src/watcher/mod.rs
+++ b/crates/sailcart-lab/src/watcher/mod.rs
@@ -20,9 +20,9 @@
 pub struct CallId(pub u64);
 
 /// Identifies a limit and capacity that one or several endpoints share. Requested waits, outages and overload
-/// apply per gate.
+/// apply per upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct GateId(pub usize);
+pub struct UpstreamId(pub usize);
 
 /// A rule that senders must follow; [`Rule::description`] states the requirement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -62,7 +62,7 @@
 
 /// How a packet was completed, as reported to its client or to the receiver of notices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum CompletionKind {
     /// Delivered: it was executed, and its sender knows.
     Done,
     /// Rejected: its client may submit it again.
@@ -73,7 +73,7 @@
 
 /// One submission of a packet to a sender.
 #[derive(Clone, Copy, Debug)]
-pub struct Handed {
+pub struct SubmittedPacket {
     pub packet: PacketId,
     pub planned_packet: PlannedPacketId,
     pub sender: SenderId,
@@ -82,15 +82,15 @@
     pub in_order: bool,
     pub key: Option<KeyId>,
     /// The time at which the client stops waiting, on the clock of the run.
-    pub ends: Duration,
+    pub deadline: Duration,
 }
 
-impl Handed {
+impl SubmittedPacket {
     /// The submission of a planned packet to a sender.
     pub fn new(plan: &Plan, packet: PacketId, planned_packet: PlannedPacketId, sender: SenderId) -> Self {
         let planned = &plan.planned_packets[planned_packet.0];
         let category = plan.category(planned.category);
-        Handed {
+        SubmittedPacket {
             packet,
             planned_packet,
             sender,
@@ -98,64 +98,70 @@
             repeat: category.repeat,
             in_order: category.in_order,
             key: planned.key,
-            ends: planned.at + category.patience,
+            deadline: planned.at + category.patience,
         }
     }
 }
 
 /// An event that can be observed from outside the senders.
 #[derive(Clone, Debug)]
-pub enum Seen {
+pub enum Observation {
     /// A client submitted a packet.
-    Handed(Handed),
+    Submitted(SubmittedPacket),
     /// The client received the reply that the packet is accepted.
-    Taken(PacketId),
+    Accepted(PacketId),
     /// The client or the receiver of notices learned how the packet was completed.
-    Ended(PacketId, End),
+    Completed(PacketId, CompletionKind),
     /// The client got no reply and abandoned the submission: no completion is due, and its effects are not
     /// checked.
     Abandoned(PacketId),
     /// A receiver read the last byte of a call.
-    Came { call: CallId, sender: SenderId, endpoint: EndpointId, gate: GateId, packets: Vec<PacketId> },
+    CallReceived {
+        call: CallId,
+        sender: SenderId,
+        endpoint: EndpointId,
+        upstream: UpstreamId,
+        packets: Vec<PacketId>,
+    },
     /// For each packet of a call, whether it took effect.
-    Ran(CallId, Vec<bool>),
+    Executed(CallId, Vec<bool>),
     /// A call was answered, or its connection closed: it is no longer in flight. Carries what its sender
     /// learned.
-    Over { call: CallId, heard: Heard },
+    CallCompleted { call: CallId, result: CallResult },
     /// A sender could not establish a connection.
-    NoConnection { sender: SenderId, gate: GateId },
+    ConnectionFailed { sender: SenderId, upstream: UpstreamId },
     /// Discovery reported to a sender that an endpoint drains or is gone.
-    ToldOff(SenderId, EndpointId),
+    EndpointDraining(SenderId, EndpointId),
     /// Discovery listed the endpoint as ready to a sender.
-    ToldOn(SenderId, EndpointId),
+    EndpointReady(SenderId, EndpointId),
     /// An outage began.
-    OutageFrom(GateId),
+    OutageStarted(UpstreamId),
     /// A cold destination collapsed under the calls that arrived within the period [`Rules::fall`].
-    Fell(GateId),
-    /// A sender crashed or was stopped. None of its completions is overdue until [`Seen::SenderUp`].
+    Collapsed(UpstreamId),
+    /// A sender crashed or was stopped. None of its completions is overdue until [`Observation::SenderUp`].
     SenderDown(SenderId),
     /// A sender is ready again.
     SenderUp(SenderId),
     /// Writes to a sender's state folder began to fail, or succeed again.
-    Folder { sender: SenderId, fails: bool },
+    StateFolder { sender: SenderId, fails: bool },
 }
 
 /// What a sender learned about a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Heard {
+pub enum CallResult {
     /// Executed and acknowledged.
     Done,
     /// Rejected, with the Retry-After wait if the answer has one. It was not executed.
-    Full(Option<Duration>),
+    Rejected(Option<Duration>),
     /// Anything else: it may have executed, or may still execute.
-    Unsure,
+    PossiblyExecuted,
     /// The receiver answered with an error; it no longer works on the call.
     Error,
 }
 
 /// A violation of a rule, with the events that prove it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Breach {
+pub struct Violation {
     pub rule: Rule,
     /// The packet concerned; `None` if the violation concerns no single packet.
     pub packet: Option<u64>,
@@ -164,21 +170,21 @@
     pub events: Vec<String>,
 }
 
-/// The state that all checks share: submitted packets, calls in flight, senders that are down, breaches.
+/// The state that all checks share: submitted packets, calls in flight, senders that are down, violations.
 pub(crate) struct RunState {
     pub rules: Rules,
     pub now: Duration,
     pub packets: HashMap<PacketId, TrackedPacket>,
     pub calls: HashMap<CallId, ObservedCall>,
     pub down_senders: BTreeSet<SenderId>,
-    pub breaches: Vec<Breach>,
-    pub breach_counts: BTreeMap<Rule, u64>,
+    pub violations: Vec<Violation>,
+    pub violation_counts: BTreeMap<Rule, u64>,
 }
 
 pub(crate) struct TrackedPacket {
-    pub submission: Handed,
+    pub submission: SubmittedPacket,
     pub accepted_at: Option<Duration>,
-    pub completion: Option<(Duration, End)>,
+    pub completion: Option<(Duration, CompletionKind)>,
     pub current_call: Option<CallId>,
     pub last_call_at: Option<Duration>,
     pub abandoned: bool,
@@ -186,7 +192,7 @@
 
 impl TrackedPacket {
     /// A packet that was just submitted.
-    fn new(submission: Handed) -> Self {
+    fn new(submission: SubmittedPacket) -> Self {
         TrackedPacket {
             submission,
             accepted_at: None,
@@ -203,20 +209,20 @@
     pub received_at: Duration,
     pub sender: SenderId,
     pub endpoint: EndpointId,
-    pub gate: GateId,
+    pub upstream: UpstreamId,
     pub packets: Vec<PacketId>,
 }
 
-/// Breaches of one rule that are reported with their events; further ones are only counted.
-const MAX_REPORTED_BREACHES_PER_RULE: u64 = 20;
+/// Violations of one rule that are reported with their events; further ones are only counted.
+const MAX_REPORTED_VIOLATIONS_PER_RULE: u64 = 20;
 
 impl RunState {
-    pub fn record_breach(&mut self, rule: Rule, packet: Option<PacketId>, events: Vec<String>) {
-        let count = self.breach_counts.entry(rule).or_default();
+    pub fn record_violation(&mut self, rule: Rule, packet: Option<PacketId>, events: Vec<String>) {
+        let count = self.violation_counts.entry(rule).or_default();
         *count += 1;
-        if *count <= MAX_REPORTED_BREACHES_PER_RULE {
+        if *count <= MAX_REPORTED_VIOLATIONS_PER_RULE {
             let at_ms = self.now.as_micros() as f64 / 1000.0;
-            self.breaches.push(Breach { rule, packet: packet.map(|id| id.0), at_ms, events });
+            self.violations.push(Violation { rule, packet: packet.map(|id| id.0), at_ms, events });
         }
     }
 }
@@ -242,8 +248,8 @@
             packets: HashMap::new(),
             calls: HashMap::new(),
             down_senders: BTreeSet::new(),
-            breaches: Vec::new(),
-            breach_counts: BTreeMap::new(),
+            violations: Vec::new(),
+            violation_counts: BTreeMap::new(),
         };
         Watcher {
             state,
@@ -254,44 +260,52 @@
     }
 
     /// Processes one event. Events must come in chronological order.
-    pub fn see(&mut self, now: Duration, observation: &Seen) {
+    pub fn observe(&mut self, now: Duration, observation: &Observation) {
         let state = &mut self.state;
         state.now = now.max(state.now);
         self.exactly_once.check_deadlines(state);
         match observation {
-            Seen::Handed(submission) => {
+            Observation::Submitted(submission) => {
                 state.packets.insert(submission.packet, TrackedPacket::new(*submission));
                 self.key_order.packet_submitted(state, submission);
             }
-            Seen::Taken(packet) => self.exactly_once.packet_accepted(state, *packet),
-            Seen::Ended(packet, completion) => {
+            Observation::Accepted(packet) => self.exactly_once.packet_accepted(state, *packet),
+            Observation::Completed(packet, completion) => {
                 self.exactly_once.packet_completed(state, *packet, *completion);
                 self.key_order.packet_completed(*packet);
             }
-            Seen::Abandoned(packet) => {
+            Observation::Abandoned(packet) => {
                 self.exactly_once.packet_abandoned(state, *packet);
                 self.key_order.packet_completed(*packet);
             }
-            Seen::Came { call, sender, endpoint, gate, packets } => {
-                let (sender, endpoint, gate) = (*sender, *endpoint, *gate);
+            Observation::CallReceived { call, sender, endpoint, upstream, packets } => {
+                let (sender, endpoint, upstream) = (*sender, *endpoint, *upstream);
                 self.call_received(
                     *call,
-                    ObservedCall { received_at: now, sender, endpoint, gate, packets: packets.clone() },
+                    ObservedCall { received_at: now, sender, endpoint, upstream, packets: packets.clone() },
                 );
             }
-            Seen::Ran(call, effects) => self.exactly_once.packets_executed(state, *call, effects),
-            Seen::Over { call, heard } => self.call_completed(*call, *heard),
-            Seen::NoConnection { sender, gate } => self.backpressure.call_failed(*sender, *gate),
-            Seen::ToldOff(sender, endpoint) => self.backpressure.endpoint_draining(state, *sender, *endpoint),
-            Seen::ToldOn(sender, endpoint) => self.backpressure.endpoint_ready(*sender, *endpoint),
-            Seen::OutageFrom(gate) => self.backpressure.outage_started(*gate),
-            Seen::Fell(gate) => self.backpressure.gate_collapsed(state, *gate),
-            Seen::SenderDown(sender) => self.sender_down(*sender),
-            Seen::SenderUp(sender) => {
+            Observation::Executed(call, effects) => self.exactly_once.packets_executed(state, *call, effects),
+            Observation::CallCompleted { call, result } => self.call_completed(*call, *result),
+            Observation::ConnectionFailed { sender, upstream } => {
+                self.backpressure.call_failed(*sender, *upstream)
+            }
+            Observation::EndpointDraining(sender, endpoint) => {
+                self.backpressure.endpoint_draining(state, *sender, *endpoint)
+            }
+            Observation::EndpointReady(sender, endpoint) => {
+                self.backpressure.endpoint_ready(*sender, *endpoint)
+            }
+            Observation::OutageStarted(upstream) => self.backpressure.outage_started(*upstream),
+            Observation::Collapsed(upstream) => self.backpressure.upstream_collapsed(state, *upstream),
+            Observation::SenderDown(sender) => self.sender_down(*sender),
+            Observation::SenderUp(sender) => {
                 state.down_senders.remove(sender);
                 self.exactly_once.sender_ready(state, *sender);
             }
-            Seen::Folder { sender, fails } => self.exactly_once.state_folder_changed(state, *sender, *fails),
+            Observation::StateFolder { sender, fails } => {
+                self.exactly_once.state_folder_changed(state, *sender, *fails)
+            }
         }
     }
 
@@ -302,7 +316,7 @@
         self.state.calls.insert(id, call);
     }
 
-    fn call_completed(&mut self, id: CallId, result: Heard) {
+    fn call_completed(&mut self, id: CallId, result: CallResult) {
         let Some(call) = self.state.calls.remove(&id) else { return };
         self.exactly_once.call_completed(&mut self.state, id, &call);
         self.key_order.call_completed(&self.state, &call, result);
@@ -323,13 +337,13 @@
         self.exactly_once.finish(&mut self.state);
     }
 
-    /// The first breaches of each rule, in chronological order.
-    pub fn breaches(&self) -> &[Breach] {
-        &self.state.breaches
+    /// The first violations of each rule, in chronological order.
+    pub fn violations(&self) -> &[Violation] {
+        &self.state.violations
     }
 
-    /// How often a rule was broken, breaches that are not reported included.
+    /// How often a rule was broken, violations that are not reported included.
     pub fn count(&self, rule: Rule) -> u64 {
-        self.state.breach_counts.get(&rule).copied().unwrap_or(0)
+        self.state.violation_counts.get(&rule).copied().unwrap_or(0)
     }
 }
--- a/crates/sailcart-lab/tests/common/mod.rs
+++ b/crates/sailcart-lab/tests/common/mod.rs
@@ -77,5 +77,5 @@
 
 /// The rules that were violated in a run.
 pub fn violated_rules(outcome: &Outcome) -> Vec<Rule> {
-    outcome.rules.iter().filter(|line| line.broken > 0).map(|line| line.rule).collect()
+    outcome.rules.iter().filter(|line| line.violations > 0).map(|line| line.rule).collect()
 }
--- a/crates/sailcart-lab/tests/edge_cases.rs
+++ b/crates/sailcart-lab/tests/edge_cases.rs
@@ -10,7 +10,9 @@
 use sailcart_lab::plan::{PlannedPacketId, SenderId};
 use sailcart_lab::policies::PolicyName;
 use sailcart_lab::receivers::{Answer, Connect, Piece, PieceAnswer, Receivers, TroubleSchedule};
-use sailcart_lab::watcher::{CallId, End, GateId, Handed, Heard, Rule, Seen, Watcher};
+use sailcart_lab::watcher::{
+    CallId, CallResult, CompletionKind, Observation, Rule, SubmittedPacket, UpstreamId, Watcher,
+};
 
 const ENDPOINT: EndpointId = EndpointId(0);
 
@@ -26,8 +28,8 @@
     }
 }
 
-fn submitted(packet: u64, planned_packet: usize) -> Seen {
-    Seen::Handed(Handed {
+fn submitted(packet: u64, planned_packet: usize) -> Observation {
+    Observation::Submitted(SubmittedPacket {
         packet: PacketId(packet),
         planned_packet: PlannedPacketId(planned_packet),
         sender: SenderId(0),
@@ -35,18 +37,24 @@
         repeat: Repeat::Unrepeatable,
         in_order: false,
         key: None,
-        ends: seconds(20.0),
+        deadline: seconds(20.0),
     })
 }
 
-fn call_received(call: u64, packets: &[u64]) -> Seen {
+fn call_received(call: u64, packets: &[u64]) -> Observation {
     let packets = packets.iter().map(|id| PacketId(*id)).collect();
-    Seen::Came { call: CallId(call), sender: SenderId(0), endpoint: ENDPOINT, gate: GateId(0), packets }
+    Observation::CallReceived {
+        call: CallId(call),
+        sender: SenderId(0),
+        endpoint: ENDPOINT,
+        upstream: UpstreamId(0),
+        packets,
+    }
 }
 
-fn watch(events: &[(f64, Seen)]) -> Watcher {
+fn watch(events: &[(f64, Observation)]) -> Watcher {
     let mut watcher = Watcher::new(&Rules::default());
-    events.iter().for_each(|(at, event)| watcher.see(seconds(*at), event));
+    events.iter().for_each(|(at, event)| watcher.observe(seconds(*at), event));
     watcher
 }
 
@@ -122,13 +130,13 @@
         assert_eq!(*piece == PieceAnswer::Deferred, !executed, "a deferred packet was not executed");
     }
     assert!(answers.contains(&PieceAnswer::Deferred));
-    let heard = Heard::Full(wait);
-    assert_eq!(heard, Heard::Full(Some(seconds(0.5))));
+    let result = CallResult::Rejected(wait);
+    assert_eq!(result, CallResult::Rejected(Some(seconds(0.5))));
     let second_call_at = |at| {
         watch(&[
             (2.0, submitted(1, 1)),
             (2.0, call_received(1, &[1])),
-            (2.1, Seen::Over { call: CallId(1), heard }),
+            (2.1, Observation::CallCompleted { call: CallId(1), result }),
             (at, call_received(2, &[1])),
         ])
     };
@@ -140,31 +148,38 @@
 
 #[test]
 fn a_second_call_for_a_packet_in_flight_is_a_double_execution() {
-    let violations = |events_between: &[(f64, Seen)]| {
+    let violations = |events_between: &[(f64, Observation)]| {
         let mut events = vec![(1.0, submitted(1, 1)), (1.0, call_received(1, &[1]))];
         events.extend_from_slice(events_between);
         events.push((1.2, call_received(2, &[1])));
         watch(&events).count(Rule::NoDouble)
     };
     assert_eq!(violations(&[]), 1);
-    assert_eq!(violations(&[(1.1, Seen::Over { call: CallId(1), heard: Heard::Unsure })]), 0);
+    assert_eq!(
+        violations(&[(
+            1.1,
+            Observation::CallCompleted { call: CallId(1), result: CallResult::PossiblyExecuted }
+        )]),
+        0
+    );
 }
 
 #[test]
 fn executions_that_the_client_abandoned_unanswered_are_not_counted() {
-    let executed = |call, executed_first: bool| (1.1, Seen::Ran(CallId(call), vec![executed_first]));
-    let violations_with = |abandoned: &[(f64, Seen)]| {
+    let executed =
+        |call, executed_first: bool| (1.1, Observation::Executed(CallId(call), vec![executed_first]));
+    let violations_with = |abandoned: &[(f64, Observation)]| {
         let mut events = vec![(1.0, submitted(1, 7)), (1.0, call_received(1, &[1])), executed(1, true)];
         events.extend_from_slice(abandoned);
         events.extend([
             (1.5, submitted(2, 7)),
             (1.5, call_received(2, &[2])),
-            (1.6, Seen::Ran(CallId(2), vec![true])),
+            (1.6, Observation::Executed(CallId(2), vec![true])),
         ]);
         watch(&events).count(Rule::NoDouble)
     };
     assert_eq!(violations_with(&[]), 1);
-    assert_eq!(violations_with(&[(1.4, Seen::Abandoned(PacketId(1)))]), 0);
+    assert_eq!(violations_with(&[(1.4, Observation::Abandoned(PacketId(1)))]), 0);
 }
 
 #[test]
@@ -172,8 +187,8 @@
     let violations_if_scrapped_at = |time_s| {
         let mut watcher = watch(&[
             (1.0, submitted(1, 1)),
-            (1.0, Seen::Taken(PacketId(1))),
-            (time_s, Seen::Ended(PacketId(1), End::Scrapped)),
+            (1.0, Observation::Accepted(PacketId(1))),
+            (time_s, Observation::Completed(PacketId(1), CompletionKind::Scrapped)),
         ]);
         watcher.finish(seconds(60.0));
         watcher.count(Rule::OneEnd)
--- a/crates/sailcart-lab/tests/rule_violations.rs
+++ b/crates/sailcart-lab/tests/rule_violations.rs
@@ -122,7 +122,7 @@
     );
     let outcome = run_with_policy(plan, new_faulty_policy);
     assert_eq!(violated_rules(&outcome), vec![rule]);
-    let violation = &outcome.breaches[0];
+    let violation = &outcome.violations[0];
     assert_eq!((violation.rule, violation.events.len()), (rule, 3), "{violation:?}");
     assert!(
         rule == Rule::Return || violation.packet.is_some(),
@@ -161,7 +161,7 @@
     };
     let outcome = run_with_policy(&plan, &new_faulty_policy);
     assert!(violated_rules(&outcome).contains(&Rule::OneEnd), "{:?}", outcome.rules);
-    assert!(outcome.breaches.iter().any(|violation| violation.events[1].contains("ended as")));
+    assert!(outcome.violations.iter().any(|violation| violation.events[1].contains("ended as")));
 }
 
 #[test]
--- a/crates/sailcart-lab/tests/soak.rs
+++ b/crates/sailcart-lab/tests/soak.rs
@@ -14,7 +14,9 @@
 use sailcart_lab::soak::proxy::{Manner, Proxy};
 use sailcart_lab::soak::schedule::{Planned, all_pairs, pairs, row};
 use sailcart_lab::soak::{experiment, machine};
-use sailcart_lab::watcher::{CallId, End, GateId, Handed, Rule, Seen, Watcher};
+use sailcart_lab::watcher::{
+    CallId, CompletionKind, Observation, Rule, SubmittedPacket, UpstreamId, Watcher,
+};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::task::LocalSet;
@@ -120,24 +122,25 @@
     let planned_packet = PlannedPacketId(unrepeatable.expect("an unrepeatable packet"));
     for first_is_early in [true, false] {
         let mut watcher = Watcher::new(&soak_experiment.rules);
-        let submitted =
-            |packet| Seen::Handed(Handed::new(&plan, PacketId(packet), planned_packet, SenderId(0)));
-        let call = Seen::Came {
+        let submitted = |packet| {
+            Observation::Submitted(SubmittedPacket::new(&plan, PacketId(packet), planned_packet, SenderId(0)))
+        };
+        let call = Observation::CallReceived {
             call: CallId(1),
             sender: SenderId(0),
             endpoint: EndpointId(0),
-            gate: GateId(0),
+            upstream: UpstreamId(0),
             packets: vec![PacketId(1)],
         };
-        watcher.see(ms(1), &submitted(0));
-        watcher.see(ms(2), &Seen::Taken(PacketId(0)));
+        watcher.observe(ms(1), &submitted(0));
+        watcher.observe(ms(2), &Observation::Accepted(PacketId(0)));
         if first_is_early {
-            watcher.see(ms(3), &Seen::Ended(PacketId(0), End::Dismissed));
+            watcher.observe(ms(3), &Observation::Completed(PacketId(0), CompletionKind::Dismissed));
         }
-        watcher.see(ms(4), &submitted(1));
-        watcher.see(ms(5), &call);
-        watcher.see(ms(5), &Seen::Ran(CallId(1), vec![true]));
-        watcher.see(ms(6), &Seen::Ended(PacketId(0), End::Dismissed));
+        watcher.observe(ms(4), &submitted(1));
+        watcher.observe(ms(5), &call);
+        watcher.observe(ms(5), &Observation::Executed(CallId(1), vec![true]));
+        watcher.observe(ms(6), &Observation::Completed(PacketId(0), CompletionKind::Dismissed));
         assert_eq!(watcher.count(Rule::NoDouble), u64::from(!first_is_early));
     }
 }
