--- a/crates/sailcart-lab/src/experiment/check.rs
+++ b/crates/sailcart-lab/src/experiment/check.rs
@@ -43,7 +43,7 @@
     }
     start_times(experiment)?;
     for bound in &experiment.bounds {
-        bounds::Bound::read(bound).map_err(|error| LabError(format!("bounds: {error}")))?;
+        bounds::Bound::parse(bound).map_err(|error| LabError(format!("bounds: {error}")))?;
     }
     Ok(())
 }
--- a/crates/sailcart-lab/src/main.rs
+++ b/crates/sailcart-lab/src/main.rs
@@ -160,7 +160,7 @@
             Ok(all_held)
         }
         Command::Compare { a, b, runs } => {
-            let read_results = |folder: &Path| compare::gather(folder).map_err(|e| format!("{e}"));
+            let read_results = |folder: &Path| compare::read_outcomes(folder).map_err(|e| format!("{e}"));
             let (mut a, mut b) = (read_results(&a)?, read_results(&b)?);
             a.truncate(runs.unwrap_or(usize::MAX));
             b.truncate(runs.unwrap_or(usize::MAX));
@@ -168,7 +168,7 @@
             if differences.is_empty() {
                 return Err("the folders have no results of the same experiment and seed".to_owned());
             }
-            print!("{}", compare::table(&differences));
+            print!("{}", compare::format_table(&differences));
             Ok(true)
         }
         Command::Report { folder } => {
@@ -234,7 +234,7 @@
         );
     }
     println!("{}", folder.join("report.html").display());
-    Ok(outcome.rules_kept() && outcome.bounds_kept())
+    Ok(outcome.all_rules_kept() && outcome.all_bounds_met())
 }
 
 fn load_summary(outcome: &Outcome) -> String {
--- a/crates/sailcart-lab/src/results/assemble.rs
+++ b/crates/sailcart-lab/src/results/assemble.rs
@@ -8,7 +8,7 @@
 use super::bounds::Bound;
 use super::credit::Credit;
 use super::outcome::{BoundLine, Cost, Outcome, RuleLine, Series, TroubleLine, VERSION};
-use super::tally::{Count, Tally, microsecond_histogram};
+use super::tally::{Counter, Tally, microsecond_histogram};
 use crate::experiment::{Mode, Trouble};
 use crate::plan::Plan;
 use crate::policies::PolicyName;
@@ -17,7 +17,7 @@
 impl Tally {
     /// Builds the result of the run, with the violations that the watcher found and the resources its
     /// processes used.
-    pub fn outcome(
+    pub fn into_outcome(
         self,
         plan: &Plan,
         mode: Mode,
@@ -65,7 +65,7 @@
         let mut series = credit.series(plan);
         for (chart, values_by_series) in [
             ("dispatches a second", &self.dispatches_per_second),
-            ("refusals a second", &self.refusals_per_second),
+            ("refusals a second", &self.rejections_per_second),
             ("packets held", &self.packets_held),
             ("calls out", &self.calls_in_flight),
         ] {
@@ -88,7 +88,7 @@
     ) -> BTreeMap<String, f64> {
         let mut figures = BTreeMap::new();
         let mut insert = |name: &str, value: f64| figures.insert(name.to_owned(), round_to_millionths(value));
-        for (counter, name) in Count::ALL {
+        for (counter, name) in Counter::ALL {
             insert(name, self.counts.get(&counter).copied().unwrap_or(0) as f64);
         }
         insert("credit", credit.overall());
@@ -137,9 +137,9 @@
 /// Evaluates the bounds of an experiment against the figures. A bound that cannot be parsed is left out.
 fn bound_lines(bounds: &[String], figures: &BTreeMap<String, f64>) -> Vec<BoundLine> {
     let lines = bounds.iter().filter_map(|text| {
-        let bound = Bound::read(text).ok()?;
+        let bound = Bound::parse(text).ok()?;
         let value = figures.get(&bound.figure).copied().unwrap_or(0.0);
-        Some(BoundLine { bound: text.clone(), value, held: bound.holds(value) })
+        Some(BoundLine { bound: text.clone(), value, held: bound.is_satisfied_by(value) })
     });
     lines.collect()
 }
--- a/crates/sailcart-lab/src/results/bounds.rs
+++ b/crates/sailcart-lab/src/results/bounds.rs
@@ -22,7 +22,7 @@
     /// # Errors
     /// A message that quotes the text and says what was expected: the syntax, or the names of the known
     /// figures.
-    pub fn read(text: &str) -> Result<Bound, String> {
+    pub fn parse(text: &str) -> Result<Bound, String> {
         let mut parser = (figure_name, delimited(space0, operator, space0), float::<_, f64, _>);
         let parsed = parser.parse(text.trim()).map_err(|_| {
             format!("{text:?}: expected the name of a figure, one of <= >= < > = and a number")
@@ -36,7 +36,7 @@
     }
 
     /// Whether the value satisfies the bound.
-    pub fn holds(&self, value: f64) -> bool {
+    pub fn is_satisfied_by(&self, value: f64) -> bool {
         match self.operator {
             "<=" => value <= self.threshold,
             ">=" => value >= self.threshold,
--- a/crates/sailcart-lab/src/results/compare.rs
+++ b/crates/sailcart-lab/src/results/compare.rs
@@ -15,7 +15,7 @@
 ///
 /// # Errors
 /// [`io::ErrorKind::NotFound`] if there is no result, else as [`Outcome::read`] or from listing the folder.
-pub fn gather(folder: &Path) -> io::Result<Vec<Outcome>> {
+pub fn read_outcomes(folder: &Path) -> io::Result<Vec<Outcome>> {
     if folder.join("result.json").exists() {
         return Ok(vec![Outcome::read(folder)?]);
     }
@@ -94,7 +94,7 @@
 }
 
 /// Formats the differences as a plain-text table.
-pub fn table(differences: &[Difference]) -> String {
+pub fn format_table(differences: &[Difference]) -> String {
     let mut text = format!("{:24}{:>14}{:>14}{:>14}{:>12}\n", "figure", "A", "B", "B - A", "spread");
     for difference in differences {
         let spread = difference.standard_error.map_or("-".to_owned(), |spread| format!("{spread:.4}"));
--- a/crates/sailcart-lab/src/results/outcome.rs
+++ b/crates/sailcart-lab/src/results/outcome.rs
@@ -102,12 +102,12 @@
     }
 
     /// Whether no rule was broken.
-    pub fn rules_kept(&self) -> bool {
+    pub fn all_rules_kept(&self) -> bool {
         self.rules.iter().all(|line| line.violations == 0)
     }
 
-    /// Whether all bounds held.
-    pub fn bounds_kept(&self) -> bool {
+    /// Whether all bounds were met.
+    pub fn all_bounds_met(&self) -> bool {
         self.bounds.iter().all(|line| line.held)
     }
 
--- a/crates/sailcart-lab/src/results/tally.rs
+++ b/crates/sailcart-lab/src/results/tally.rs
@@ -13,9 +13,9 @@
 
 /// A counter of a run; its value is a figure of the result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Count {
+pub enum Counter {
     /// Packets submitted, resubmissions included.
-    HandedIn,
+    Submitted,
     /// Packets completed as dismissed.
     Dismissed,
     /// Packets completed as scrapped.
@@ -25,7 +25,7 @@
     /// Calls that reached a receiver.
     Calls,
     /// Calls that were rejected.
-    Full,
+    Rejected,
     /// Calls answered with an error, or whose connection broke.
     Errors,
     /// Calls abandoned without an answer.
@@ -37,36 +37,36 @@
     /// Sender processes that ended although nobody stopped them.
     Crashes,
     /// Calls with a packet that no client submitted.
-    Strays,
+    UnmatchedCalls,
     /// Clients with a malformed command that got no reply within three seconds.
-    Ignored,
+    UnansweredClients,
     /// Sender processes that were killed or stopped on purpose.
     Kills,
 }
 
-impl Count {
+impl Counter {
     /// All counters with the names of their figures.
-    pub(super) const ALL: [(Count, &'static str); 14] = [
-        (Count::HandedIn, "handed_in"),
-        (Count::Dismissed, "dismissed"),
-        (Count::Scrapped, "scrapped"),
-        (Count::Dispatches, "dispatches"),
-        (Count::Calls, "calls"),
-        (Count::Full, "full"),
-        (Count::Errors, "errors"),
-        (Count::Unanswered, "unanswered"),
-        (Count::NotConnected, "not_connected"),
-        (Count::Connections, "connections"),
-        (Count::Crashes, "crashes"),
-        (Count::Strays, "strays"),
-        (Count::Ignored, "ignored"),
-        (Count::Kills, "kills"),
+    pub(super) const ALL: [(Counter, &'static str); 14] = [
+        (Counter::Submitted, "handed_in"),
+        (Counter::Dismissed, "dismissed"),
+        (Counter::Scrapped, "scrapped"),
+        (Counter::Dispatches, "dispatches"),
+        (Counter::Calls, "calls"),
+        (Counter::Rejected, "full"),
+        (Counter::Errors, "errors"),
+        (Counter::Unanswered, "unanswered"),
+        (Counter::NotConnected, "not_connected"),
+        (Counter::Connections, "connections"),
+        (Counter::Crashes, "crashes"),
+        (Counter::UnmatchedCalls, "strays"),
+        (Counter::UnansweredClients, "ignored"),
+        (Counter::Kills, "kills"),
     ];
 }
 
-/// The counts of a run in progress; [`Tally::outcome`] turns them into its result.
+/// The counts of a run in progress; [`Tally::into_outcome`] turns them into its result.
 pub struct Tally {
-    pub(super) counts: BTreeMap<Count, u64>,
+    pub(super) counts: BTreeMap<Counter, u64>,
     /// For each planned packet, the time from its intended moment to its delivery.
     pub(super) delivery_delays: Vec<Option<Duration>>,
     /// The times that clients waited for their answers, in microseconds.
@@ -77,7 +77,7 @@
     pub(super) series_names: Vec<String>,
     /// Packets that reached a receiver, by series and second. The following three fields have the same form.
     pub(super) dispatches_per_second: Vec<Vec<f64>>,
-    pub(super) refusals_per_second: Vec<Vec<f64>>,
+    pub(super) rejections_per_second: Vec<Vec<f64>>,
     pub(super) packets_held: Vec<Vec<f64>>,
     pub(super) calls_in_flight: Vec<Vec<f64>>,
     held_now: Vec<f64>,
@@ -118,7 +118,7 @@
             answer_delays: microsecond_histogram(),
             series_of_destination,
             dispatches_per_second: no_values.clone(),
-            refusals_per_second: no_values.clone(),
+            rejections_per_second: no_values.clone(),
             packets_held: no_values.clone(),
             calls_in_flight: no_values,
             held_now: vec![0.0; series_names.len()],
@@ -129,7 +129,7 @@
     }
 
     /// Increments a counter.
-    pub fn count(&mut self, counter: Count) {
+    pub fn increment(&mut self, counter: Counter) {
         *self.counts.entry(counter).or_default() += 1;
     }
 
@@ -138,41 +138,41 @@
     }
 
     /// A client got the answer to its packet after this time.
-    pub fn answered(&mut self, delay: Duration) {
+    pub fn record_answer(&mut self, delay: Duration) {
         let _ = self.answer_delays.record(delay.as_micros().max(1) as u64);
     }
 
     /// A planned packet was executed, this long after its intended moment. The shortest time is retained.
-    pub fn delivered(&mut self, planned_packet: PlannedPacketId, delay: Duration) {
+    pub fn record_delivery(&mut self, planned_packet: PlannedPacketId, delay: Duration) {
         let shortest = &mut self.delivery_delays[planned_packet.0];
         *shortest = Some(shortest.map_or(delay, |previous| previous.min(delay)));
     }
 
     /// A sender holds one packet more for the destination, or one less.
-    pub fn holds(&mut self, destination: DestinationId, more: bool) {
+    pub fn adjust_held(&mut self, destination: DestinationId, more: bool) {
         self.held_now[self.series_of_destination[destination.0 as usize]] += if more { 1.0 } else { -1.0 };
     }
 
     /// One call more to the destination is in flight, or one less.
-    pub fn calls_out(&mut self, destination: DestinationId, more: bool) {
+    pub fn adjust_calls_in_flight(&mut self, destination: DestinationId, more: bool) {
         self.in_flight_now[self.series_of_destination[destination.0 as usize]] +=
             if more { 1.0 } else { -1.0 };
     }
 
     /// A call with this number of packets reached a receiver.
-    pub fn dispatched(&mut self, now: Duration, destination: DestinationId, packets: usize) {
-        *self.counts.entry(Count::Dispatches).or_default() += packets as u64;
-        self.count(Count::Calls);
+    pub fn record_dispatch(&mut self, now: Duration, destination: DestinationId, packets: usize) {
+        *self.counts.entry(Counter::Dispatches).or_default() += packets as u64;
+        self.increment(Counter::Calls);
         let second = self.second(now);
         self.dispatches_per_second[self.series_of_destination[destination.0 as usize]][second] +=
             packets as f64;
     }
 
     /// A call was rejected.
-    pub fn refused(&mut self, now: Duration, destination: DestinationId) {
-        self.count(Count::Full);
+    pub fn record_rejection(&mut self, now: Duration, destination: DestinationId) {
+        self.increment(Counter::Rejected);
         let second = self.second(now);
-        self.refusals_per_second[self.series_of_destination[destination.0 as usize]][second] += 1.0;
+        self.rejections_per_second[self.series_of_destination[destination.0 as usize]][second] += 1.0;
     }
 
     /// The main counts so far, in one line for a terminal.
@@ -180,12 +180,12 @@
         let value = |counter| self.counts.get(&counter).copied().unwrap_or(0);
         format!(
             "{} calls with {} packets, {} calls rejected, {} errors; notices: {} dismissed, {} scrapped",
-            value(Count::Calls),
-            value(Count::Dispatches),
-            value(Count::Full),
-            value(Count::Errors),
-            value(Count::Dismissed),
-            value(Count::Scrapped)
+            value(Counter::Calls),
+            value(Counter::Dispatches),
+            value(Counter::Rejected),
+            value(Counter::Errors),
+            value(Counter::Dismissed),
+            value(Counter::Scrapped)
         )
     }
 
--- a/crates/sailcart-lab/src/simulated/clients.rs
+++ b/crates/sailcart-lab/src/simulated/clients.rs
@@ -11,7 +11,7 @@
 use super::world::World;
 use crate::experiment::choose_by_key;
 use crate::plan::{PlannedPacketId, SenderId};
-use crate::results::tally::Count;
+use crate::results::tally::Counter;
 use crate::watcher::{CompletionKind, Observation, SubmittedPacket};
 
 /// Time after which a client without an answer submits its packet to another sender.
@@ -37,12 +37,12 @@
         let packet = PacketId(self.submissions.len() as u64);
         self.submissions.push(Submission::new(planned_packet, sender, resubmissions, self.now, deadline));
         self.observe(Observation::Submitted(SubmittedPacket::new(self.plan, packet, planned_packet, sender)));
-        self.tally.count(Count::HandedIn);
+        self.tally.increment(Counter::Submitted);
         if self.senders[sender.0].held.len() >= self.plan.settings.max_held {
             let retry_after = self.plan.settings.max_retry_after;
             return self.complete_packet(Completion { packet, kind: CompletionKind::Dismissed, retry_after });
         }
-        self.tally.holds(planned.destination, true);
+        self.tally.adjust_held(planned.destination, true);
         self.accept(sender, packet);
     }
 
@@ -64,7 +64,7 @@
         submission.answered = true;
         // The first submission is measured from its planned time, a resubmission from its own time.
         let measured_from = if submission.resubmissions == 0 { first } else { submission.submitted_at };
-        self.tally.answered(self.now.saturating_sub(measured_from));
+        self.tally.record_answer(self.now.saturating_sub(measured_from));
     }
 
     /// Completes a packet: notifies its client, which may resubmit after a dismissal.
@@ -78,8 +78,8 @@
         self.observe(Observation::Completed(packet, kind));
         match kind {
             CompletionKind::Done => {}
-            CompletionKind::Dismissed => self.tally.count(Count::Dismissed),
-            CompletionKind::Scrapped => self.tally.count(Count::Scrapped),
+            CompletionKind::Dismissed => self.tally.increment(Counter::Dismissed),
+            CompletionKind::Scrapped => self.tally.increment(Counter::Scrapped),
         }
         if !was_answered && kind != CompletionKind::Done {
             self.answer_client(packet);
@@ -93,7 +93,7 @@
     pub fn release(&mut self, packet: PacketId) {
         let sender = self.submission(packet).sender;
         if self.senders[sender.0].held.remove(&packet) {
-            self.tally.holds(self.planned(packet).destination, false);
+            self.tally.adjust_held(self.planned(packet).destination, false);
         }
     }
 
--- a/crates/sailcart-lab/src/simulated/dispatching.rs
+++ b/crates/sailcart-lab/src/simulated/dispatching.rs
@@ -10,7 +10,7 @@
 use super::world::World;
 use crate::plan::SenderId;
 use crate::receivers::Connect;
-use crate::results::tally::Count;
+use crate::results::tally::Counter;
 use crate::watcher::CallId;
 
 impl World<'_> {
@@ -52,7 +52,7 @@
             submission.dispatches += 1;
             submission.call = Some(id);
         }
-        self.tally.calls_out(self.plan.endpoint(endpoint).destination, true);
+        self.tally.adjust_calls_in_flight(self.plan.endpoint(endpoint).destination, true);
         let mut call = Call::new(sender, endpoint, packets, self.now);
         call.holds_connection = self.connect(id, &call, timeout);
         let upstream = self.upstream(endpoint);
@@ -71,7 +71,7 @@
         let round_trip = self.plan.experiment.network.transit * 2;
         match self.receivers.connect(self.plan, self.now, call.endpoint) {
             Connect::Up(handshake) => {
-                self.tally.count(Count::Connections);
+                self.tally.increment(Counter::Connections);
                 self.queue.push(self.now + round_trip + handshake, Event::Connected(id));
                 true
             }
--- a/crates/sailcart-lab/src/simulated/mod.rs
+++ b/crates/sailcart-lab/src/simulated/mod.rs
@@ -56,7 +56,7 @@
         world.start_sender(SenderId(sender));
     }
     world.run_until_end(progress);
-    world.tally.outcome(plan, Mode::Virtual, policy, &world.watcher, Vec::new())
+    world.tally.into_outcome(plan, Mode::Virtual, policy, &world.watcher, Vec::new())
 }
 
 impl World<'_> {
--- a/crates/sailcart-lab/src/simulated/outcomes.rs
+++ b/crates/sailcart-lab/src/simulated/outcomes.rs
@@ -5,7 +5,7 @@
 use super::call::{Call, Stage};
 use super::submission::Completion;
 use super::world::World;
-use crate::results::tally::Count;
+use crate::results::tally::Counter;
 use crate::watcher::{CallId, CallResult, CompletionKind, Observation};
 
 /// What a sender has learnt from an answer it received.
@@ -43,7 +43,7 @@
         let Some(call) = self.remove_call(id) else { return };
         let first_outcome = outcomes.first().copied().unwrap_or(Outcome::NoSlot);
         self.release_connection(&call, first_outcome);
-        self.tally.calls_out(self.plan.endpoint(call.endpoint).destination, false);
+        self.tally.adjust_calls_in_flight(self.plan.endpoint(call.endpoint).destination, false);
         self.count_failure(first_outcome);
         if call.has_arrived() {
             self.observe(Observation::CallCompleted { call: id, result: observed_result(&outcomes) });
@@ -85,9 +85,9 @@
 
     fn count_failure(&mut self, outcome: Outcome) {
         match outcome {
-            Outcome::Error | Outcome::Reset => self.tally.count(Count::Errors),
-            Outcome::TimedOut | Outcome::Cancelled => self.tally.count(Count::Unanswered),
-            Outcome::NoConnection => self.tally.count(Count::NotConnected),
+            Outcome::Error | Outcome::Reset => self.tally.increment(Counter::Errors),
+            Outcome::TimedOut | Outcome::Cancelled => self.tally.increment(Counter::Unanswered),
+            Outcome::NoConnection => self.tally.increment(Counter::NotConnected),
             _ => {}
         }
     }
@@ -118,7 +118,7 @@
         let delay = self.now.saturating_sub(self.planned(packet).at);
         let submission = self.submission(packet);
         let was_completed = submission.completion.is_some();
-        self.tally.delivered(submission.planned_packet, delay);
+        self.tally.record_delivery(submission.planned_packet, delay);
         if !was_completed {
             self.complete_packet(Completion { packet, kind: CompletionKind::Done, retry_after: None });
         }
--- a/crates/sailcart-lab/src/simulated/processes.rs
+++ b/crates/sailcart-lab/src/simulated/processes.rs
@@ -5,7 +5,7 @@
 
 use super::world::World;
 use crate::plan::{ListState, SenderId, seeded_rng};
-use crate::results::tally::Count;
+use crate::results::tally::Counter;
 use crate::watcher::{CallId, CallResult, Observation};
 
 /// Random stream that the seed of the first sender is drawn from. The streams of the other senders follow it.
@@ -70,7 +70,7 @@
             self.drop_call(call);
         }
         self.close_all_idle(sender);
-        self.tally.count(Count::Kills);
+        self.tally.increment(Counter::Kills);
         self.observe(Observation::SenderDown(sender));
         for packet in self.senders[sender.0].stop() {
             self.abandon(packet);
@@ -91,7 +91,7 @@
         if call.holds_connection {
             self.receivers.disconnected(call.endpoint);
         }
-        self.tally.calls_out(self.plan.endpoint(call.endpoint).destination, false);
+        self.tally.adjust_calls_in_flight(self.plan.endpoint(call.endpoint).destination, false);
         for packet in &call.packets {
             self.submission_mut(*packet).call = None;
         }
--- a/crates/sailcart-lab/src/simulated/reception.rs
+++ b/crates/sailcart-lab/src/simulated/reception.rs
@@ -16,7 +16,7 @@
         let upstream = self.upstream(endpoint);
         self.calls_not_arrived[upstream.0] -= 1;
         let destination = self.plan.endpoint(endpoint).destination;
-        self.tally.dispatched(self.now, destination, packets.len());
+        self.tally.record_dispatch(self.now, destination, packets.len());
         let call_packets = self.call_packets(&packets);
         let reception = self.receivers.arrive(self.plan, self.now, endpoint, &call_packets);
         self.observe(Observation::CallReceived { call: id, sender, endpoint, upstream, packets });
@@ -59,7 +59,7 @@
         let destination = self.plan.endpoint(call.endpoint).destination;
         self.pass_report(id, &answer);
         if let Answer::Full(_) = answer {
-            self.tally.refused(self.now, destination);
+            self.tally.record_rejection(self.now, destination);
         }
         match answer {
             Answer::Done => self.finish_call(id, Outcome::Done),
--- a/crates/sailcart-lab/src/sockets/clients.rs
+++ b/crates/sailcart-lab/src/sockets/clients.rs
@@ -21,7 +21,7 @@
 use super::shared::SharedState;
 use crate::experiment::choose_by_key;
 use crate::plan::{PlannedPacketId, ScheduledTrouble, SenderId, seeded_rng};
-use crate::results::tally::Count;
+use crate::results::tally::Counter;
 use crate::watcher::{CompletionKind, Observation};
 
 /// How long a client waits for a connection, and then for a reply.
@@ -132,7 +132,7 @@
                 continue;
             };
             let measured_from = if attempt == 0 { planned.at } else { scheduled_at };
-            self.shared.tally.borrow_mut().answered(self.shared.now().saturating_sub(measured_from));
+            self.shared.tally.borrow_mut().record_answer(self.shared.now().saturating_sub(measured_from));
             self.handle_reply(packet, reply);
             self.idle_connections.borrow_mut().entry(sender).or_default().push(stream);
             return;
@@ -235,7 +235,7 @@
             }
             let mut reply = [0u8; 256];
             if timeout(MALFORMED_INPUT_TIMEOUT, stream.read(&mut reply)).await.is_err() {
-                shared.tally.borrow_mut().count(Count::Ignored);
+                shared.tally.borrow_mut().increment(Counter::UnansweredClients);
             }
         });
         index += 1;
--- a/crates/sailcart-lab/src/sockets/endpoints.rs
+++ b/crates/sailcart-lab/src/sockets/endpoints.rs
@@ -17,7 +17,7 @@
 use super::shared::SharedState;
 use crate::plan::SenderId;
 use crate::receivers::{Answer, Connect, Reception, TroubleSchedule};
-use crate::results::tally::Count;
+use crate::results::tally::Counter;
 use crate::watcher::{CallId, CallResult, CompletionKind, Observation, UpstreamId};
 
 /// Maximum number of connections that wait to be accepted at an endpoint that is up.
@@ -242,7 +242,7 @@
         let Some(endpoint) = self.current_endpoint(now) else { return reset(stream) };
         let decision = self.shared.receivers.borrow_mut().connect(&self.shared.plan, now, endpoint);
         let Connect::Up(handshake) = decision else { return reset(stream) };
-        self.shared.tally.borrow_mut().count(Count::Connections);
+        self.shared.tally.borrow_mut().increment(Counter::Connections);
         if !handshake.is_zero() {
             sleep(handshake).await;
         }
@@ -300,7 +300,7 @@
                 Ok(Ok(Some(call))) => call,
                 Ok(Ok(None)) => return false,
                 Ok(Err(error)) if error.kind() == io::ErrorKind::InvalidData => {
-                    self.shared.tally.borrow_mut().count(Count::Strays);
+                    self.shared.tally.borrow_mut().increment(Counter::UnmatchedCalls);
                     let _ = self.stream.write_all(&response("400 Bad Request", "", "")).await;
                     return false;
                 }
@@ -319,7 +319,7 @@
                         .collect()
                 });
             let (Some(named_packets), Some(packets)) = (named_packets, packets) else {
-                self.shared.tally.borrow_mut().count(Count::Strays);
+                self.shared.tally.borrow_mut().increment(Counter::UnmatchedCalls);
                 let _ = self.stream.write_all(&response("400 Bad Request", "", "")).await;
                 return false;
             };
@@ -348,12 +348,12 @@
             .map(|(id, idempotency_key)| shared.piece(*id, idempotency_key.as_deref()))
             .collect();
         let reception = shared.receivers.borrow_mut().arrive(&shared.plan, now, self.endpoint, &pieces);
-        shared.tally.borrow_mut().dispatched(now, destination, packets.len());
-        shared.tally.borrow_mut().calls_out(destination, true);
+        shared.tally.borrow_mut().record_dispatch(now, destination, packets.len());
+        shared.tally.borrow_mut().adjust_calls_in_flight(destination, true);
         let packet_ids: Vec<PacketId> = packets.iter().map(|(id, _)| *id).collect();
         self.record_arrival(id, sender, upstream, &packet_ids, &reception);
         let after_call = self.respond(id, ids, &packet_ids, reception).await;
-        shared.tally.borrow_mut().calls_out(destination, false);
+        shared.tally.borrow_mut().adjust_calls_in_flight(destination, false);
         after_call
     }
 
@@ -391,12 +391,12 @@
         reception: Reception,
     ) -> AfterCall {
         let due = reception.answer.as_ref().map(|(at, _)| *at);
-        if let Some((count, after_call)) = self.wait_for_interruption(due).await {
-            return self.end_without_response(id, count, after_call);
+        if let Some((counter, after_call)) = self.wait_for_interruption(due).await {
+            return self.end_without_response(id, counter, after_call);
         }
         let Some((_, answer)) = reception.answer else { return AfterCall::Reset };
         let Some(bytes) = response_bytes(&answer, ids, reception.report) else {
-            return self.end_without_response(id, Count::Errors, AfterCall::Reset);
+            return self.end_without_response(id, Counter::Errors, AfterCall::Reset);
         };
         // The completion is recorded first, as the sender may act on the response as soon as it is written.
         let result = self.record_response(&answer, packets);
@@ -416,7 +416,7 @@
 
     /// Waits until the response is due, without limit if there is none. Returns how the call is to be counted
     /// if the sender closes or the endpoint stops before that.
-    async fn wait_for_interruption(&self, due: Option<Duration>) -> Option<(Count, AfterCall)> {
+    async fn wait_for_interruption(&self, due: Option<Duration>) -> Option<(Counter, AfterCall)> {
         let due = async {
             match due {
                 Some(at) => sleep_until(self.shared.instant(at)).await,
@@ -425,14 +425,14 @@
         };
         tokio::select! {
             () = due => None,
-            () = peer_closed(&self.stream) => Some((Count::Unanswered, AfterCall::Close)),
-            () = Self::wait_until_stopped(self.shared, self.endpoint) => Some((Count::Errors, AfterCall::Reset)),
+            () = peer_closed(&self.stream) => Some((Counter::Unanswered, AfterCall::Close)),
+            () = Self::wait_until_stopped(self.shared, self.endpoint) => Some((Counter::Errors, AfterCall::Reset)),
         }
     }
 
     /// Records that a call has ended without a response.
-    fn end_without_response(&self, id: CallId, count: Count, after_call: AfterCall) -> AfterCall {
-        self.shared.tally.borrow_mut().count(count);
+    fn end_without_response(&self, id: CallId, counter: Counter, after_call: AfterCall) -> AfterCall {
+        self.shared.tally.borrow_mut().increment(counter);
         self.shared.observe(Observation::CallCompleted { call: id, result: CallResult::PossiblyExecuted });
         after_call
     }
@@ -443,7 +443,7 @@
         let shared = self.shared;
         let complete =
             |packet: &PacketId| shared.record_completion(*packet, CompletionKind::Done, Duration::ZERO);
-        let count = |counter| shared.tally.borrow_mut().count(counter);
+        let increment = |counter| shared.tally.borrow_mut().increment(counter);
         match answer {
             Answer::Done => {
                 packets.iter().for_each(complete);
@@ -455,7 +455,7 @@
             }
             Answer::Full(wait) => {
                 let destination = shared.plan.endpoint(self.endpoint).destination;
-                shared.tally.borrow_mut().refused(shared.now(), destination);
+                shared.tally.borrow_mut().record_rejection(shared.now(), destination);
                 CallResult::Rejected(*wait)
             }
             Answer::Mixed(each, wait) => {
@@ -468,11 +468,11 @@
             // A malformed response is a response all the same: the call is no longer in progress at the
             // endpoint.
             Answer::Error | Answer::Spoilt(_) => {
-                count(Count::Errors);
+                increment(Counter::Errors);
                 CallResult::Error
             }
             Answer::Reset => {
-                count(Count::Errors);
+                increment(Counter::Errors);
                 CallResult::PossiblyExecuted
             }
         }
--- a/crates/sailcart-lab/src/sockets/process.rs
+++ b/crates/sailcart-lab/src/sockets/process.rs
@@ -24,7 +24,7 @@
 use crate::experiment::LabError;
 use crate::plan::SenderId;
 use crate::results::Cost;
-use crate::results::tally::Count;
+use crate::results::tally::Counter;
 use crate::watcher::Observation;
 
 /// The subcommand with which the lab starts itself to become a sender.
@@ -288,7 +288,7 @@
         if !process.expected_running.replace(false) {
             return; // another restart is in progress
         }
-        self.shared.tally.borrow_mut().count(Count::Kills);
+        self.shared.tally.borrow_mut().increment(Counter::Kills);
         self.measure(sender);
         self.shared.observe(Observation::SenderDown(sender));
         if let Some(within) = stop_within {
@@ -313,7 +313,7 @@
             Ok(()) if self.wait_until_ready(sender, Duration::from_secs(10)).await.is_ok() => {
                 self.shared.observe(Observation::SenderUp(sender));
             }
-            _ => self.shared.tally.borrow_mut().count(Count::Crashes),
+            _ => self.shared.tally.borrow_mut().increment(Counter::Crashes),
         }
     }
 
@@ -378,7 +378,7 @@
                 };
                 if let Some(status) = exit_status {
                     log::error!("sender {index}: code=crashed {status}");
-                    self.shared.tally.borrow_mut().count(Count::Crashes);
+                    self.shared.tally.borrow_mut().increment(Counter::Crashes);
                     self.restart_crashed(SenderId(index)).await;
                 }
             }
--- a/crates/sailcart-lab/src/sockets/shared.rs
+++ b/crates/sailcart-lab/src/sockets/shared.rs
@@ -14,7 +14,7 @@
 use crate::plan::{Plan, PlannedPacketId, SenderId};
 use crate::policies::PolicyName;
 use crate::receivers::{Piece, Receivers};
-use crate::results::tally::{Count, Tally};
+use crate::results::tally::{Counter, Tally};
 use crate::results::{Cost, Outcome};
 use crate::watcher::{CallId, CompletionKind, Observation, SubmittedPacket, UpstreamId, Watcher};
 
@@ -131,8 +131,8 @@
         });
         drop(submissions);
         let planned = &self.plan.planned_packets[planned_packet.0];
-        self.tally.borrow_mut().count(Count::HandedIn);
-        self.tally.borrow_mut().holds(planned.destination, true);
+        self.tally.borrow_mut().increment(Counter::Submitted);
+        self.tally.borrow_mut().adjust_held(planned.destination, true);
         self.incomplete.set(self.incomplete.get() + 1);
         self.observe(Observation::Submitted(SubmittedPacket::new(
             &self.plan,
@@ -169,7 +169,7 @@
         submission.completion.get_or_insert(completion);
         if first {
             let destination = self.plan.planned_packets[submission.planned_packet.0].destination;
-            self.tally.borrow_mut().holds(destination, false);
+            self.tally.borrow_mut().adjust_held(destination, false);
             self.incomplete.set(self.incomplete.get() - 1);
         }
         first
@@ -179,7 +179,7 @@
     /// submitted again, after `wait` at the earliest.
     pub fn record_completion(&self, packet: PacketId, completion: CompletionKind, wait: Duration) {
         if packet.0 as usize >= self.submissions.borrow().len() {
-            return self.tally.borrow_mut().count(Count::Strays);
+            return self.tally.borrow_mut().increment(Counter::UnmatchedCalls);
         }
         let first = self.mark_completed(packet, completion);
         self.observe(Observation::Completed(packet, completion));
@@ -190,10 +190,10 @@
         match completion {
             CompletionKind::Done => {
                 let after = self.now().saturating_sub(self.plan.planned_packets[planned_packet.0].at);
-                self.tally.borrow_mut().delivered(planned_packet, after);
+                self.tally.borrow_mut().record_delivery(planned_packet, after);
             }
-            CompletionKind::Dismissed => self.tally.borrow_mut().count(Count::Dismissed),
-            CompletionKind::Scrapped => self.tally.borrow_mut().count(Count::Scrapped),
+            CompletionKind::Dismissed => self.tally.borrow_mut().increment(Counter::Dismissed),
+            CompletionKind::Scrapped => self.tally.borrow_mut().increment(Counter::Scrapped),
         }
         let load = &self.plan.experiment.load;
         if completion == CompletionKind::Dismissed && first && attempt < load.again {
@@ -276,6 +276,6 @@
         }
         self.log.borrow_mut().finish();
         let tally = self.tally.replace(Tally::new(&self.plan));
-        tally.outcome(&self.plan, mode, policy, &watcher, cost)
+        tally.into_outcome(&self.plan, mode, policy, &watcher, cost)
     }
 }
