--- a/crates/sailcart-lab/src/experiment/mod.rs
+++ b/crates/sailcart-lab/src/experiment/mod.rs
@@ -481,7 +481,7 @@
 /// The way in which an answer is malformed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Spoil {
+pub enum MalformedAnswer {
     /// Bytes that are not HTTP.
     Noise,
     /// A head of thousands of header lines that does not end.
@@ -536,7 +536,7 @@
     pub count: Option<usize>,
     /// How answers are malformed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub manner: Option<Spoil>,
+    pub manner: Option<MalformedAnswer>,
     /// Whether a replacement has the address of the endpoint that it replaces.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub same_address: Option<bool>,
@@ -545,14 +545,16 @@
     pub every: Option<Duration>,
 }
 
-impl Spoil {
+impl MalformedAnswer {
     /// Whether a sender may regard the packets of a call as delivered. It may if the answer is complete apart
     /// from what surrounds it, or if its status is readable and the call carried a single packet.
-    pub fn settles(self, has_several_packets: bool) -> bool {
+    pub fn counts_as_delivered(self, has_several_packets: bool) -> bool {
         match self {
-            Spoil::Noise => false,
-            Spoil::EndlessHead | Spoil::WrongLength | Spoil::Huge => !has_several_packets,
-            Spoil::SecondCopy | Spoil::Continue => true,
+            MalformedAnswer::Noise => false,
+            MalformedAnswer::EndlessHead | MalformedAnswer::WrongLength | MalformedAnswer::Huge => {
+                !has_several_packets
+            }
+            MalformedAnswer::SecondCopy | MalformedAnswer::Continue => true,
         }
     }
 }
--- a/crates/sailcart-lab/src/receivers/limit.rs
+++ b/crates/sailcart-lab/src/receivers/limit.rs
@@ -63,12 +63,12 @@
     }
 
     /// Whether one more call would be accepted after `ahead` others.
-    pub fn has_room(&self, now: Duration, ahead: usize) -> bool {
+    pub fn has_capacity(&self, now: Duration, ahead: usize) -> bool {
         self.limit.by == LimitBy::None || self.calls_left(now) >= 1.0 + ahead as f64
     }
 
     /// Registers a call. If it exceeds the limit, returns the time until a call would be accepted.
-    pub fn take(&mut self, now: Duration) -> Result<(), Duration> {
+    pub fn try_acquire(&mut self, now: Duration) -> Result<(), Duration> {
         if self.limit.by == LimitBy::None {
             return Ok(());
         }
--- a/crates/sailcart-lab/src/receivers/mod.rs
+++ b/crates/sailcart-lab/src/receivers/mod.rs
@@ -15,7 +15,7 @@
 use rand_distr::LogNormal;
 use sailcart::{DestinationId, EndpointId, LimitReport};
 
-use crate::experiment::{Destinations, Repeat, Spoil};
+use crate::experiment::{Destinations, MalformedAnswer, Repeat};
 use crate::plan::{Plan, PlannedPacketId, seeded_rng};
 use limit::RateLimiter;
 use recovery::Recovery;
@@ -23,13 +23,13 @@
 
 /// Result of a connection attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Connect {
+pub enum ConnectResult {
     /// Nobody listens there, or the connection limit is reached.
     Refused,
     /// The attempt is neither accepted nor refused.
-    Never,
+    Unanswered,
     /// The connection is established; the first call on it is delayed by this handshake time.
-    Up(Duration),
+    Established(Duration),
 }
 
 /// Delay of an answer that needs no work.
@@ -37,7 +37,7 @@
 
 /// One packet of a call, as its receiver sees it.
 #[derive(Clone, Copy, Debug)]
-pub struct Piece {
+pub struct CallPacket {
     pub planned_packet: PlannedPacketId,
     /// How the receiver treats a repeated packet.
     pub repeat: Repeat,
@@ -45,11 +45,11 @@
     pub memory: Duration,
 }
 
-impl Piece {
+impl CallPacket {
     /// The view that the receiver has of a planned packet.
     pub fn new(plan: &Plan, planned_packet: PlannedPacketId) -> Self {
         let category = plan.category(plan.planned_packets[planned_packet.0].category);
-        Piece { planned_packet, repeat: category.repeat, memory: category.memory.unwrap_or_default() }
+        CallPacket { planned_packet, repeat: category.repeat, memory: category.memory.unwrap_or_default() }
     }
 }
 
@@ -61,25 +61,25 @@
     /// The call failed; its packets may have taken effect.
     Error,
     /// Rejected without execution, optionally with a wait.
-    Full(Option<Duration>),
+    Rejected(Option<Duration>),
     /// The connection breaks.
     Reset,
-    /// One answer per packet, where they differ, and a wait that applies like that of `Full`.
-    Mixed(Vec<PieceAnswer>, Option<Duration>),
+    /// One answer per packet, where they differ, and a wait that applies like that of `Rejected`.
+    Mixed(Vec<PacketAnswer>, Option<Duration>),
     /// The packets took effect, but the answer is malformed.
-    Spoilt(Spoil),
+    Malformed(MalformedAnswer),
 }
 
 impl Answer {
     /// Whether the head of the answer, including the reported limit, can be read.
     pub fn is_readable(&self) -> bool {
-        !matches!(self, Answer::Reset | Answer::Spoilt(_))
+        !matches!(self, Answer::Reset | Answer::Malformed(_))
     }
 }
 
 /// The answer for one packet of a call with several.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum PieceAnswer {
+pub enum PacketAnswer {
     /// The packet took effect.
     Accepted,
     /// The packet failed; it may have taken effect.
@@ -98,24 +98,29 @@
     /// The state of the limit, where answers report it.
     pub report: Option<LimitReport>,
     /// This call made a recovering destination fail under overload.
-    pub fell: bool,
+    pub collapsed: bool,
 }
 
 impl Reception {
     /// The connection breaks before any packet is executed.
-    fn reset(now: Duration, packet_count: usize, fell: bool) -> Self {
+    fn reset(now: Duration, packet_count: usize, collapsed: bool) -> Self {
         Reception {
             answer: Some((now, Answer::Reset)),
             effects: vec![false; packet_count],
             report: None,
-            fell,
+            collapsed,
         }
     }
 
     /// A call that is rejected.
-    fn full(now: Duration, packet_count: usize, wait: Option<Duration>, report: Option<LimitReport>) -> Self {
-        let answer = Some((now + IMMEDIATE_ANSWER_DELAY, Answer::Full(wait)));
-        Reception { answer, effects: vec![false; packet_count], report, fell: false }
+    fn rejected(
+        now: Duration,
+        packet_count: usize,
+        wait: Option<Duration>,
+        report: Option<LimitReport>,
+    ) -> Self {
+        let answer = Some((now + IMMEDIATE_ANSWER_DELAY, Answer::Rejected(wait)));
+        Reception { answer, effects: vec![false; packet_count], report, collapsed: false }
     }
 }
 
@@ -183,21 +188,21 @@
     }
 
     /// A sender opens a connection. An established one counts until [`Receivers::disconnected`].
-    pub fn connect(&mut self, plan: &Plan, now: Duration, endpoint: EndpointId) -> Connect {
+    pub fn connect(&mut self, plan: &Plan, now: Duration, endpoint: EndpointId) -> ConnectResult {
         let planned_endpoint = plan.endpoint(endpoint);
         let group = plan.group(planned_endpoint.destination);
         let conditions = self.troubles.at(now, endpoint);
         let state = &mut self.endpoints[endpoint.0 as usize];
         if conditions.black_hole {
-            return Connect::Never;
+            return ConnectResult::Unanswered;
         }
         let is_available = planned_endpoint.added_at <= now && now < planned_endpoint.removed_at;
         let has_failed = self.upstreams[state.upstream].recovery.has_failed();
         if !is_available || conditions.down || has_failed || state.connections >= group.connections {
-            return Connect::Refused;
+            return ConnectResult::Refused;
         }
         state.connections += 1;
-        Connect::Up(group.handshake)
+        ConnectResult::Established(group.handshake)
     }
 
     /// A connection established by [`Receivers::connect`] has ended.
@@ -228,48 +233,48 @@
     }
 
     /// Whether a connection breaks before the last byte of a call, drawn at random.
-    pub fn cuts_before(&mut self, now: Duration, endpoint: EndpointId) -> bool {
+    pub fn breaks_before_end(&mut self, now: Duration, endpoint: EndpointId) -> bool {
         let share = self.troubles.at(now, endpoint).reset_before;
         share > 0.0 && self.rng.random_bool(share)
     }
 
     /// Handles the arrival of the last byte of a call.
-    pub fn arrive(
+    pub fn receive_call(
         &mut self,
         plan: &Plan,
         now: Duration,
         endpoint: EndpointId,
-        packets: &[Piece],
+        packets: &[CallPacket],
     ) -> Reception {
         if !self.reachable(plan, now, endpoint) {
             return Reception::reset(now, packets.len(), false);
         }
         let upstream = self.endpoints[endpoint.0 as usize].upstream;
-        if self.upstreams[upstream].recovery.push(now) {
+        if self.upstreams[upstream].recovery.record_call(now) {
             return Reception::reset(now, packets.len(), true);
         }
         let conditions = self.troubles.at(now, endpoint);
         if let Some(wait) = self.general_rejection(now, &conditions) {
-            return Reception::full(now, packets.len(), wait, None);
+            return Reception::rejected(now, packets.len(), wait, None);
         }
         let group = plan.group(self.endpoints[endpoint.0 as usize].destination);
         let limiter = &mut self.upstreams[upstream].limiter;
         limiter.set_share(now, conditions.limit);
-        let acquired = limiter.take(now);
+        let acquired = limiter.try_acquire(now);
         let report = group.report.then(|| limiter.report(now)).flatten();
         if let Err(wait) = acquired {
             let reports_wait = self.occurs(group.limit.tells);
-            return Reception::full(now, packets.len(), reports_wait.then_some(wait), report);
+            return Reception::rejected(now, packets.len(), reports_wait.then_some(wait), report);
         }
         let is_new: Vec<bool> = packets.iter().map(|packet| self.is_fresh(now, endpoint, packet)).collect();
         if self.occurs(conditions.errors) {
             return self.fail(now, endpoint, packets, is_new, report);
         }
         match self.schedule_work(plan, now, endpoint, &conditions, group, &is_new) {
-            None => Reception::full(now, packets.len(), None, report),
+            None => Reception::rejected(now, packets.len(), None, report),
             Some(finish) => {
                 let (answer, effects) = self.complete(now, endpoint, &conditions, packets, is_new, finish);
-                Reception { answer, effects, report, fell: false }
+                Reception { answer, effects, report, collapsed: false }
             }
         }
     }
@@ -293,7 +298,7 @@
         &mut self,
         now: Duration,
         endpoint: EndpointId,
-        packets: &[Piece],
+        packets: &[CallPacket],
         is_new: Vec<bool>,
         report: Option<LimitReport>,
     ) -> Reception {
@@ -304,7 +309,7 @@
             answer: Some((now + IMMEDIATE_ANSWER_DELAY, Answer::Error)),
             effects,
             report,
-            fell: false,
+            collapsed: false,
         }
     }
 
@@ -315,7 +320,7 @@
         now: Duration,
         endpoint: EndpointId,
         conditions: &Conditions,
-        packets: &[Piece],
+        packets: &[CallPacket],
         is_new: Vec<bool>,
         finish: Duration,
     ) -> (Option<(Duration, Answer)>, Vec<bool>) {
@@ -335,17 +340,22 @@
     }
 
     /// The answer to a completed call, `None` if it is lost; clears the effects of packets that are deferred.
-    fn answer(&mut self, conditions: &Conditions, packets: &[Piece], effects: &mut [bool]) -> Option<Answer> {
+    fn answer(
+        &mut self,
+        conditions: &Conditions,
+        packets: &[CallPacket],
+        effects: &mut [bool],
+    ) -> Option<Answer> {
         if self.occurs(conditions.answer_lost) {
             return None;
         }
         if self.occurs(conditions.reset_after) {
             return Some(Answer::Reset);
         }
-        if let Some((share, manner)) = conditions.spoilt
+        if let Some((share, manner)) = conditions.malformed
             && self.occurs(share)
         {
-            return Some(Answer::Spoilt(manner));
+            return Some(Answer::Malformed(manner));
         }
         if packets.len() < 2 || conditions.partial == 0.0 {
             return Some(Answer::Done);
@@ -353,25 +363,25 @@
         let mut answers = Vec::with_capacity(packets.len());
         for effect in effects.iter_mut() {
             answers.push(match self.occurs(conditions.partial) {
-                false => PieceAnswer::Accepted,
+                false => PacketAnswer::Accepted,
                 true if self.occurs(0.5) => {
                     *effect = false;
-                    PieceAnswer::Deferred
+                    PacketAnswer::Deferred
                 }
-                true => PieceAnswer::Failed,
+                true => PacketAnswer::Failed,
             });
         }
-        let wait = answers.contains(&PieceAnswer::Deferred).then_some(conditions.retry_after);
+        let wait = answers.contains(&PacketAnswer::Deferred).then_some(conditions.retry_after);
         Some(Answer::Mixed(answers, wait))
     }
 
     /// Whether a packet would take effect; a repeat that the receiver recognises does not.
-    fn is_fresh(&self, now: Duration, endpoint: EndpointId, packet: &Piece) -> bool {
+    fn is_fresh(&self, now: Duration, endpoint: EndpointId, packet: &CallPacket) -> bool {
         let key = (self.endpoints[endpoint.0 as usize].destination, packet.planned_packet);
         packet.repeat != Repeat::Deduplicated || self.remembered.get(&key).is_none_or(|until| *until < now)
     }
 
-    fn remember(&mut self, now: Duration, endpoint: EndpointId, packets: &[Piece], effects: &[bool]) {
+    fn remember(&mut self, now: Duration, endpoint: EndpointId, packets: &[CallPacket], effects: &[bool]) {
         let destination = self.endpoints[endpoint.0 as usize].destination;
         let executed =
             packets.iter().zip(effects).filter(|(packet, executed)| **executed && !packet.memory.is_zero());
@@ -438,8 +448,8 @@
         if !is_available
             || is_unresponsive
             || mostly_fails
-            || !limiter.has_room(now, ahead)
-            || !upstream.recovery.has_room(now, ahead)
+            || !limiter.has_capacity(now, ahead)
+            || !upstream.recovery.has_capacity(now, ahead)
         {
             return None;
         }
--- a/crates/sailcart-lab/src/receivers/recovery.rs
+++ b/crates/sailcart-lab/src/receivers/recovery.rs
@@ -50,7 +50,7 @@
     }
 
     /// Registers a call, accepted or not. Returns true if it makes the destination fail.
-    pub fn push(&mut self, now: Duration) -> bool {
+    pub fn record_call(&mut self, now: Duration) -> bool {
         if self.warming_up_for(now).is_none() {
             self.recent_calls.clear();
             return false;
@@ -65,7 +65,7 @@
 
     /// Whether one more call after `ahead` others stays below 80 % of the calls that would make the
     /// destination fail.
-    pub fn has_room(&self, now: Duration, ahead: usize) -> bool {
+    pub fn has_capacity(&self, now: Duration, ahead: usize) -> bool {
         let recent_count = self.recent_calls.iter().filter(|at| **at + self.rules.fall > now).count();
         self.warming_up_for(now).is_none()
             || (recent_count + ahead) as f64 + 1.0 <= self.max_recent_calls(now) * 0.8
--- a/crates/sailcart-lab/src/receivers/troubles.rs
+++ b/crates/sailcart-lab/src/receivers/troubles.rs
@@ -5,7 +5,7 @@
 
 use sailcart::EndpointId;
 
-use crate::experiment::{Spoil, TroubleKind};
+use crate::experiment::{MalformedAnswer, TroubleKind};
 use crate::plan::{ListState, Plan, ScheduledTrouble};
 
 /// The combined effect of all troubles that are active at an endpoint. Shares are from 0 to 1, of calls or,
@@ -33,7 +33,7 @@
     /// Share of calls whose connection breaks instead of an answer.
     pub reset_after: f64,
     /// Share of answers that are malformed, and in which way.
-    pub spoilt: Option<(f64, Spoil)>,
+    pub malformed: Option<(f64, MalformedAnswer)>,
     /// Share of packets that are not accepted, in calls with several packets.
     pub partial: f64,
     /// The wait that an answer for several packets requests.
@@ -57,7 +57,7 @@
             answer_lost: 0.0,
             reset_before: 0.0,
             reset_after: 0.0,
-            spoilt: None,
+            malformed: None,
             partial: 0.0,
             retry_after: Duration::from_millis(500),
             is_draining: false,
@@ -122,7 +122,10 @@
                 AnswerLost => conditions.answer_lost = combine(conditions.answer_lost, share),
                 ResetBefore => conditions.reset_before = combine(conditions.reset_before, share),
                 ResetAfter => conditions.reset_after = combine(conditions.reset_after, share),
-                Spoilt => conditions.spoilt = Some((share, scheduled.trouble.manner.unwrap_or(Spoil::Noise))),
+                Spoilt => {
+                    conditions.malformed =
+                        Some((share, scheduled.trouble.manner.unwrap_or(MalformedAnswer::Noise)))
+                }
                 Partial => conditions.partial = combine(conditions.partial, share),
                 Drain | Replace => {
                     conditions.is_draining = true;
--- a/crates/sailcart-lab/src/simulated/dispatching.rs
+++ b/crates/sailcart-lab/src/simulated/dispatching.rs
@@ -9,7 +9,7 @@
 use super::sender::Dispatch;
 use super::world::World;
 use crate::plan::SenderId;
-use crate::receivers::Connect;
+use crate::receivers::ConnectResult;
 use crate::results::tally::Counter;
 use crate::watcher::CallId;
 
@@ -20,10 +20,10 @@
         let mut requests: Vec<CallRequest> = Vec::new();
         for Dispatch { packet, endpoint, timeout } in dispatches {
             let max_batch = self.max_batch(endpoint);
-            let has_room = |request: &&mut CallRequest| {
+            let has_capacity = |request: &&mut CallRequest| {
                 request.endpoint == endpoint && request.packets.len() < max_batch
             };
-            match requests.iter_mut().rev().find(has_room) {
+            match requests.iter_mut().rev().find(has_capacity) {
                 Some(request) => {
                     request.packets.push(packet);
                     request.timeout = request.timeout.min(timeout);
@@ -70,16 +70,16 @@
         }
         let round_trip = self.plan.experiment.network.transit * 2;
         match self.receivers.connect(self.plan, self.now, call.endpoint) {
-            Connect::Up(handshake) => {
+            ConnectResult::Established(handshake) => {
                 self.tally.increment(Counter::Connections);
                 self.queue.push(self.now + round_trip + handshake, Event::Connected(id));
                 true
             }
-            Connect::Refused => {
+            ConnectResult::Refused => {
                 self.queue.push(self.now + round_trip, Event::ConnectFailed(id));
                 false
             }
-            Connect::Never => {
+            ConnectResult::Unanswered => {
                 let timeout = self.plan.settings.connect_timeout.min(timeout);
                 self.queue.push(self.now + timeout, Event::ConnectFailed(id));
                 false
@@ -94,7 +94,7 @@
         if !call.packets.iter().all(|packet| policy.may_still_dispatch(self.now, *packet)) {
             return self.finish_call(id, Outcome::NoSlot);
         }
-        if self.receivers.cuts_before(self.now, call.endpoint) {
+        if self.receivers.breaks_before_end(self.now, call.endpoint) {
             return self.finish_call(id, Outcome::NoConnection);
         }
         self.write(id);
--- a/crates/sailcart-lab/src/simulated/outcomes.rs
+++ b/crates/sailcart-lab/src/simulated/outcomes.rs
@@ -66,7 +66,7 @@
             self.calls_not_arrived[upstream.0] -= 1;
         }
         if *call.stage() == Stage::InTransit {
-            self.arrive_abandoned(id, &call);
+            self.receive_abandoned_call(id, &call);
         }
         Some(call)
     }
--- a/crates/sailcart-lab/src/simulated/reception.rs
+++ b/crates/sailcart-lab/src/simulated/reception.rs
@@ -5,7 +5,7 @@
 use super::call::{Call, Stage};
 use super::event::Event;
 use super::world::World;
-use crate::receivers::{Answer, PieceAnswer};
+use crate::receivers::{Answer, PacketAnswer};
 use crate::watcher::{CallId, CallResult, Observation};
 
 impl World<'_> {
@@ -18,12 +18,12 @@
         let destination = self.plan.endpoint(endpoint).destination;
         self.tally.record_dispatch(self.now, destination, packets.len());
         let call_packets = self.call_packets(&packets);
-        let reception = self.receivers.arrive(self.plan, self.now, endpoint, &call_packets);
+        let reception = self.receivers.receive_call(self.plan, self.now, endpoint, &call_packets);
         self.observe(Observation::CallReceived { call: id, sender, endpoint, upstream, packets });
         if reception.effects.contains(&true) {
             self.observe(Observation::Executed(id, reception.effects));
         }
-        if reception.fell {
+        if reception.collapsed {
             self.observe(Observation::Collapsed(upstream));
         }
         let (due, answer) = reception.answer.unzip();
@@ -36,10 +36,10 @@
     }
 
     /// Handles the arrival of a call that was written before its sender died or aborted it.
-    pub fn arrive_abandoned(&mut self, id: CallId, call: &Call) {
+    pub fn receive_abandoned_call(&mut self, id: CallId, call: &Call) {
         let upstream = self.upstream(call.endpoint);
         let call_packets = self.call_packets(&call.packets);
-        let reception = self.receivers.arrive(self.plan, self.now, call.endpoint, &call_packets);
+        let reception = self.receivers.receive_call(self.plan, self.now, call.endpoint, &call_packets);
         self.observe(Observation::CallReceived {
             call: id,
             sender: call.sender,
@@ -58,21 +58,23 @@
         let several_packets = call.packets.len() > 1;
         let destination = self.plan.endpoint(call.endpoint).destination;
         self.pass_report(id, &answer);
-        if let Answer::Full(_) = answer {
+        if let Answer::Rejected(_) = answer {
             self.tally.record_rejection(self.now, destination);
         }
         match answer {
             Answer::Done => self.finish_call(id, Outcome::Done),
             Answer::Error => self.finish_call(id, Outcome::Error),
-            Answer::Full(wait) => self.finish_call(id, Outcome::Full(wait)),
+            Answer::Rejected(wait) => self.finish_call(id, Outcome::Full(wait)),
             Answer::Reset => self.finish_call(id, Outcome::Reset),
-            Answer::Spoilt(manner) if manner.settles(several_packets) => self.finish_call(id, Outcome::Done),
-            Answer::Spoilt(_) => self.finish_call(id, Outcome::Error),
+            Answer::Malformed(manner) if manner.counts_as_delivered(several_packets) => {
+                self.finish_call(id, Outcome::Done)
+            }
+            Answer::Malformed(_) => self.finish_call(id, Outcome::Error),
             Answer::Mixed(answers, wait) => {
                 let answers = answers.into_iter().map(|packet_answer| match packet_answer {
-                    PieceAnswer::Accepted => Outcome::Done,
-                    PieceAnswer::Failed => Outcome::Error,
-                    PieceAnswer::Deferred => Outcome::Full(wait),
+                    PacketAnswer::Accepted => Outcome::Done,
+                    PacketAnswer::Failed => Outcome::Error,
+                    PacketAnswer::Deferred => Outcome::Full(wait),
                 });
                 self.finish_call_with(id, answers.collect());
             }
--- a/crates/sailcart-lab/src/simulated/world.rs
+++ b/crates/sailcart-lab/src/simulated/world.rs
@@ -15,7 +15,7 @@
 use crate::events::EventLog;
 use crate::plan::{Plan, PlannedPacket, seeded_rng};
 use crate::policies::Policy;
-use crate::receivers::{Piece, Receivers};
+use crate::receivers::{CallPacket, Receivers};
 use crate::results::tally::Tally;
 use crate::watcher::{CallId, Observation, UpstreamId, Watcher};
 
@@ -94,7 +94,10 @@
     }
 
     /// The packets of a call as its receiver sees them.
-    pub fn call_packets(&self, packets: &[PacketId]) -> Vec<Piece> {
-        packets.iter().map(|packet| Piece::new(self.plan, self.submission(*packet).planned_packet)).collect()
+    pub fn call_packets(&self, packets: &[PacketId]) -> Vec<CallPacket> {
+        packets
+            .iter()
+            .map(|packet| CallPacket::new(self.plan, self.submission(*packet).planned_packet))
+            .collect()
     }
 }
--- a/crates/sailcart-lab/src/sockets/endpoints.rs
+++ b/crates/sailcart-lab/src/sockets/endpoints.rs
@@ -16,7 +16,7 @@
 use super::protocol::{packets_in_call, response_bytes};
 use super::shared::SharedState;
 use crate::plan::SenderId;
-use crate::receivers::{Answer, Connect, Reception, TroubleSchedule};
+use crate::receivers::{Answer, ConnectResult, Reception, TroubleSchedule};
 use crate::results::tally::Counter;
 use crate::watcher::{CallId, CallResult, CompletionKind, Observation, UpstreamId};
 
@@ -241,7 +241,7 @@
         let now = self.shared.now();
         let Some(endpoint) = self.current_endpoint(now) else { return reset(stream) };
         let decision = self.shared.receivers.borrow_mut().connect(&self.shared.plan, now, endpoint);
-        let Connect::Up(handshake) = decision else { return reset(stream) };
+        let ConnectResult::Established(handshake) = decision else { return reset(stream) };
         self.shared.tally.borrow_mut().increment(Counter::Connections);
         if !handshake.is_zero() {
             sleep(handshake).await;
@@ -307,7 +307,7 @@
                 Ok(Err(_)) => return true,
             };
             let now = self.shared.now();
-            if self.shared.receivers.borrow_mut().cuts_before(now, self.endpoint) {
+            if self.shared.receivers.borrow_mut().breaks_before_end(now, self.endpoint) {
                 return true;
             }
             let named_packets = packets_in_call(&call);
@@ -343,11 +343,12 @@
         let (id, upstream) = (shared.next_call(), shared.upstream(self.endpoint));
         let destination = shared.plan.endpoint(self.endpoint).destination;
         let sender = shared.sender(packets[0].0);
-        let pieces: Vec<_> = packets
+        let call_packets: Vec<_> = packets
             .iter()
-            .map(|(id, idempotency_key)| shared.piece(*id, idempotency_key.as_deref()))
+            .map(|(id, idempotency_key)| shared.call_packet(*id, idempotency_key.as_deref()))
             .collect();
-        let reception = shared.receivers.borrow_mut().arrive(&shared.plan, now, self.endpoint, &pieces);
+        let reception =
+            shared.receivers.borrow_mut().receive_call(&shared.plan, now, self.endpoint, &call_packets);
         shared.tally.borrow_mut().record_dispatch(now, destination, packets.len());
         shared.tally.borrow_mut().adjust_calls_in_flight(destination, true);
         let packet_ids: Vec<PacketId> = packets.iter().map(|(id, _)| *id).collect();
@@ -377,7 +378,7 @@
         if reception.effects.contains(&true) {
             self.shared.observe(Observation::Executed(call, reception.effects.clone()));
         }
-        if reception.fell {
+        if reception.collapsed {
             self.shared.observe(Observation::Collapsed(upstream));
         }
     }
@@ -405,7 +406,7 @@
         // times out.
         let written = timeout(Duration::from_secs(1), self.stream.write_all(&bytes)).await;
         match (&answer, written) {
-            (Answer::Spoilt(_), _) => {
+            (Answer::Malformed(_), _) => {
                 let _ = timeout(Duration::from_secs(1), peer_closed(&self.stream)).await;
                 AfterCall::Close
             }
@@ -449,11 +450,11 @@
                 packets.iter().for_each(complete);
                 CallResult::Done
             }
-            Answer::Spoilt(kind) if kind.settles(packets.len() > 1) => {
+            Answer::Malformed(kind) if kind.counts_as_delivered(packets.len() > 1) => {
                 packets.iter().for_each(complete);
                 CallResult::Done
             }
-            Answer::Full(wait) => {
+            Answer::Rejected(wait) => {
                 let destination = shared.plan.endpoint(self.endpoint).destination;
                 shared.tally.borrow_mut().record_rejection(shared.now(), destination);
                 CallResult::Rejected(*wait)
@@ -461,13 +462,13 @@
             Answer::Mixed(each, wait) => {
                 let accepted = packets.iter().zip(each);
                 let accepted = accepted
-                    .filter(|(_, piece_answer)| **piece_answer == crate::receivers::PieceAnswer::Accepted);
+                    .filter(|(_, packet_answer)| **packet_answer == crate::receivers::PacketAnswer::Accepted);
                 accepted.map(|(packet, _)| packet).for_each(complete);
                 wait.map_or(CallResult::Done, |wait| CallResult::Rejected(Some(wait)))
             }
             // A malformed response is a response all the same: the call is no longer in progress at the
             // endpoint.
-            Answer::Error | Answer::Spoilt(_) => {
+            Answer::Error | Answer::Malformed(_) => {
                 increment(Counter::Errors);
                 CallResult::Error
             }
--- a/crates/sailcart-lab/src/sockets/protocol.rs
+++ b/crates/sailcart-lab/src/sockets/protocol.rs
@@ -13,9 +13,9 @@
 use serde_json::{Value, json};
 
 use super::http::{Call, response};
-use crate::experiment::{Category, Late, Repeat, Spoil};
+use crate::experiment::{Category, Late, MalformedAnswer, Repeat};
 use crate::plan::{ListState, Plan, PlannedPacketId, SenderId};
-use crate::receivers::{Answer, PieceAnswer};
+use crate::receivers::{Answer, PacketAnswer};
 
 /// Socket addresses by endpoint number.
 pub type Addresses = [SocketAddr];
@@ -174,34 +174,40 @@
     Some(match answer {
         Answer::Done => response("200 OK", &report, &body),
         Answer::Error => response("500 Internal Server Error", &report, ""),
-        Answer::Full(Some(wait)) => {
+        Answer::Rejected(Some(wait)) => {
             response("429 Too Many Requests", &format!("{report}{}", retry_after(&Some(*wait))), "")
         }
-        Answer::Full(None) => response("503 Service Unavailable", &report, ""),
+        Answer::Rejected(None) => response("503 Service Unavailable", &report, ""),
         Answer::Reset => return None,
         Answer::Mixed(each, wait) => {
             let state = |at: usize| match each[at] {
-                PieceAnswer::Accepted => "accepted",
-                PieceAnswer::Failed => "fault",
-                PieceAnswer::Deferred => "deferred",
+                PacketAnswer::Accepted => "accepted",
+                PacketAnswer::Failed => "fault",
+                PacketAnswer::Deferred => "deferred",
             };
             response("200 OK", &format!("{report}{}", retry_after(wait)), &batch_body(&state))
         }
-        Answer::Spoilt(kind) => malformed_response(*kind, &body),
+        Answer::Malformed(kind) => malformed_response(*kind, &body),
     })
 }
 
 /// A malformed or misleading response to a call whose packets took effect.
-fn malformed_response(kind: Spoil, body: &str) -> Vec<u8> {
+fn malformed_response(kind: MalformedAnswer, body: &str) -> Vec<u8> {
     match kind {
-        Spoil::Noise => (0u16..700).map(|index| (index.wrapping_mul(197) >> 3) as u8 | 0x80).collect(),
-        Spoil::EndlessHead => {
+        MalformedAnswer::Noise => {
+            (0u16..700).map(|index| (index.wrapping_mul(197) >> 3) as u8 | 0x80).collect()
+        }
+        MalformedAnswer::EndlessHead => {
             let lines = "X-More: of the same\r\n".repeat(4000);
             format!("HTTP/1.1 200 OK\r\n{lines}").into_bytes()
         }
-        Spoil::WrongLength => format!("HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\n{body}").into_bytes(),
-        Spoil::Huge => b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nbegin".to_vec(),
-        Spoil::SecondCopy => response("200 OK", "", body).repeat(2),
-        Spoil::Continue => [b"HTTP/1.1 100 Continue\r\n\r\n".to_vec(), response("200 OK", "", body)].concat(),
+        MalformedAnswer::WrongLength => {
+            format!("HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\n{body}").into_bytes()
+        }
+        MalformedAnswer::Huge => b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nbegin".to_vec(),
+        MalformedAnswer::SecondCopy => response("200 OK", "", body).repeat(2),
+        MalformedAnswer::Continue => {
+            [b"HTTP/1.1 100 Continue\r\n\r\n".to_vec(), response("200 OK", "", body)].concat()
+        }
     }
 }
--- a/crates/sailcart-lab/src/sockets/shared.rs
+++ b/crates/sailcart-lab/src/sockets/shared.rs
@@ -13,7 +13,7 @@
 use crate::experiment::{Mode, Repeat};
 use crate::plan::{Plan, PlannedPacketId, SenderId};
 use crate::policies::PolicyName;
-use crate::receivers::{Piece, Receivers};
+use crate::receivers::{CallPacket, Receivers};
 use crate::results::tally::{Counter, Tally};
 use crate::results::{Cost, Outcome};
 use crate::watcher::{CallId, CompletionKind, Observation, SubmittedPacket, UpstreamId, Watcher};
@@ -221,7 +221,7 @@
     }
 
     /// The packet as the model of the receivers sees it.
-    pub fn piece(&self, packet: PacketId, idempotency_key: Option<&str>) -> Piece {
+    pub fn call_packet(&self, packet: PacketId, idempotency_key: Option<&str>) -> CallPacket {
         if let Some(external_packets) = &self.external_packets {
             // Only the idempotency key or the id shows which submissions belong to the same packet.
             let mut external_packets = external_packets.borrow_mut();
@@ -230,13 +230,13 @@
             let memory = self.plan.experiment.categories.iter().filter_map(|c| c.memory).max();
             let repeat = if idempotency_key.is_some() { Repeat::Deduplicated } else { Repeat::Idempotent };
             let memory = if idempotency_key.is_some() { memory.unwrap_or_default() } else { Duration::ZERO };
-            return Piece {
+            return CallPacket {
                 planned_packet: *external_packets.entry(packet_name).or_insert(next),
                 repeat,
                 memory,
             };
         }
-        Piece::new(&self.plan, self.submissions.borrow()[packet.0 as usize].planned_packet)
+        CallPacket::new(&self.plan, self.submissions.borrow()[packet.0 as usize].planned_packet)
     }
 
     /// Reports a failed connection for each sender with incomplete packets for one of these endpoints. The
--- a/crates/sailcart-lab/tests/edge_cases.rs
+++ b/crates/sailcart-lab/tests/edge_cases.rs
@@ -9,7 +9,7 @@
 use sailcart_lab::experiment::{Repeat, Rules, read_text};
 use sailcart_lab::plan::{PlannedPacketId, SenderId};
 use sailcart_lab::policies::PolicyName;
-use sailcart_lab::receivers::{Answer, Connect, Piece, PieceAnswer, Receivers, TroubleSchedule};
+use sailcart_lab::receivers::{Answer, CallPacket, ConnectResult, PacketAnswer, Receivers, TroubleSchedule};
 use sailcart_lab::watcher::{
     CallId, CallResult, CompletionKind, Observation, Rule, SubmittedPacket, UpstreamId, Watcher,
 };
@@ -20,8 +20,8 @@
     Duration::from_secs_f64(value)
 }
 
-fn piece(planned_packet: usize) -> Piece {
-    Piece {
+fn call_packet(planned_packet: usize) -> CallPacket {
+    CallPacket {
         planned_packet: PlannedPacketId(planned_packet),
         repeat: Repeat::Deduplicated,
         memory: seconds(5.0),
@@ -62,17 +62,17 @@
 fn a_call_reset_after_its_last_byte_counts_as_executed() {
     let plan = plan(&[], "[[troubles]]\nkind = \"reset-after\"\nat = \"1s\"\nfor = \"5s\"\n");
     let mut receivers = Receivers::new(&plan);
-    let reset_call = receivers.arrive(&plan, seconds(2.0), ENDPOINT, &[piece(1)]);
+    let reset_call = receivers.receive_call(&plan, seconds(2.0), ENDPOINT, &[call_packet(1)]);
     assert_eq!(reset_call.answer.map(|(_, answer)| answer), Some(Answer::Reset));
     assert_eq!(reset_call.effects, vec![true]);
     // The receiver recognizes the repeated call and does not execute it again,
-    let repeated_call = receivers.arrive(&plan, seconds(6.5), ENDPOINT, &[piece(1)]);
+    let repeated_call = receivers.receive_call(&plan, seconds(6.5), ENDPOINT, &[call_packet(1)]);
     assert_eq!(
         (repeated_call.answer.map(|(_, answer)| answer), repeated_call.effects),
         (Some(Answer::Done), vec![false])
     );
     // until its deduplication memory of 5 s has passed.
-    assert_eq!(receivers.arrive(&plan, seconds(7.1), ENDPOINT, &[piece(1)]).effects, vec![true]);
+    assert_eq!(receivers.receive_call(&plan, seconds(7.1), ENDPOINT, &[call_packet(1)]).effects, vec![true]);
 }
 
 #[test]
@@ -80,10 +80,10 @@
     let plan =
         plan(&[("DESTINATION", "")], "[[troubles]]\nkind = \"refuse\"\nat = \"1010ms\"\nfor = \"5s\"\n");
     let mut receivers = Receivers::new(&plan);
-    assert!(matches!(receivers.connect(&plan, seconds(1.0), ENDPOINT), Connect::Up(_)));
-    let call = receivers.arrive(&plan, seconds(1.0), ENDPOINT, &[piece(1)]);
+    assert!(matches!(receivers.connect(&plan, seconds(1.0), ENDPOINT), ConnectResult::Established(_)));
+    let call = receivers.receive_call(&plan, seconds(1.0), ENDPOINT, &[call_packet(1)]);
     assert_eq!((call.answer, call.effects), (Some((seconds(1.01), Answer::Reset)), vec![true]));
-    assert_eq!(receivers.connect(&plan, seconds(1.02), ENDPOINT), Connect::Refused);
+    assert_eq!(receivers.connect(&plan, seconds(1.02), ENDPOINT), ConnectResult::Refused);
 }
 
 #[test]
@@ -113,8 +113,11 @@
         !receivers.reachable(&plan, seconds(5.0), old_endpoint.endpoint),
         "a call in flight to the old endpoint is lost"
     );
-    assert_eq!(receivers.connect(&plan, seconds(4.99), new_endpoint.endpoint), Connect::Refused);
-    assert!(matches!(receivers.connect(&plan, seconds(5.0), new_endpoint.endpoint), Connect::Up(_)));
+    assert_eq!(receivers.connect(&plan, seconds(4.99), new_endpoint.endpoint), ConnectResult::Refused);
+    assert!(matches!(
+        receivers.connect(&plan, seconds(5.0), new_endpoint.endpoint),
+        ConnectResult::Established(_)
+    ));
     assert_eq!(violated_rules(&run(&plan, PolicyName::Sailcart)), vec![]);
 }
 
@@ -123,13 +126,13 @@
     let troubles = "[[troubles]]\nkind = \"partial\"\nat = \"1s\"\nfor = \"9s\"\nshare = 1.0\n";
     let plan = plan(&[("KIND", "batch = 5")], troubles);
     let mut receivers = Receivers::new(&plan);
-    let pieces: Vec<Piece> = (0..5).map(piece).collect();
-    let call = receivers.arrive(&plan, seconds(2.0), ENDPOINT, &pieces);
+    let call_packets: Vec<CallPacket> = (0..5).map(call_packet).collect();
+    let call = receivers.receive_call(&plan, seconds(2.0), ENDPOINT, &call_packets);
     let Some((_, Answer::Mixed(answers, wait))) = call.answer else { panic!("{:?}", call.answer) };
-    for (piece, executed) in answers.iter().zip(&call.effects) {
-        assert_eq!(*piece == PieceAnswer::Deferred, !executed, "a deferred packet was not executed");
+    for (answer, executed) in answers.iter().zip(&call.effects) {
+        assert_eq!(*answer == PacketAnswer::Deferred, !executed, "a deferred packet was not executed");
     }
-    assert!(answers.contains(&PieceAnswer::Deferred));
+    assert!(answers.contains(&PacketAnswer::Deferred));
     let result = CallResult::Rejected(wait);
     assert_eq!(result, CallResult::Rejected(Some(seconds(0.5))));
     let second_call_at = |at| {
--- a/crates/sailcart-lab/tests/rate_limiter.rs
+++ b/crates/sailcart-lab/tests/rate_limiter.rs
@@ -15,13 +15,13 @@
         for refused_count in [false, true] {
             let mut limiter = limiter(by, refused_count);
             let now = Duration::from_millis(1300);
-            while limiter.take(now).is_ok() {}
-            let wait = limiter.take(now).unwrap_err();
+            while limiter.try_acquire(now).is_ok() {}
+            let wait = limiter.try_acquire(now).unwrap_err();
             assert!(!wait.is_zero());
             let just_before = now + wait - Duration::from_millis(1);
-            assert!(!limiter.has_room(just_before, 0), "{by:?}: the wait is longer than necessary");
+            assert!(!limiter.has_capacity(just_before, 0), "{by:?}: the wait is longer than necessary");
             assert!(
-                limiter.has_room(now + wait + Duration::from_micros(1), 0),
+                limiter.has_capacity(now + wait + Duration::from_micros(1), 0),
                 "{by:?}: the wait is too short"
             );
         }
@@ -32,6 +32,6 @@
 fn counting_refused_calls_extends_the_wait() {
     let (mut lenient, mut strict) = (limiter(LimitBy::Rate, false), limiter(LimitBy::Rate, true));
     let now = Duration::from_secs(1);
-    let refusals = |limiter: &mut RateLimiter| (0..7).filter_map(|_| limiter.take(now).err()).last();
+    let refusals = |limiter: &mut RateLimiter| (0..7).filter_map(|_| limiter.try_acquire(now).err()).last();
     assert!(refusals(&mut strict) > refusals(&mut lenient));
 }
--- a/crates/sailcart-lab/tests/recovery.rs
+++ b/crates/sailcart-lab/tests/recovery.rs
@@ -17,7 +17,8 @@
 /// Whether evenly spaced calls over a span overload the receiver.
 fn is_overloaded(calls: u32, span: Duration) -> bool {
     let mut recovery = cold_receiver();
-    (0..calls).any(|index| recovery.push(RECOVERY_START + Duration::from_millis(1) + span * index / calls))
+    (0..calls)
+        .any(|index| recovery.record_call(RECOVERY_START + Duration::from_millis(1) + span * index / calls))
 }
 
 #[test]
@@ -38,7 +39,7 @@
 #[test]
 fn calls_before_the_outage_and_after_the_warm_up_do_not_count() {
     let mut recovery = cold_receiver();
-    assert!((0..200).all(|index| !recovery.push(Duration::from_millis(index))));
+    assert!((0..200).all(|index| !recovery.record_call(Duration::from_millis(index))));
     let warm = RECOVERY_START + Duration::from_secs(100_001);
-    assert!((0..200).all(|_| !recovery.push(warm)));
+    assert!((0..200).all(|_| !recovery.record_call(warm)));
 }
