--- a/crates/sailcart-lab/src/main.rs
+++ b/crates/sailcart-lab/src/main.rs
@@ -181,18 +181,20 @@
         Command::Receivers { file, discovery, sender, folder, set } => {
             let experiment = load_experiment(&file, &set)?;
             let plan = Plan::new(experiment.clone(), experiment.seed).map_err(|error| error.0)?;
-            sockets::receivers(&plan, discovery, sender, &folder).map_err(|error| error.0)?;
+            sockets::run_receivers(&plan, discovery, sender, &folder).map_err(|error| error.0)?;
             Ok(true)
         }
         Command::Load { file, to, out, set } => {
             let experiment = load_experiment(&file, &set)?;
             let plan = Plan::new(experiment.clone(), experiment.seed).map_err(|error| error.0)?;
-            let outcome = sockets::load(&plan, to, &mut |_| {}).map_err(|error| error.0)?;
+            let outcome = sockets::run_clients(&plan, to, &mut |_| {}).map_err(|error| error.0)?;
             outcome.write(&out).map_err(|e| e.to_string())?;
             println!("{}", load_summary(&outcome));
             Ok(true)
         }
-        Command::Keep { parent, program, words } => Err(sockets::keep(parent, &program, &words).to_string()),
+        Command::Keep { parent, program, words } => {
+            Err(sockets::exec_sender(parent, &program, &words).to_string())
+        }
         Command::Capacity(options) => {
             print!("{}", capacity::run(&options).map_err(|error| error.0)?);
             Ok(true)
@@ -200,7 +202,8 @@
         Command::Story { folder, packet } => {
             print!(
                 "{}",
-                soak::story::story(&folder, packet).map_err(|e| format!("{}: {e}", folder.display()))?
+                soak::packet_trace::trace_packet(&folder, packet)
+                    .map_err(|e| format!("{}: {e}", folder.display()))?
             );
             Ok(true)
         }
@@ -282,7 +285,7 @@
             .collect();
         println!(
             "| {} | {:.3} ± {standard_deviation:.3} | {:.3} | {:.0} | {:.0} | {} |",
-            policy.word(),
+            policy.name(),
             mean("credit"),
             mean("credit_worst_10s"),
             mean("full"),
--- a/crates/sailcart-lab/src/policies/mod.rs
+++ b/crates/sailcart-lab/src/policies/mod.rs
@@ -41,7 +41,7 @@
     ];
 
     /// The name on the command line.
-    pub fn word(self) -> &'static str {
+    pub fn name(self) -> &'static str {
         match self {
             PolicyName::Sailcart => "sailcart",
             PolicyName::OneTry => "one-try",
--- a/crates/sailcart-lab/src/results/outcome.rs
+++ b/crates/sailcart-lab/src/results/outcome.rs
@@ -120,7 +120,7 @@
         format!(
             "{} ({}, {}, seed {}): credit {:.3}, worst 10 s {:.3}, {:.0} of {:.0} packets delivered",
             self.experiment,
-            self.policy.word(),
+            self.policy.name(),
             if self.mode == Mode::Virtual { "simulated" } else { "on sockets" },
             self.seed,
             self.figure("credit"),
--- a/crates/sailcart-lab/src/results/report.rs
+++ b/crates/sailcart-lab/src/results/report.rs
@@ -21,7 +21,7 @@
 /// Renders the page of a result.
 pub fn render_page(outcome: &Outcome) -> String {
     let mut html = String::new();
-    let title = format!("{} ({}, seed {})", outcome.experiment, outcome.policy.word(), outcome.seed);
+    let title = format!("{} ({}, seed {})", outcome.experiment, outcome.policy.name(), outcome.seed);
     let where_run = match outcome.mode {
         Mode::Virtual => "simulated time, the module itself",
         Mode::Sockets => "real processes on loopback",
--- a/crates/sailcart-lab/src/soak/experiment.rs
+++ b/crates/sailcart-lab/src/soak/experiment.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::kinds::SoakKind;
-use super::schedule::Planned;
+use super::schedule::PlannedTrouble;
 use crate::experiment::{Experiment, Rules, Trouble, TroubleKind, read_text};
 
 /// The grace period of a draining endpoint. It includes the longest time by which discovery may report the
@@ -96,8 +96,9 @@
 "#;
 
 /// Builds the experiment with those troubles of the schedule that affect peers and the processes of senders.
-/// The others are drawn by [`super::machine::troubles`]. `rate` is in packets a second, over all senders.
-pub fn of(schedule: &[Planned], senders: usize, span: Duration, rate: f64) -> Experiment {
+/// The others are drawn by [`super::machine::draw_troubles`]. `rate` is in packets a second, over all
+/// senders.
+pub fn build(schedule: &[PlannedTrouble], senders: usize, span: Duration, rate: f64) -> Experiment {
     let mut experiment = match read_text(BASE_EXPERIMENT, &[]) {
         Ok(experiment) => experiment,
         Err(error) => unreachable!("the built-in experiment of the soak test: {}", error.0),
@@ -116,7 +117,7 @@
     experiment
 }
 
-fn trouble(planned: &Planned) -> Option<Trouble> {
+fn trouble(planned: &PlannedTrouble) -> Option<Trouble> {
     let plain_trouble = |kind: TroubleKind, destinations: Option<&str>, share: Option<f64>| Trouble {
         kind,
         name: None,
@@ -140,13 +141,13 @@
         }
         SoakKind::AnswerLost => plain_trouble(TroubleKind::AnswerLost, Some("small"), Some(0.2)),
         SoakKind::ResetAfter => plain_trouble(TroubleKind::ResetAfter, Some("small"), Some(0.2)),
-        SoakKind::Spoilt => plain_trouble(TroubleKind::Spoilt, Some("large/1"), Some(0.3)),
+        SoakKind::Malformed => plain_trouble(TroubleKind::Spoilt, Some("large/1"), Some(0.3)),
         SoakKind::Replace => Trouble {
             endpoint: Some(1),
             same_address: Some(true),
             ..plain_trouble(TroubleKind::Replace, Some("small"), None)
         },
-        SoakKind::ListSilent => plain_trouble(TroubleKind::ListSilent, None, None),
+        SoakKind::DiscoverySilent => plain_trouble(TroubleKind::ListSilent, None, None),
         SoakKind::BadClients => {
             Trouble { count: Some(20), ..plain_trouble(TroubleKind::BadClients, None, None) }
         }
--- a/crates/sailcart-lab/src/soak/kinds.rs
+++ b/crates/sailcart-lab/src/soak/kinds.rs
@@ -12,11 +12,11 @@
     /// Connections break after the last byte of a call.
     ResetAfter,
     /// Answers are malformed.
-    Spoilt,
+    Malformed,
     /// Endpoints drain and are removed, and others start at their addresses.
     Replace,
     /// Discovery does not answer.
-    ListSilent,
+    DiscoverySilent,
     /// Clients send malformed input.
     BadClients,
     /// Senders get SIGKILL repeatedly.
@@ -33,7 +33,7 @@
     /// error numbers.
     ShortCalls,
     /// accept, socket and connect fail temporarily with local errors.
-    OwnFaults,
+    LocalErrors,
     /// The wall clock is stepped, and back at the end.
     Clock,
     /// The link from clients: delayed, sent in small writes, cut, reset or half-closed.
@@ -50,9 +50,9 @@
         SoakKind::Silent,
         SoakKind::AnswerLost,
         SoakKind::ResetAfter,
-        SoakKind::Spoilt,
+        SoakKind::Malformed,
         SoakKind::Replace,
-        SoakKind::ListSilent,
+        SoakKind::DiscoverySilent,
         SoakKind::BadClients,
         SoakKind::Kill,
         SoakKind::Stop,
@@ -60,7 +60,7 @@
         SoakKind::Pause,
         SoakKind::Folder,
         SoakKind::ShortCalls,
-        SoakKind::OwnFaults,
+        SoakKind::LocalErrors,
         SoakKind::Clock,
         SoakKind::ClientLink,
         SoakKind::PlatformLink,
@@ -68,14 +68,14 @@
     ];
 
     /// The name in tables and on the command line.
-    pub fn word(self) -> &'static str {
+    pub fn name(self) -> &'static str {
         match self {
             SoakKind::Silent => "silent",
             SoakKind::AnswerLost => "answer-lost",
             SoakKind::ResetAfter => "reset-after",
-            SoakKind::Spoilt => "spoilt",
+            SoakKind::Malformed => "spoilt",
             SoakKind::Replace => "replace",
-            SoakKind::ListSilent => "list-silent",
+            SoakKind::DiscoverySilent => "list-silent",
             SoakKind::BadClients => "bad-clients",
             SoakKind::Kill => "kill",
             SoakKind::Stop => "stop",
@@ -83,7 +83,7 @@
             SoakKind::Pause => "pause",
             SoakKind::Folder => "folder",
             SoakKind::ShortCalls => "short-calls",
-            SoakKind::OwnFaults => "own-faults",
+            SoakKind::LocalErrors => "own-faults",
             SoakKind::Clock => "clock",
             SoakKind::ClientLink => "client-link",
             SoakKind::PlatformLink => "platform-link",
@@ -92,13 +92,13 @@
     }
 
     /// The kind with this name.
-    pub fn named(word: &str) -> Option<SoakKind> {
-        SoakKind::ALL.into_iter().find(|kind| kind.word() == word)
+    pub fn from_name(name: &str) -> Option<SoakKind> {
+        SoakKind::ALL.into_iter().find(|kind| kind.name() == name)
     }
 }
 
 impl Display for SoakKind {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
-        formatter.write_str(self.word())
+        formatter.write_str(self.name())
     }
 }
--- a/crates/sailcart-lab/src/soak/machine.rs
+++ b/crates/sailcart-lab/src/soak/machine.rs
@@ -9,8 +9,8 @@
 };
 
 use super::kinds::SoakKind;
-use super::proxy::Manner;
-use super::schedule::Planned;
+use super::proxy::LinkFault;
+use super::schedule::PlannedTrouble;
 use crate::plan::{SenderId, seeded_rng};
 
 /// The stream of random numbers for these draws.
@@ -24,87 +24,102 @@
     pub sender: SenderId,
     pub from: Duration,
     pub until: Duration,
-    pub what: What,
+    pub effect: TroubleEffect,
 }
 
 /// The effect of a trouble.
 #[derive(Clone, Copy, Debug)]
-pub enum What {
+pub enum TroubleEffect {
     /// The process is stopped for this long, repeatedly.
     Pause(Duration),
     /// Operations on files fail with this error number: during `window` in each `period`, or throughout if
     /// `period` is zero.
     Folder { errno: i32, window: Duration, period: Duration },
     /// Socket calls are short or interrupted, and broken connections return this error number.
-    ShortCalls { broken: i32 },
+    ShortCalls { errno: i32 },
     /// These system calls fail temporarily with the given error numbers.
-    OwnFaults { accept: i32, socket: i32, connect: i32 },
+    LocalErrors { accept: i32, socket: i32, connect: i32 },
     /// The wall clock is stepped by this number of milliseconds, and back at the end.
     Clock(i64),
     /// A fault on the link from clients.
-    ClientLink(Manner),
+    ClientLink(LinkFault),
     /// A fault on the link to discovery and the receiver of notices.
-    PlatformLink(Manner),
+    PlatformLink(LinkFault),
     /// A fault on the links to endpoints.
-    EndpointLink(Manner),
+    EndpointLink(LinkFault),
 }
 
 /// Whether any of the troubles needs proxies on the links of the senders.
 pub fn needs_links(troubles: &[MachineTrouble]) -> bool {
-    let on_link =
-        |what: &What| matches!(what, What::ClientLink(_) | What::PlatformLink(_) | What::EndpointLink(_));
-    troubles.iter().any(|trouble| on_link(&trouble.what))
+    let on_link = |effect: &TroubleEffect| {
+        matches!(
+            effect,
+            TroubleEffect::ClientLink(_) | TroubleEffect::PlatformLink(_) | TroubleEffect::EndpointLink(_)
+        )
+    };
+    troubles.iter().any(|trouble| on_link(&trouble.effect))
 }
 
 /// Draws those troubles of the schedule that affect machines and links, for each sender concerned.
-pub fn troubles(schedule: &[Planned], senders: usize, seed: u64) -> Vec<MachineTrouble> {
+pub fn draw_troubles(schedule: &[PlannedTrouble], senders: usize, seed: u64) -> Vec<MachineTrouble> {
     let mut rng = seeded_rng(seed, RNG_STREAM);
     let mut drawn = Vec::new();
     for planned in schedule {
         for sender in (0..senders).map(SenderId) {
-            let what = draw_effect(planned.kind, &mut rng);
+            let effect = draw_effect(planned.kind, &mut rng);
             if rng.random_ratio(1, UNAFFECTED_ONE_IN) {
                 continue;
             }
-            let trouble =
-                what.map(|what| MachineTrouble { sender, from: planned.from, until: planned.until, what });
+            let trouble = effect.map(|effect| MachineTrouble {
+                sender,
+                from: planned.from,
+                until: planned.until,
+                effect,
+            });
             drawn.extend(trouble);
         }
     }
     drawn
 }
 
-fn draw_effect(kind: SoakKind, rng: &mut impl Rng) -> Option<What> {
+fn draw_effect(kind: SoakKind, rng: &mut impl Rng) -> Option<TroubleEffect> {
     let ms = Duration::from_millis;
     let mut draw_errno = |errnos: &[i32]| errnos.choose(rng).copied().unwrap_or(EIO);
     Some(match kind {
-        SoakKind::Pause => What::Pause(ms(120)),
+        SoakKind::Pause => TroubleEffect::Pause(ms(120)),
         SoakKind::Folder => {
             let errno = draw_errno(&[ENOSPC, EIO]);
             // For one sender in three, files fail without interruption.
             let period = if rng.random_ratio(1, 3) { ms(0) } else { ms(1500) };
-            What::Folder { errno, window: ms(400), period }
+            TroubleEffect::Folder { errno, window: ms(400), period }
         }
-        SoakKind::ShortCalls => What::ShortCalls { broken: draw_errno(&[ETIMEDOUT, EHOSTUNREACH]) },
-        SoakKind::OwnFaults => What::OwnFaults {
+        SoakKind::ShortCalls => TroubleEffect::ShortCalls { errno: draw_errno(&[ETIMEDOUT, EHOSTUNREACH]) },
+        SoakKind::LocalErrors => TroubleEffect::LocalErrors {
             accept: draw_errno(&[ECONNABORTED, ENFILE, ENOBUFS, EMFILE]),
             socket: draw_errno(&[ENFILE, ENOBUFS, EMFILE]),
             connect: draw_errno(&[EADDRNOTAVAIL, ENOBUFS, ENETUNREACH]),
         },
-        SoakKind::Clock => {
-            What::Clock(*[-3_600_000, -40_000, -4000, 4000, 40_000, 3_600_000].choose(rng).unwrap_or(&4000))
-        }
-        SoakKind::ClientLink => What::ClientLink(draw_link_fault(rng, false)),
-        SoakKind::PlatformLink => What::PlatformLink(draw_link_fault(rng, true)),
-        SoakKind::EndpointLink => What::EndpointLink(
-            *[Manner::Delay, Manner::Trickle, Manner::Cut].choose(rng).unwrap_or(&Manner::Delay),
+        SoakKind::Clock => TroubleEffect::Clock(
+            *[-3_600_000, -40_000, -4000, 4000, 40_000, 3_600_000].choose(rng).unwrap_or(&4000),
+        ),
+        SoakKind::ClientLink => TroubleEffect::ClientLink(draw_link_fault(rng, false)),
+        SoakKind::PlatformLink => TroubleEffect::PlatformLink(draw_link_fault(rng, true)),
+        SoakKind::EndpointLink => TroubleEffect::EndpointLink(
+            *[LinkFault::Delay, LinkFault::Trickle, LinkFault::Cut].choose(rng).unwrap_or(&LinkFault::Delay),
         ),
         _ => return None,
     })
 }
 
-fn draw_link_fault(rng: &mut impl Rng, with_silent: bool) -> Manner {
-    let all = [Manner::Delay, Manner::Trickle, Manner::Cut, Manner::Reset, Manner::HalfClose, Manner::Silent];
+fn draw_link_fault(rng: &mut impl Rng, with_silent: bool) -> LinkFault {
+    let all = [
+        LinkFault::Delay,
+        LinkFault::Trickle,
+        LinkFault::Cut,
+        LinkFault::Reset,
+        LinkFault::HalfClose,
+        LinkFault::Silent,
+    ];
     let count = if with_silent { all.len() } else { all.len() - 1 };
-    *all[..count].choose(rng).unwrap_or(&Manner::Delay)
+    *all[..count].choose(rng).unwrap_or(&LinkFault::Delay)
 }
--- a/crates/sailcart-lab/src/soak/mod.rs
+++ b/crates/sailcart-lab/src/soak/mod.rs
@@ -7,9 +7,9 @@
 pub mod experiment;
 pub mod kinds;
 pub mod machine;
+pub mod packet_trace;
 pub mod proxy;
 pub mod schedule;
-pub mod story;
 pub mod verdict;
 
 use std::collections::BTreeMap;
@@ -22,7 +22,7 @@
 use crate::plan::Plan;
 use crate::sockets;
 use kinds::SoakKind;
-use schedule::{Pair, Planned};
+use schedule::{KindPair, PlannedTrouble};
 use verdict::Verdict;
 
 /// The longest time for which discovery may be unreachable. The grace period of draining endpoints is a
@@ -69,7 +69,7 @@
 struct Run {
     seed: u64,
     senders: usize,
-    schedule: Vec<Planned>,
+    schedule: Vec<PlannedTrouble>,
 }
 
 /// Executes the runs one after the other and prints their verdicts. Returns whether all passed.
@@ -79,10 +79,12 @@
 pub fn run(options: &Options) -> Result<bool, LabError> {
     let span = Duration::from_secs(options.span);
     let schedules = schedules(options, span)?;
-    let (mut covered, mut all_passed) = (BTreeMap::<Pair, usize>::new(), true);
+    let (mut covered, mut all_passed) = (BTreeMap::<KindPair, usize>::new(), true);
     for (number, schedule) in schedules.into_iter().enumerate() {
         let run = Run { seed: options.seed + number as u64, senders: options.senders, schedule };
-        schedule::pairs(&run.schedule).into_iter().for_each(|pair| *covered.entry(pair).or_default() += 1);
+        schedule::overlapping_pairs(&run.schedule)
+            .into_iter()
+            .for_each(|pair| *covered.entry(pair).or_default() += 1);
         let folder = options.out.join(format!("seed-{}", run.seed));
         let verdict = execute(options, &run, &folder)?;
         println!("seed {}: {} [{}]", run.seed, verdict, format_schedule(&run.schedule));
@@ -100,28 +102,28 @@
     Ok(all_passed)
 }
 
-fn schedules(options: &Options, span: Duration) -> Result<Vec<Vec<Planned>>, LabError> {
+fn schedules(options: &Options, span: Duration) -> Result<Vec<Vec<PlannedTrouble>>, LabError> {
     if options.calm {
         return Ok(vec![Vec::new(); options.runs]);
     }
     if options.only.is_empty() {
-        return Ok(schedule::row(options.seed, options.runs, span));
+        return Ok(schedule::draw_schedules(options.seed, options.runs, span));
     }
     let find_kind = |name: &String| {
-        let found = SoakKind::named(name);
+        let found = SoakKind::from_name(name);
         found.ok_or_else(|| LabError(format!("--only: unknown kind of trouble {name}")))
     };
     let kinds: Vec<SoakKind> = options.only.iter().map(find_kind).collect::<Result<_, _>>()?;
     let planned = kinds.iter().map(|kind| {
-        let cuts_off_discovery = matches!(kind, SoakKind::PlatformLink | SoakKind::ListSilent);
+        let cuts_off_discovery = matches!(kind, SoakKind::PlatformLink | SoakKind::DiscoverySilent);
         let max_duration = if cuts_off_discovery { MAX_DISCOVERY_OUTAGE } else { span };
-        Planned { kind: *kind, from: span / 8, until: (span / 8 + max_duration).min(span * 7 / 8) }
+        PlannedTrouble { kind: *kind, from: span / 8, until: (span / 8 + max_duration).min(span * 7 / 8) }
     });
     Ok(vec![planned.collect(); options.runs])
 }
 
-fn format_schedule(schedule: &[Planned]) -> String {
-    let format_trouble = |planned: &Planned| {
+fn format_schedule(schedule: &[PlannedTrouble]) -> String {
+    let format_trouble = |planned: &PlannedTrouble| {
         format!("{} {:.1}-{:.1}", planned.kind, planned.from.as_secs_f64(), planned.until.as_secs_f64())
     };
     schedule.iter().map(format_trouble).collect::<Vec<_>>().join(", ")
@@ -133,12 +135,13 @@
     let _ = fs::remove_dir_all(folder);
     fs::create_dir_all(folder).map_err(io_error)?;
     let span = Duration::from_secs(options.span);
-    let experiment = experiment::of(&run.schedule, run.senders, span, options.rate);
+    let experiment = experiment::build(&run.schedule, run.senders, span, options.rate);
     fs::write(folder.join("schedule.txt"), format_schedule(&run.schedule)).map_err(io_error)?;
     let plan = Plan::new(experiment, run.seed)?;
     let log = EventLog::create(folder).map_err(io_error)?;
-    let machine_troubles = machine::troubles(&run.schedule, run.senders, run.seed);
-    let outcome = sockets::soak(&plan, log, options.sender.as_deref(), folder, &machine_troubles)?;
+    let machine_troubles = machine::draw_troubles(&run.schedule, run.senders, run.seed);
+    let outcome =
+        sockets::run_soak_experiment(&plan, log, options.sender.as_deref(), folder, &machine_troubles)?;
     outcome.write(folder).map_err(io_error)?;
     Ok(Verdict::of(&outcome, folder))
 }
@@ -182,7 +185,7 @@
 }
 
 /// The number of pairs of kinds that were covered, the pairs that were not, and those covered more than once.
-fn coverage_table(covered: &BTreeMap<Pair, usize>) -> String {
+fn coverage_table(covered: &BTreeMap<KindPair, usize>) -> String {
     let all = schedule::all_pairs();
     let mut text = format!("{} of {} pairs of kinds covered", covered.len(), all.len());
     let missing: Vec<String> =
--- a/crates/sailcart-lab/src/soak/story.rs
+++ b/crates/sailcart-lab/src/soak/packet_trace.rs
@@ -12,7 +12,7 @@
 ///
 /// # Errors
 /// The error of reading the folder, its events or its logs.
-pub fn story(folder: &Path, packet: u64) -> io::Result<String> {
+pub fn trace_packet(folder: &Path, packet: u64) -> io::Result<String> {
     let mut text = observed_events(folder, packet)?;
     let mut logs: Vec<_> = fs::read_dir(folder)?
         .flatten()
--- a/crates/sailcart-lab/src/soak/proxy.rs
+++ b/crates/sailcart-lab/src/soak/proxy.rs
@@ -23,7 +23,7 @@
 
 /// A fault of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
+pub enum LinkFault {
     /// Each chunk is delayed by up to 30 ms.
     Delay,
     /// Each chunk is sent in small writes, 1 ms apart.
@@ -51,7 +51,7 @@
     /// The address that the proxy listens on.
     pub address: SocketAddr,
     target: SocketAddr,
-    fault: Cell<Option<Manner>>,
+    fault: Cell<Option<LinkFault>>,
     /// Cuts, resets and half-closes affect only bytes to the target. The emulated receiver regards an answer
     /// that it has written as received by the sender, so answers must not be lost.
     faults_to_target_only: bool,
@@ -86,7 +86,7 @@
     }
 
     /// Sets the fault of the link; `None` forwards unchanged.
-    pub fn set(&self, fault: Option<Manner>) {
+    pub fn set_fault(&self, fault: Option<LinkFault>) {
         self.fault.set(fault);
     }
 
@@ -131,32 +131,32 @@
             let bytes = &chunk[..length];
             let may_break = direction == Direction::ToTarget || !self.faults_to_target_only;
             match self.fault.get() {
-                Some(Manner::Delay) => {
+                Some(LinkFault::Delay) => {
                     sleep(Duration::from_millis(self.random_below(30) as u64)).await;
                     to.write_all(bytes).await?;
                 }
-                Some(Manner::Trickle) => {
+                Some(LinkFault::Trickle) => {
                     for part in bytes.chunks(MIN_TRICKLE_WRITE_BYTES.max(length / 16)) {
                         to.write_all(part).await?;
                         sleep(Duration::from_millis(1)).await;
                     }
                 }
-                Some(Manner::Cut) if may_break && self.draw_affected() => {
+                Some(LinkFault::Cut) if may_break && self.draw_affected() => {
                     to.write_all(&bytes[..self.random_below(length)]).await?;
                     return Err(io::ErrorKind::BrokenPipe.into());
                 }
-                Some(Manner::Reset) if may_break && self.draw_affected() => {
+                Some(LinkFault::Reset) if may_break && self.draw_affected() => {
                     reset(to.as_ref());
                     reset(from.as_ref());
                     return Err(io::ErrorKind::ConnectionReset.into());
                 }
-                Some(Manner::HalfClose) if may_break && self.draw_affected() => {
+                Some(LinkFault::HalfClose) if may_break && self.draw_affected() => {
                     to.write_all(bytes).await?;
                     to.shutdown().await?;
                     return Ok(());
                 }
-                Some(Manner::Silent) if direction == Direction::ToClient => {
-                    while self.fault.get() == Some(Manner::Silent) {
+                Some(LinkFault::Silent) if direction == Direction::ToClient => {
+                    while self.fault.get() == Some(LinkFault::Silent) {
                         sleep(Duration::from_millis(50)).await;
                     }
                     return Err(io::ErrorKind::TimedOut.into());
--- a/crates/sailcart-lab/src/soak/schedule.rs
+++ b/crates/sailcart-lab/src/soak/schedule.rs
@@ -19,27 +19,27 @@
 
 /// A trouble with its period, relative to the start of the run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Planned {
+pub struct PlannedTrouble {
     pub kind: SoakKind,
     pub from: Duration,
     pub until: Duration,
 }
 
-impl Planned {
-    fn overlaps(&self, other: &Planned) -> bool {
+impl PlannedTrouble {
+    fn overlaps(&self, other: &PlannedTrouble) -> bool {
         self.from < other.until && other.from < self.until
     }
 }
 
 /// Two kinds of trouble, the lesser first.
-pub type Pair = (SoakKind, SoakKind);
+pub type KindPair = (SoakKind, SoakKind);
 
-fn pair(a: SoakKind, b: SoakKind) -> Pair {
+fn pair(a: SoakKind, b: SoakKind) -> KindPair {
     (a.min(b), a.max(b))
 }
 
 /// The pairs of kinds whose periods overlap.
-pub fn pairs(schedule: &[Planned]) -> BTreeSet<Pair> {
+pub fn overlapping_pairs(schedule: &[PlannedTrouble]) -> BTreeSet<KindPair> {
     let mut overlapping = BTreeSet::new();
     for (index, planned) in schedule.iter().enumerate() {
         let later = schedule[index + 1..].iter().filter(|other| planned.overlaps(other));
@@ -49,7 +49,7 @@
 }
 
 /// All pairs of two different kinds.
-pub fn all_pairs() -> BTreeSet<Pair> {
+pub fn all_pairs() -> BTreeSet<KindPair> {
     let all = SoakKind::ALL;
     all.iter().enumerate().flat_map(|(index, a)| all[index + 1..].iter().map(|b| pair(*a, *b))).collect()
 }
@@ -57,12 +57,12 @@
 /// Draws the schedules of consecutive runs, each of the given span. Each group takes a pair of kinds that no
 /// earlier group covered and then the kind that adds the most uncovered pairs, so that all pairs are covered
 /// in few runs. Once all are covered, it starts again with all pairs.
-pub fn row(seed: u64, runs: usize, span: Duration) -> Vec<Vec<Planned>> {
+pub fn draw_schedules(seed: u64, runs: usize, span: Duration) -> Vec<Vec<PlannedTrouble>> {
     let mut rng = seeded_rng(seed, RNG_STREAM);
     let mut uncovered = all_pairs();
     let mut schedules = Vec::new();
     for _ in 0..runs {
-        let mut schedule: Vec<Planned> = Vec::new();
+        let mut schedule: Vec<PlannedTrouble> = Vec::new();
         for group in 0..GROUPS_PER_RUN {
             if uncovered.is_empty() {
                 uncovered = all_pairs();
@@ -73,17 +73,17 @@
                 // All troubles of a group are active in its middle third.
                 let from = begin + length.mul_f64(rng.random_range(0.05..0.33));
                 let until = begin + length.mul_f64(rng.random_range(0.67..0.95));
-                schedule.push(Planned { kind: *kind, from, until });
+                schedule.push(PlannedTrouble { kind: *kind, from, until });
             }
         }
-        uncovered.retain(|pair| !pairs(&schedule).contains(pair));
+        uncovered.retain(|pair| !overlapping_pairs(&schedule).contains(pair));
         schedules.push(schedule);
     }
     schedules
 }
 
-fn draw_group(uncovered: &BTreeSet<Pair>, rng: &mut impl Rng) -> Vec<SoakKind> {
-    let uncovered_pairs: Vec<Pair> = uncovered.iter().copied().collect();
+fn draw_group(uncovered: &BTreeSet<KindPair>, rng: &mut impl Rng) -> Vec<SoakKind> {
+    let uncovered_pairs: Vec<KindPair> = uncovered.iter().copied().collect();
     let Some((a, b)) = uncovered_pairs.choose(rng).copied() else { return Vec::new() };
     let mut kinds = vec![a, b];
     while kinds.len() < TROUBLES_PER_GROUP {
--- a/crates/sailcart-lab/src/sockets/clients.rs
+++ b/crates/sailcart-lab/src/sockets/clients.rs
@@ -18,7 +18,7 @@
 
 use super::process::SenderProcesses;
 use super::protocol::submit_command;
-use super::shared::SharedState;
+use super::shared_state::SharedState;
 use crate::experiment::choose_by_key;
 use crate::plan::{PlannedPacketId, ScheduledTrouble, SenderId, seeded_rng};
 use crate::results::tally::Counter;
--- a/crates/sailcart-lab/src/sockets/discovery.rs
+++ b/crates/sailcart-lab/src/sockets/discovery.rs
@@ -16,7 +16,7 @@
 
 use super::http::{Call, CallReader, bodiless_response, response};
 use super::protocol::list_entry;
-use super::shared::SharedState;
+use super::shared_state::SharedState;
 use crate::experiment::TroubleKind;
 use crate::plan::{ListChange, ListState, SenderId};
 use crate::watcher::{CompletionKind, Observation};
--- a/crates/sailcart-lab/src/sockets/endpoints.rs
+++ b/crates/sailcart-lab/src/sockets/endpoints.rs
@@ -14,7 +14,7 @@
 
 use super::http::{CallReader, response};
 use super::protocol::{packets_in_call, response_bytes};
-use super::shared::SharedState;
+use super::shared_state::SharedState;
 use crate::plan::SenderId;
 use crate::receivers::{Answer, ConnectResult, Reception, TroubleSchedule};
 use crate::results::tally::Counter;
--- a/crates/sailcart-lab/src/sockets/machine_troubles.rs
+++ b/crates/sailcart-lab/src/sockets/machine_troubles.rs
@@ -10,10 +10,10 @@
 use tokio::time::{sleep, sleep_until};
 
 use super::process::SenderProcesses;
-use super::shared::SharedState;
+use super::shared_state::SharedState;
 use crate::plan::SenderId;
-use crate::soak::machine::{MachineTrouble, What};
-use crate::soak::proxy::{Manner, Proxy};
+use crate::soak::machine::{MachineTrouble, TroubleEffect};
+use crate::soak::proxy::{LinkFault, Proxy};
 use crate::watcher::Observation;
 
 /// Share of the calls that fail with a local error of the sender's host, in thousandths.
@@ -49,12 +49,12 @@
             let targets = self.clone();
             spawn_local(async move {
                 sleep_until(targets.shared.instant(trouble.from)).await;
-                if let What::Pause(pause) = trouble.what {
+                if let TroubleEffect::Pause(pause) = trouble.effect {
                     return targets.pause_repeatedly(trouble, pause).await;
                 }
-                targets.apply(trouble.sender, trouble.what, true);
+                targets.apply(trouble.sender, trouble.effect, true);
                 sleep_until(targets.shared.instant(trouble.until)).await;
-                targets.apply(trouble.sender, trouble.what, false);
+                targets.apply(trouble.sender, trouble.effect, false);
             });
         }
     }
@@ -70,53 +70,53 @@
     }
 
     /// Starts or ends one trouble.
-    fn apply(&self, sender: SenderId, what: What, active: bool) {
+    fn apply(&self, sender: SenderId, effect: TroubleEffect, active: bool) {
         let links = self.links.get(sender.0);
-        let if_active = |manner: Manner| active.then_some(manner);
-        match what {
-            What::ClientLink(manner) => {
-                links.into_iter().for_each(|links| links.client_proxy.set(if_active(manner)))
+        let if_active = |fault: LinkFault| active.then_some(fault);
+        match effect {
+            TroubleEffect::ClientLink(fault) => {
+                links.into_iter().for_each(|links| links.client_proxy.set_fault(if_active(fault)))
             }
-            What::PlatformLink(manner) => {
-                links.into_iter().for_each(|links| links.platform_proxy.set(if_active(manner)))
+            TroubleEffect::PlatformLink(fault) => {
+                links.into_iter().for_each(|links| links.platform_proxy.set_fault(if_active(fault)))
             }
-            What::EndpointLink(manner) => {
+            TroubleEffect::EndpointLink(fault) => {
                 let proxies = links.into_iter().flat_map(|links| &links.endpoint_proxies);
-                proxies.for_each(|proxy| proxy.set(if_active(manner)));
+                proxies.for_each(|proxy| proxy.set_fault(if_active(fault)));
             }
-            _ => self.set_machine_fault(sender, what, active),
+            _ => self.set_machine_fault(sender, effect, active),
         }
     }
 
     /// Starts or ends a fault that the shim injects. Does nothing if the sender does not run under the shim.
-    fn set_machine_fault(&self, sender: SenderId, what: What, active: bool) {
+    fn set_machine_fault(&self, sender: SenderId, effect: TroubleEffect, active: bool) {
         let Some(control_page) = self.processes.control_page(sender) else { return };
-        if matches!(what, What::Folder { .. }) {
+        if matches!(effect, TroubleEffect::Folder { .. }) {
             self.shared.observe(Observation::StateFolder { sender, fails: active });
         }
-        if let Err(error) = write_settings(control_page, what, active) {
+        if let Err(error) = write_settings(control_page, effect, active) {
             log::error!("sender {}: code=no_page {error}", sender.0);
         }
     }
 }
 
 /// Writes the settings of a fault to the control page, or resets them if it is not active.
-fn write_settings(control_page: &Page, what: What, active: bool) -> std::io::Result<()> {
+fn write_settings(control_page: &Page, effect: TroubleEffect, active: bool) -> std::io::Result<()> {
     let errno_if_active = |errno: i32| if active { errno } else { 0 };
     let share_if_active = |per_mille: i64| if active { per_mille } else { 0 };
-    match what {
-        What::Folder { errno, window, period } => {
+    match effect {
+        TroubleEffect::Folder { errno, window, period } => {
             control_page.set_file_fault_windows(window, period)?;
             control_page.files_fail(errno_if_active(errno))
         }
-        What::ShortCalls { broken } => {
+        TroubleEffect::ShortCalls { errno } => {
             control_page.set(Word::ReadCutMost, MAX_SHORT_READ_BYTES)?;
             control_page.set(Word::ReadCut, share_if_active(SHORT_CALLS_PER_MILLE))?;
             control_page.set(Word::WriteCut, share_if_active(SHORT_CALLS_PER_MILLE))?;
             control_page.set(Word::WaitInterrupted, share_if_active(INTERRUPTED_WAITS_PER_MILLE))?;
-            control_page.set(Word::ConnectionResetErrno, errno_if_active(broken).into())
+            control_page.set(Word::ConnectionResetErrno, errno_if_active(errno).into())
         }
-        What::OwnFaults { accept, socket, connect } => {
+        TroubleEffect::LocalErrors { accept, socket, connect } => {
             control_page.share(
                 (Word::Accept, accept),
                 (Word::AcceptPerMille, share_if_active(LOCAL_ERRORS_PER_MILLE)),
@@ -130,7 +130,7 @@
                 (Word::ConnectPerMille, share_if_active(LOCAL_ERRORS_PER_MILLE)),
             )
         }
-        What::Clock(step) => control_page.set(Word::WallStep, if active { step } else { 0 }),
+        TroubleEffect::Clock(step) => control_page.set(Word::WallStep, if active { step } else { 0 }),
         _ => Ok(()),
     }
 }
--- a/crates/sailcart-lab/src/sockets/mod.rs
+++ b/crates/sailcart-lab/src/sockets/mod.rs
@@ -9,7 +9,7 @@
 mod machine_troubles;
 mod process;
 mod protocol;
-mod shared;
+mod shared_state;
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -27,9 +27,9 @@
 use crate::soak::machine::{MachineTrouble, needs_links};
 use crate::soak::proxy::Proxy;
 use machine_troubles::{Links, TroubleTargets};
-pub use process::keep;
+pub use process::exec_sender;
 use process::{ProcessOptions, SenderProcesses};
-use shared::SharedState;
+use shared_state::SharedState;
 
 /// Maximum time for a sender to answer its first `PING` at the start of a run.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
@@ -80,7 +80,7 @@
 ///
 /// # Errors
 /// As [`run`].
-pub fn soak(
+pub fn run_soak_experiment(
     plan: &Plan,
     log: EventLog,
     program: Option<&Path>,
@@ -262,7 +262,7 @@
 ///
 /// # Errors
 /// If a socket or file cannot be opened.
-pub fn receivers(
+pub fn run_receivers(
     plan: &Plan,
     discovery: SocketAddr,
     sender: SocketAddr,
@@ -270,7 +270,7 @@
 ) -> Result<(), LabError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(error_context("runtime"))?;
-    let run_receivers = async {
+    let session = async {
         let shared = SharedState::standalone(plan.clone());
         let addresses = endpoints::open_all(&shared).await.map_err(error_context("receivers"))?;
         let discovery_address =
@@ -295,17 +295,21 @@
             }
         }
     };
-    LocalSet::new().block_on(&runtime, run_receivers)
+    LocalSet::new().block_on(&runtime, session)
 }
 
 /// Runs only the clients, against a sender that is already running.
 ///
 /// # Errors
 /// If the sender does not answer `PING`.
-pub fn load(plan: &Plan, to: SocketAddr, progress: &mut dyn FnMut(Duration)) -> Result<Outcome, LabError> {
+pub fn run_clients(
+    plan: &Plan,
+    to: SocketAddr,
+    progress: &mut dyn FnMut(Duration),
+) -> Result<Outcome, LabError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(error_context("runtime"))?;
-    let run_clients = async {
+    let session = async {
         let shared = SharedState::standalone(plan.clone());
         let processes = SenderProcesses::external(&shared, to);
         processes.wait_until_ready(SenderId(0), READY_TIMEOUT).await?;
@@ -319,5 +323,5 @@
         }
         Ok(shared.finish(Mode::Sockets, PolicyName::Sailcart, Vec::new()))
     };
-    LocalSet::new().block_on(&runtime, run_clients)
+    LocalSet::new().block_on(&runtime, session)
 }
--- a/crates/sailcart-lab/src/sockets/process.rs
+++ b/crates/sailcart-lab/src/sockets/process.rs
@@ -20,7 +20,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use super::protocol;
-use super::shared::SharedState;
+use super::shared_state::SharedState;
 use crate::experiment::LabError;
 use crate::plan::SenderId;
 use crate::results::Cost;
@@ -57,7 +57,7 @@
 
 /// Replaces this process by the program and has it killed when the process `parent` ends. Returns only on an
 /// error.
-pub fn keep(parent: i32, program: &Path, arguments: &[String]) -> io::Error {
+pub fn exec_sender(parent: i32, program: &Path, arguments: &[String]) -> io::Error {
     if let Err(error) = set_pdeathsig(Signal::SIGKILL) {
         return error.into();
     }
--- a/crates/sailcart-lab/tests/soak.rs
+++ b/crates/sailcart-lab/tests/soak.rs
@@ -11,8 +11,8 @@
 use sailcart_lab::experiment::Repeat;
 use sailcart_lab::plan::{Plan, PlannedPacketId, SenderId, seeded_rng};
 use sailcart_lab::soak::kinds::SoakKind;
-use sailcart_lab::soak::proxy::{Manner, Proxy};
-use sailcart_lab::soak::schedule::{Planned, all_pairs, pairs, row};
+use sailcart_lab::soak::proxy::{LinkFault, Proxy};
+use sailcart_lab::soak::schedule::{PlannedTrouble, all_pairs, draw_schedules, overlapping_pairs};
 use sailcart_lab::soak::{experiment, machine};
 use sailcart_lab::watcher::{
     CallId, CompletionKind, Observation, Rule, SubmittedPacket, UpstreamId, Watcher,
@@ -26,14 +26,15 @@
 
 #[test]
 fn schedules_cover_all_pairs_of_kinds_and_depend_only_on_the_seed() {
-    let schedules = row(7, 60, RUN_SPAN);
-    assert_eq!(schedules, row(7, 60, RUN_SPAN));
-    assert_ne!(schedules, row(8, 60, RUN_SPAN));
-    let covered_pairs: BTreeSet<_> = schedules.iter().flat_map(|schedule| pairs(schedule)).collect();
+    let schedules = draw_schedules(7, 60, RUN_SPAN);
+    assert_eq!(schedules, draw_schedules(7, 60, RUN_SPAN));
+    assert_ne!(schedules, draw_schedules(8, 60, RUN_SPAN));
+    let covered_pairs: BTreeSet<_> =
+        schedules.iter().flat_map(|schedule| overlapping_pairs(schedule)).collect();
     assert_eq!(covered_pairs, all_pairs());
     // Troubles that are drawn together overlap in time, and all lie within the span.
     for schedule in &schedules {
-        assert_eq!(pairs(&schedule[..3]).len(), 3);
+        assert_eq!(overlapping_pairs(&schedule[..3]).len(), 3);
         assert!(schedule.iter().all(|planned| planned.from < planned.until && planned.until < RUN_SPAN));
     }
 }
@@ -42,11 +43,11 @@
 #[test]
 fn every_kind_has_an_effect() {
     for kind in SoakKind::ALL {
-        let schedule = [Planned { kind, from: RUN_SPAN / 4, until: RUN_SPAN / 2 }];
-        let soak_experiment = experiment::of(&schedule, 8, RUN_SPAN, 40.0);
-        let machine = machine::troubles(&schedule, 8, 1);
+        let schedule = [PlannedTrouble { kind, from: RUN_SPAN / 4, until: RUN_SPAN / 2 }];
+        let soak_experiment = experiment::build(&schedule, 8, RUN_SPAN, 40.0);
+        let machine = machine::draw_troubles(&schedule, 8, 1);
         assert!(soak_experiment.troubles.len() == 1 || machine.len() > 2, "{kind}");
-        assert_eq!(SoakKind::named(kind.word()), Some(kind));
+        assert_eq!(SoakKind::from_name(kind.name()), Some(kind));
         Plan::new(soak_experiment, 1).expect("a valid experiment");
     }
 }
@@ -76,8 +77,8 @@
     LocalSet::new().block_on(&runtime, async {
         let proxy = Proxy::open(echo_server(), false, seeded_rng(1, 1)).await.expect("a proxy");
         let mut answers = Vec::new();
-        for manner in [None, Some(Manner::Delay), Some(Manner::Trickle)] {
-            proxy.set(manner);
+        for fault in [None, Some(LinkFault::Delay), Some(LinkFault::Trickle)] {
+            proxy.set_fault(fault);
             let mut stream = TcpStream::connect(proxy.address).await.expect("a connection");
             stream.write_all(&[7; 200]).await.expect("bytes written");
             let mut answer = [0; 200];
@@ -85,22 +86,22 @@
             answers.push(answer);
         }
         assert!(answers.iter().all(|answer| *answer == [7; 200]));
-        for manner in [Manner::Cut, Manner::Reset, Manner::HalfClose] {
-            proxy.set(Some(manner));
+        for fault in [LinkFault::Cut, LinkFault::Reset, LinkFault::HalfClose] {
+            proxy.set_fault(Some(fault));
             let mut stream = TcpStream::connect(proxy.address).await.expect("a connection");
             let mut round_trips = 0;
             let mut answer = [0; 200];
             while stream.write_all(&[7; 200]).await.is_ok() && stream.read_exact(&mut answer).await.is_ok() {
                 round_trips += 1;
-                assert!(round_trips < 500, "{manner:?} had no effect");
+                assert!(round_trips < 500, "{fault:?} had no effect");
             }
         }
-        proxy.set(Some(Manner::Silent));
+        proxy.set_fault(Some(LinkFault::Silent));
         let mut stream = TcpStream::connect(proxy.address).await.expect("a connection");
         stream.write_all(&[7; 200]).await.expect("bytes written");
         let read = timeout(Duration::from_millis(300), stream.read(&mut [0; 200])).await;
         assert!(read.is_err(), "no data is returned");
-        proxy.set(None);
+        proxy.set_fault(None);
         let closed = timeout(Duration::from_secs(1), stream.read(&mut [0; 200]))
             .await
             .expect("the connection is closed");
@@ -113,7 +114,7 @@
 #[test]
 fn a_repeated_dismissal_is_no_violation_but_a_late_one_is() {
     let ms = Duration::from_millis;
-    let soak_experiment = experiment::of(&[], 2, RUN_SPAN, 40.0);
+    let soak_experiment = experiment::build(&[], 2, RUN_SPAN, 40.0);
     let plan = Plan::new(soak_experiment.clone(), 1).expect("a plan");
     let unrepeatable = plan
         .planned_packets
