--- a/crates/sailcart-lab/src/sockets/machine_troubles.rs
+++ b/crates/sailcart-lab/src/sockets/machine_troubles.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use sailcart_shim::{Page, Word};
+use sailcart_shim::{ControlPage, Setting};
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until};
 
@@ -101,36 +101,39 @@
 }
 
 /// Writes the settings of a fault to the control page, or resets them if it is not active.
-fn write_settings(control_page: &Page, effect: TroubleEffect, active: bool) -> std::io::Result<()> {
+fn write_settings(control_page: &ControlPage, effect: TroubleEffect, active: bool) -> std::io::Result<()> {
     let errno_if_active = |errno: i32| if active { errno } else { 0 };
     let share_if_active = |per_mille: i64| if active { per_mille } else { 0 };
     match effect {
         TroubleEffect::Folder { errno, window, period } => {
             control_page.set_file_fault_windows(window, period)?;
-            control_page.files_fail(errno_if_active(errno))
+            control_page.fail_files(errno_if_active(errno))
         }
         TroubleEffect::ShortCalls { errno } => {
-            control_page.set(Word::ReadCutMost, MAX_SHORT_READ_BYTES)?;
-            control_page.set(Word::ReadCut, share_if_active(SHORT_CALLS_PER_MILLE))?;
-            control_page.set(Word::WriteCut, share_if_active(SHORT_CALLS_PER_MILLE))?;
-            control_page.set(Word::WaitInterrupted, share_if_active(INTERRUPTED_WAITS_PER_MILLE))?;
-            control_page.set(Word::ConnectionResetErrno, errno_if_active(errno).into())
+            control_page.set(Setting::ShortReadMaxBytes, MAX_SHORT_READ_BYTES)?;
+            control_page.set(Setting::ShortReadPerMille, share_if_active(SHORT_CALLS_PER_MILLE))?;
+            control_page.set(Setting::ShortWritePerMille, share_if_active(SHORT_CALLS_PER_MILLE))?;
+            control_page
+                .set(Setting::WaitInterruptedPerMille, share_if_active(INTERRUPTED_WAITS_PER_MILLE))?;
+            control_page.set(Setting::ConnectionResetErrno, errno_if_active(errno).into())
         }
         TroubleEffect::LocalErrors { accept, socket, connect } => {
-            control_page.share(
-                (Word::Accept, accept),
-                (Word::AcceptPerMille, share_if_active(LOCAL_ERRORS_PER_MILLE)),
+            control_page.fail_share(
+                (Setting::AcceptErrno, accept),
+                (Setting::AcceptPerMille, share_if_active(LOCAL_ERRORS_PER_MILLE)),
             )?;
-            control_page.share(
-                (Word::Socket, socket),
-                (Word::SocketPerMille, share_if_active(LOCAL_ERRORS_PER_MILLE)),
+            control_page.fail_share(
+                (Setting::SocketErrno, socket),
+                (Setting::SocketPerMille, share_if_active(LOCAL_ERRORS_PER_MILLE)),
             )?;
-            control_page.share(
-                (Word::Connect, connect),
-                (Word::ConnectPerMille, share_if_active(LOCAL_ERRORS_PER_MILLE)),
+            control_page.fail_share(
+                (Setting::ConnectErrno, connect),
+                (Setting::ConnectPerMille, share_if_active(LOCAL_ERRORS_PER_MILLE)),
             )
         }
-        TroubleEffect::Clock(step) => control_page.set(Word::WallStep, if active { step } else { 0 }),
+        TroubleEffect::Clock(step) => {
+            control_page.set(Setting::WallClockStepMs, if active { step } else { 0 })
+        }
         _ => Ok(()),
     }
 }
--- a/crates/sailcart-lab/src/sockets/process.rs
+++ b/crates/sailcart-lab/src/sockets/process.rs
@@ -13,7 +13,7 @@
 use nix::sys::prctl::set_pdeathsig;
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::{Pid, getppid};
-use sailcart_shim::{Page, Word};
+use sailcart_shim::{ControlPage, Setting};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::process::{Child, Command};
@@ -84,7 +84,7 @@
     /// Address at which clients reach it, if not its own.
     proxy_address: Cell<Option<SocketAddr>>,
     /// The control page of the shim, if it runs under it.
-    control_page: Option<Page>,
+    control_page: Option<ControlPage>,
 }
 
 /// All senders of a run.
@@ -152,9 +152,9 @@
             std::fs::write(&config_path, text.to_string()).map_err(super::error_context("folder"))?;
             let mut process = SenderProcess::new(listen_address, config_path);
             if options.inject_faults {
-                let control_page = Page::new(&folder.join(format!("page-{sender}")))
+                let control_page = ControlPage::new(&folder.join(format!("page-{sender}")))
                     .map_err(super::error_context("page"))?;
-                control_page.set(Word::Seed, sender as i64).map_err(super::error_context("page"))?;
+                control_page.set(Setting::Seed, sender as i64).map_err(super::error_context("page"))?;
                 process.control_page = Some(control_page);
             }
             processes.push(process);
@@ -197,7 +197,7 @@
     }
 
     /// The control page of the shim that a sender runs under, if any.
-    pub fn control_page(&self, sender: SenderId) -> Option<&Page> {
+    pub fn control_page(&self, sender: SenderId) -> Option<&ControlPage> {
         self.processes[sender.0].control_page.as_ref()
     }
 
@@ -236,7 +236,9 @@
             .kill_on_drop(true);
         if let Some(control_page) = &process.control_page {
             command.envs(
-                control_page.environment(sailcart_shim::library().map_err(super::error_context("shim"))?),
+                control_page.environment(
+                    sailcart_shim::build_preload_library().map_err(super::error_context("shim"))?,
+                ),
             );
         }
         let child = command.spawn();
--- a/crates/sailcart-sender/tests/clock_steps.rs
+++ b/crates/sailcart-sender/tests/clock_steps.rs
@@ -9,7 +9,7 @@
 
 use peer::world::World;
 use peer::{Call, SubmitReply, answer, put};
-use sailcart_shim::{Page, Word};
+use sailcart_shim::{ControlPage, Setting};
 
 /// Seconds by which the clock is stepped.
 const STEPS: [i64; 7] = [-3600, -40, -4, -1, 4, 40, 3600];
@@ -30,15 +30,15 @@
 }
 
 /// Each step in a world of its own, side by side.
-fn for_each_step(story: &str, within: bool, play: impl Fn(&str, &dyn Fn(&Page, bool)) + Send + Sync) {
+fn for_each_step(story: &str, within: bool, play: impl Fn(&str, &dyn Fn(&ControlPage, bool)) + Send + Sync) {
     thread::scope(|scope| {
         for seconds in STEPS {
             let play = &play;
             scope.spawn(move || {
                 // Called before the process ends and after: steps where this story does so.
-                let step = move |page: &Page, running: bool| {
+                let step = move |page: &ControlPage, running: bool| {
                     if running == within {
-                        page.set(Word::WallStep, seconds * 1000).expect("a page");
+                        page.set(Setting::WallClockStepMs, seconds * 1000).expect("a page");
                     }
                 };
                 play(&format!("{story}-{within}-{seconds}"), &step);
--- a/crates/sailcart-sender/tests/failing_folder.rs
+++ b/crates/sailcart-sender/tests/failing_folder.rs
@@ -10,13 +10,13 @@
 
 use peer::world::World;
 use peer::{Call, SubmitReply, answer, entry, put};
-use sailcart_shim::{Count, EIO, ENOSPC, Page, Word};
+use sailcart_shim::{ControlPage, EIO, ENOSPC, FaultCounter, Setting};
 
 /// A sender that runs under a page of faults.
 fn world(
     story: &str,
     reply: impl Fn(usize, &Call) -> SubmitReply + Send + Sync + 'static,
-) -> (World, Arc<Page>) {
+) -> (World, Arc<ControlPage>) {
     let mut world = World::new(story, reply);
     let page = world.with_faults();
     world.restart_with(&[(r#""aim_ms": 3000"#, r#""aim_ms": 1000"#)]);
@@ -41,10 +41,10 @@
         world.platform.list(&[entry("e", world.endpoint, 7, "Terminating")]);
         world.until("the drain", |world| world.log().contains("discovery: version 2"));
         assert_eq!(put_for(&world, "a1", 20_000), "+OK");
-        page.files_fail(errno).expect("a page");
+        page.fail_files(errno).expect("a page");
         world.until("its end", |world| world.log().contains("ends Dismissed"));
         sleep(Duration::from_millis(400)); // for a notice, should one go out
-        assert!(page.count(Count::FileWrite) > 0, "writes failed");
+        assert!(page.count(FaultCounter::FileWrite) > 0, "writes failed");
         let told = notices_of(&world, "a1");
         world.kill();
         page.clear().expect("a page");
@@ -78,7 +78,7 @@
                 }
             }
         }
-        page.files_fail(ENOSPC).expect("a page");
+        page.fail_files(ENOSPC).expect("a page");
         let start = Instant::now();
         world.start();
         assert!(start.elapsed() < Duration::from_secs(3), "ready after {:?}", start.elapsed());
@@ -108,7 +108,7 @@
     for number in 0..KEPT {
         assert_eq!(put_for(&world, &format!("kept-{number}-"), 20_000), "+OK");
     }
-    page.files_fail(ENOSPC).expect("a page");
+    page.fail_files(ENOSPC).expect("a page");
     let start = Instant::now();
     let mut refused = 0;
     while start.elapsed() < Duration::from_secs(10) {
@@ -153,10 +153,10 @@
         })
         .collect();
     world.until("the last record", |world| world.folder_shows().matches("packet b").count() >= 6);
-    page.files_fail(ENOSPC).expect("a page");
+    page.fail_files(ENOSPC).expect("a page");
     let said: Vec<(String, String)> =
         clients.into_iter().map(|client| client.join().expect("no panic")).collect();
-    assert!(page.count(Count::FileWrite) > 0, "writes failed: {}", world.log());
+    assert!(page.count(FaultCounter::FileWrite) > 0, "writes failed: {}", world.log());
     assert!(world.log().contains("code=not_recorded"), "one was to be given up at once: {}", world.log());
     world.kill();
     page.clear().expect("a page");
@@ -177,13 +177,13 @@
         world.restart_with(&[(r#""disk_mb": 3 "#, &format!(r#""disk_mb": 3, "sync": "{sync}" "#))]);
         assert_eq!(put_for(&world, "a1", 20_000), "+OK");
         world.until("its call", |world| world.came() == ["a1"]);
-        page.set(Word::FileSync, EIO.into()).expect("a page");
+        page.set(Setting::FileSyncErrno, EIO.into()).expect("a page");
         let listen = world.listen;
         let client = std::thread::spawn(move || {
             put(listen, "b2", "c=notice,t=acme,d=20000,k=b2,dest=7", "hello").unwrap_or_default()
         });
         sleep(Duration::from_millis(1500));
-        assert!(page.count(Count::FileSync) > 0, "syncs failed");
+        assert!(page.count(FaultCounter::FileSync) > 0, "syncs failed");
         assert!(!world.came().contains(&"b2".to_owned()), "no call that is not recorded for good");
         let heard_early = client.is_finished();
         page.clear().expect("a page");
@@ -206,7 +206,7 @@
 fn a_stop_over_failing_syncs_answers_whom_it_has_read() {
     let (mut world, page) = world("failing-sync-stop", |_, _| answer("200 OK", "", ""));
     world.restart_with(&[(r#""disk_mb": 3 "#, r#""disk_mb": 3, "sync": "round" "#)]);
-    page.set(Word::FileSync, EIO.into()).expect("a page");
+    page.set(Setting::FileSyncErrno, EIO.into()).expect("a page");
     let listen = world.listen;
     let client = std::thread::spawn(move || {
         put(listen, "a1", "c=notice,t=acme,d=20000,k=a1,dest=7", "hello").unwrap_or_default()
@@ -238,9 +238,9 @@
         })
         .collect();
     world.until("the last record", |world| world.folder_shows().matches("packet b").count() >= 6);
-    page.set(Word::FileSync, EIO.into()).expect("a page");
+    page.set(Setting::FileSyncErrno, EIO.into()).expect("a page");
     world.until("an end that may stand", |world| {
-        page.count(Count::FileSync) > 0 && world.log().contains("ends Dismissed")
+        page.count(FaultCounter::FileSync) > 0 && world.log().contains("ends Dismissed")
     });
     sleep(Duration::from_millis(200));
     world.kill();
@@ -258,12 +258,12 @@
 fn who_hears_busy_has_no_packet_that_stands() {
     let (mut world, page) = world("busy-unsynced", |_, _| answer("200 OK", "", ""));
     world.restart_with(&[(r#""disk_mb": 3 "#, r#""disk_mb": 3, "sync": "each" "#)]);
-    page.set(Word::FileSync, EIO.into()).expect("a page");
+    page.set(Setting::FileSyncErrno, EIO.into()).expect("a page");
     let listen = world.listen;
     let client = std::thread::spawn(move || {
         put(listen, "a1", "c=notice,t=acme,d=20000,k=a1,dest=7", "hello").unwrap_or_default()
     });
-    world.until("a failed sync", |_| page.count(Count::FileSync) > 0);
+    world.until("a failed sync", |_| page.count(FaultCounter::FileSync) > 0);
     sleep(Duration::from_millis(300));
     world.kill();
     let said = client.join().expect("no panic");
--- a/crates/sailcart-sender/tests/own_faults.rs
+++ b/crates/sailcart-sender/tests/own_faults.rs
@@ -11,7 +11,9 @@
 
 use peer::world::World;
 use peer::{answer, entry, put, say};
-use sailcart_shim::{Count, EADDRNOTAVAIL, ECONNABORTED, EINTR, EMFILE, ENETUNREACH, ENFILE, ENOBUFS, Word};
+use sailcart_shim::{
+    EADDRNOTAVAIL, ECONNABORTED, EINTR, EMFILE, ENETUNREACH, ENFILE, ENOBUFS, FaultCounter, Setting,
+};
 
 const PING: &str = "*1\r\n$4\r\nPING\r\n";
 /// Clients in the queue at a stop.
@@ -26,11 +28,11 @@
     for errno in [EADDRNOTAVAIL, ENOBUFS, ENETUNREACH, EMFILE] {
         let (world, page) =
             World::under_faults(&format!("own-connect-{errno}"), |_, _| answer("200 OK", "", ""));
-        page.share((Word::Connect, errno), (Word::ConnectPerMille, 1000)).expect("a page");
+        page.fail_share((Setting::ConnectErrno, errno), (Setting::ConnectPerMille, 1000)).expect("a page");
         let said = put(world.listen, "a1", "c=notice,t=acme,d=8000,k=a1,dest=7", "hello").expect("an answer");
         assert_eq!(said, "+OK");
         sleep(ROW);
-        let failed = page.count(Count::Connect);
+        let failed = page.count(FaultCounter::Connect);
         assert!(failed > 3, "{failed} connects failed");
         assert!(failed < 200, "{failed} connects in {ROW:?} are a busy loop");
         assert_eq!(world.notices(), [""; 0], "{}", world.log());
@@ -48,12 +50,12 @@
     for errno in [ECONNABORTED, ENFILE, ENOBUFS] {
         let (mut world, page) =
             World::under_faults(&format!("own-accept-{errno}"), |_, _| answer("200 OK", "", ""));
-        page.share((Word::Accept, errno), (Word::AcceptPerMille, 500)).expect("a page");
+        page.fail_share((Setting::AcceptErrno, errno), (Setting::AcceptPerMille, 500)).expect("a page");
         for _ in 0..40 {
             assert_eq!(say(world.listen, PING).expect("an answer"), "+PONG");
         }
         // All that come while the sender stops wait in the queue, and each is heard.
-        page.set(Word::AcceptPerMille, 1000).expect("a page");
+        page.set(Setting::AcceptPerMille, 1000).expect("a page");
         world.signal("-TERM");
         let clients: Vec<TcpStream> = (0..CLIENTS)
             .map(|_| {
@@ -63,7 +65,7 @@
             })
             .collect();
         sleep(Duration::from_millis(800)); // the sender has come to its queue by now
-        page.set(Word::AcceptPerMille, 300).expect("a page");
+        page.set(Setting::AcceptPerMille, 300).expect("a page");
         let heard = clients.into_iter().map(|mut client| {
             client.set_read_timeout(Some(Duration::from_secs(5))).expect("a time-out");
             let mut said = String::new();
@@ -72,7 +74,7 @@
         });
         assert!(heard.filter(|said| said == "+PONG\r\n").count() == CLIENTS, "{}", world.log());
         world.ended();
-        assert!(page.count(Count::Accept) > 20, "accepts failed");
+        assert!(page.count(FaultCounter::Accept) > 20, "accepts failed");
         assert!(world.log().matches("code=not_accepted").count() < 16, "a line for each: {}", world.log());
     }
 }
@@ -83,7 +85,7 @@
     for errno in [EINTR, EMFILE] {
         let (world, page) =
             World::under_faults(&format!("own-platform-{errno}"), |_, _| answer("200 OK", "", ""));
-        page.share((Word::Connect, errno), (Word::ConnectPerMille, 1000)).expect("a page");
+        page.fail_share((Setting::ConnectErrno, errno), (Setting::ConnectPerMille, 1000)).expect("a page");
         // What stands is cut, so that both are to connect again; a notice is owed as well.
         world.platform.list(&[entry("e", world.endpoint, 7, "Terminating")]);
         assert_eq!(
@@ -92,9 +94,9 @@
         );
         world.platform.silent.store(true, Ordering::SeqCst);
         sleep(Duration::from_secs(4));
-        let before = page.count(Count::Connect);
+        let before = page.count(FaultCounter::Connect);
         sleep(Duration::from_secs(1));
-        let more = page.count(Count::Connect) - before;
+        let more = page.count(FaultCounter::Connect) - before;
         assert!(more < 60, "{more} connects in a second");
         page.clear().expect("a page");
         world.platform.silent.store(false, Ordering::SeqCst);
@@ -109,10 +111,10 @@
         let mut world = World::new(&format!("own-listen-{errno}"), |_, _| answer("200 OK", "", ""));
         let page = world.with_faults();
         world.kill();
-        page.share((Word::Socket, errno), (Word::SocketPerMille, 1000)).expect("a page");
+        page.fail_share((Setting::SocketErrno, errno), (Setting::SocketPerMille, 1000)).expect("a page");
         world.launch(None);
         sleep(Duration::from_secs(1));
-        assert!(page.count(Count::Socket) > 0, "no socket was to be had");
+        assert!(page.count(FaultCounter::Socket) > 0, "no socket was to be had");
         page.clear().expect("a page");
         world.until("it answers", |world| say(world.listen, PING).is_ok());
         let said = put(world.listen, "a1", "c=notice,t=acme,d=8000,k=a1,dest=7", "hello").expect("an answer");
--- a/crates/sailcart-sender/tests/peer/moments.rs
+++ b/crates/sailcart-sender/tests/peer/moments.rs
@@ -38,7 +38,7 @@
         command.args(["-c", script, &limit, env!("CARGO_BIN_EXE_sailcart"), "serve", "--config"]);
         command.arg(file).env("RUST_LOG", "debug").stderr(log.expect("a log"));
         if let Some(page) = &self.page {
-            command.envs(page.environment(sailcart_shim::library().expect("the shim")));
+            command.envs(page.environment(sailcart_shim::build_preload_library().expect("the shim")));
         }
         self.sender = Some(command.spawn().expect("the sender starts"));
     }
--- a/crates/sailcart-sender/tests/peer/world.rs
+++ b/crates/sailcart-sender/tests/peer/world.rs
@@ -9,7 +9,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-use sailcart_shim::Page;
+use sailcart_shim::ControlPage;
 
 use super::{Call, Platform, SubmitReply, entry, listen, put, say};
 
@@ -29,7 +29,7 @@
     /// Ids of the packets that came, in order.
     pub came: Arc<Mutex<Vec<String>>>,
     /// Where set, the sender's next lives run under this page of faults.
-    pub page: Option<Arc<Page>>,
+    pub page: Option<Arc<ControlPage>>,
 }
 
 impl World {
@@ -75,7 +75,7 @@
         let mut command = Command::new(env!("CARGO_BIN_EXE_sailcart"));
         command.arg("serve").arg("--config").arg(file).env("RUST_LOG", "debug").stderr(log.expect("a log"));
         if let Some(page) = &self.page {
-            command.envs(page.environment(sailcart_shim::library().expect("the shim")));
+            command.envs(page.environment(sailcart_shim::build_preload_library().expect("the shim")));
         }
         self.sender = Some(command.spawn().expect("the sender starts"));
         self.until("the sender is ready", |world| say(world.listen, "*1\r\n$4\r\nPING\r\n").is_ok());
@@ -85,7 +85,7 @@
     pub fn under_faults(
         story: &str,
         reply: impl Fn(usize, &Call) -> SubmitReply + Send + Sync + 'static,
-    ) -> (World, Arc<Page>) {
+    ) -> (World, Arc<ControlPage>) {
         let mut world = World::new(story, reply);
         let page = world.with_faults();
         world.kill();
@@ -95,8 +95,8 @@
     }
 
     /// The sender's next lives run under a page of faults; none are set yet.
-    pub fn with_faults(&mut self) -> Arc<Page> {
-        let page = Arc::new(Page::new(&self.folder.join("shim-page")).expect("a page"));
+    pub fn with_faults(&mut self) -> Arc<ControlPage> {
+        let page = Arc::new(ControlPage::new(&self.folder.join("shim-page")).expect("a page"));
         self.page = Some(page.clone());
         page
     }
--- a/crates/sailcart-sender/tests/short_calls.rs
+++ b/crates/sailcart-sender/tests/short_calls.rs
@@ -10,7 +10,7 @@
 
 use peer::world::World;
 use peer::{answer, command};
-use sailcart_shim::{Count, Word};
+use sailcart_shim::{FaultCounter, Setting};
 
 /// A fifth of the reads takes at most forty bytes, a fifth of the writes is cut anywhere.
 #[test]
@@ -21,10 +21,13 @@
     let (world, page) = World::under_faults("short-calls", |_, _| {
         answer("200 OK", "X-Some: header of an answer\r\n", "and a body")
     });
-    for (word, value) in
-        [(Word::ReadCut, 200), (Word::ReadCutMost, 40), (Word::WriteCut, 200), (Word::WaitInterrupted, 100)]
-    {
-        page.set(word, value).expect("a page");
+    for (setting, value) in [
+        (Setting::ShortReadPerMille, 200),
+        (Setting::ShortReadMaxBytes, 40),
+        (Setting::ShortWritePerMille, 200),
+        (Setting::WaitInterruptedPerMille, 100),
+    ] {
+        page.set(setting, value).expect("a page");
     }
     let mut client = TcpStream::connect(world.listen).expect("a connection");
     client.set_read_timeout(Some(Duration::from_secs(5))).expect("a time-out");
@@ -43,7 +46,7 @@
     world.until("all calls", |world| world.came().len() >= PACKETS);
     assert_eq!(world.came().len(), PACKETS, "none was sent again");
     assert_eq!(world.notices(), [""; 0]);
-    for count in [Count::ReadCut, Count::WriteCut, Count::WaitInterrupted] {
-        assert!(page.count(count) > 20, "{count:?}: {}", page.count(count));
+    for counter in [FaultCounter::ShortRead, FaultCounter::ShortWrite, FaultCounter::WaitInterrupted] {
+        assert!(page.count(counter) > 20, "{counter:?}: {}", page.count(counter));
     }
 }
--- a/crates/sailcart-shim-preload/src/calls.rs
+++ b/crates/sailcart-shim-preload/src/calls.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicI32, AtomicUsize, Ordering};
 
 use libc::{clockid_t, epoll_event, iovec, off64_t, size_t, sockaddr, socklen_t, ssize_t, timespec};
-use sailcart_shim::{Count, Word};
+use sailcart_shim::{FaultCounter, Setting};
 
 use crate::page::{increment, is_selected, random_below, setting};
 
@@ -80,13 +80,13 @@
 }
 
 /// The error number with which a file call is to fail now, if any. Counts the fault.
-fn file_error(errno_setting: Word, counter: Count) -> Option<i64> {
+fn file_error(errno_setting: Setting, counter: FaultCounter) -> Option<i64> {
     let errno = setting(errno_setting);
     if errno == 0 {
         return None;
     }
-    let period = setting(Word::FileFaultPeriodMs);
-    if period > 0 && monotonic_ms() % period >= setting(Word::FileFaultWindowMs) {
+    let period = setting(Setting::FileFaultPeriodMs);
+    if period > 0 && monotonic_ms() % period >= setting(Setting::FileFaultWindowMs) {
         return None;
     }
     increment(counter);
@@ -99,11 +99,11 @@
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn write(fd: c_int, buffer: *const c_void, length: size_t) -> ssize_t {
     let original = original!(c"write", fn(c_int, *const c_void, size_t) -> ssize_t);
-    let length = if setting(Word::FileWriteErrno) != 0 && is_regular_file(fd) {
-        match file_error(Word::FileWriteErrno, Count::FileWrite) {
+    let length = if setting(Setting::FileWriteErrno) != 0 && is_regular_file(fd) {
+        match file_error(Setting::FileWriteErrno, FaultCounter::FileWrite) {
             None => length,
             Some(_)
-                if setting(Word::FilePartialWrite) != 0
+                if setting(Setting::FilePartialWrite) != 0
                     && length > 1
                     && PARTIALLY_WRITTEN_FD.swap(fd, Ordering::Relaxed) != fd =>
             {
@@ -124,7 +124,7 @@
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn fsync(fd: c_int) -> c_int {
     let original = original!(c"fsync", fn(c_int) -> c_int);
-    match file_error(Word::FileSync, Count::FileSync) {
+    match file_error(Setting::FileSyncErrno, FaultCounter::FileSync) {
         Some(errno) => fail(errno),
         // SAFETY: the caller's argument.
         None => unsafe { original(fd) },
@@ -134,7 +134,7 @@
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn fdatasync(fd: c_int) -> c_int {
     let original = original!(c"fdatasync", fn(c_int) -> c_int);
-    match file_error(Word::FileSync, Count::FileSync) {
+    match file_error(Setting::FileSyncErrno, FaultCounter::FileSync) {
         Some(errno) => fail(errno),
         // SAFETY: the caller's argument.
         None => unsafe { original(fd) },
@@ -144,7 +144,7 @@
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn ftruncate64(fd: c_int, length: off64_t) -> c_int {
     let original = original!(c"ftruncate64", fn(c_int, off64_t) -> c_int);
-    match file_error(Word::FileTruncateErrno, Count::FileTruncate) {
+    match file_error(Setting::FileTruncateErrno, FaultCounter::FileTruncate) {
         Some(errno) => fail(errno),
         // SAFETY: the caller's arguments.
         None => unsafe { original(fd, length) },
@@ -155,7 +155,11 @@
 pub unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: libc::mode_t) -> c_int {
     let original = original!(c"open64", fn(*const c_char, c_int, libc::mode_t) -> c_int);
     let creates = flags & libc::O_CREAT != 0;
-    match if creates { file_error(Word::DirectoryUpdateErrno, Count::DirectoryUpdate) } else { None } {
+    match if creates {
+        file_error(Setting::DirectoryUpdateErrno, FaultCounter::DirectoryUpdate)
+    } else {
+        None
+    } {
         Some(errno) => fail(errno),
         // SAFETY: the caller's arguments.
         None => unsafe { original(path, flags, mode) },
@@ -165,7 +169,7 @@
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn rename(from: *const c_char, to: *const c_char) -> c_int {
     let original = original!(c"rename", fn(*const c_char, *const c_char) -> c_int);
-    match file_error(Word::DirectoryUpdateErrno, Count::DirectoryUpdate) {
+    match file_error(Setting::DirectoryUpdateErrno, FaultCounter::DirectoryUpdate) {
         Some(errno) => fail(errno),
         // SAFETY: the caller's arguments.
         None => unsafe { original(from, to) },
@@ -175,7 +179,7 @@
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn unlink(path: *const c_char) -> c_int {
     let original = original!(c"unlink", fn(*const c_char) -> c_int);
-    match file_error(Word::DirectoryUpdateErrno, Count::DirectoryUpdate) {
+    match file_error(Setting::DirectoryUpdateErrno, FaultCounter::DirectoryUpdate) {
         Some(errno) => fail(errno),
         // SAFETY: the caller's argument.
         None => unsafe { original(path) },
@@ -184,18 +188,18 @@
 
 /// Number of bytes to request from a read of `length` bytes, possibly fewer.
 fn read_length(fd: c_int, length: size_t) -> size_t {
-    if length > 1 && is_selected(Word::ReadCut) && is_tcp(fd) {
-        increment(Count::ReadCut);
-        return length.min(1 + random_below(setting(Word::ReadCutMost) as u64) as usize);
+    if length > 1 && is_selected(Setting::ShortReadPerMille) && is_tcp(fd) {
+        increment(FaultCounter::ShortRead);
+        return length.min(1 + random_below(setting(Setting::ShortReadMaxBytes) as u64) as usize);
     }
     length
 }
 
 /// Replaces `ECONNRESET`: a broken connection may also be reported by other error numbers.
 fn replace_connection_reset(result: ssize_t) -> ssize_t {
-    let replacement = setting(Word::ConnectionResetErrno);
+    let replacement = setting(Setting::ConnectionResetErrno);
     if result < 0 && replacement != 0 && errno() == libc::ECONNRESET {
-        increment(Count::ConnectionReset);
+        increment(FaultCounter::ConnectionReset);
         return fail(replacement) as ssize_t;
     }
     result
@@ -217,15 +221,15 @@
 
 /// Number of bytes to pass to a write of `length` bytes, possibly fewer. May delay the call first.
 fn write_length(fd: c_int, length: size_t) -> size_t {
-    if is_selected(Word::WriteDelayPerMille) && is_tcp(fd) {
-        increment(Count::WriteDelay);
-        let delay = setting(Word::WriteDelayMs);
+    if is_selected(Setting::WriteDelayPerMille) && is_tcp(fd) {
+        increment(FaultCounter::WriteDelay);
+        let delay = setting(Setting::WriteDelayMs);
         let delay = timespec { tv_sec: delay / 1000, tv_nsec: delay % 1000 * 1_000_000 };
         // SAFETY: `delay` is valid for reads; the remaining time is not asked for.
         unsafe { libc::nanosleep(&delay, std::ptr::null_mut()) };
     }
-    if length > 1 && is_selected(Word::WriteCut) && is_tcp(fd) {
-        increment(Count::WriteCut);
+    if length > 1 && is_selected(Setting::ShortWritePerMille) && is_tcp(fd) {
+        increment(FaultCounter::ShortWrite);
         return 1 + random_below(length as u64 - 1) as usize;
     }
     length
@@ -243,8 +247,8 @@
     let original = original!(c"writev", fn(c_int, *const iovec, c_int) -> ssize_t);
     // SAFETY: the caller's arguments; a short write passes only the first vector.
     unsafe {
-        if count > 1 && is_selected(Word::WriteCut) && is_tcp(fd) {
-            increment(Count::WriteCut);
+        if count > 1 && is_selected(Setting::ShortWritePerMille) && is_tcp(fd) {
+            increment(FaultCounter::ShortWrite);
             return replace_connection_reset(original(fd, vectors, 1));
         }
         replace_connection_reset(original(fd, vectors, count))
@@ -259,9 +263,9 @@
     flags: c_int,
 ) -> c_int {
     let original = original!(c"accept4", fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int);
-    if is_selected(Word::AcceptPerMille) {
-        increment(Count::Accept);
-        return fail(setting(Word::Accept));
+    if is_selected(Setting::AcceptPerMille) {
+        increment(FaultCounter::Accept);
+        return fail(setting(Setting::AcceptErrno));
     }
     // SAFETY: the caller's arguments.
     unsafe { original(fd, address, length, flags) }
@@ -270,9 +274,9 @@
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn socket(domain: c_int, socket_type: c_int, protocol: c_int) -> c_int {
     let original = original!(c"socket", fn(c_int, c_int, c_int) -> c_int);
-    if domain == libc::AF_INET && is_selected(Word::SocketPerMille) {
-        increment(Count::Socket);
-        return fail(setting(Word::Socket));
+    if domain == libc::AF_INET && is_selected(Setting::SocketPerMille) {
+        increment(FaultCounter::Socket);
+        return fail(setting(Setting::SocketErrno));
     }
     // SAFETY: the caller's arguments.
     unsafe { original(domain, socket_type, protocol) }
@@ -281,9 +285,9 @@
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn connect(fd: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
     let original = original!(c"connect", fn(c_int, *const sockaddr, socklen_t) -> c_int);
-    if is_selected(Word::ConnectPerMille) && is_tcp(fd) {
-        increment(Count::Connect);
-        return fail(setting(Word::Connect));
+    if is_selected(Setting::ConnectPerMille) && is_tcp(fd) {
+        increment(FaultCounter::Connect);
+        return fail(setting(Setting::ConnectErrno));
     }
     // SAFETY: the caller's arguments.
     unsafe { original(fd, address, length) }
@@ -297,8 +301,8 @@
     timeout_ms: c_int,
 ) -> c_int {
     let original = original!(c"epoll_wait", fn(c_int, *mut epoll_event, c_int, c_int) -> c_int);
-    if timeout_ms != 0 && is_selected(Word::WaitInterrupted) {
-        increment(Count::WaitInterrupted);
+    if timeout_ms != 0 && is_selected(Setting::WaitInterruptedPerMille) {
+        increment(FaultCounter::WaitInterrupted);
         return fail(libc::EINTR.into());
     }
     // SAFETY: the caller's arguments.
@@ -312,8 +316,8 @@
     unsafe {
         let result = original(clock, now);
         if result == 0 && clock == libc::CLOCK_REALTIME {
-            (*now).tv_sec += setting(Word::WallStep) / 1000;
-            (*now).tv_nsec += setting(Word::WallStep) % 1000 * 1_000_000;
+            (*now).tv_sec += setting(Setting::WallClockStepMs) / 1000;
+            (*now).tv_nsec += setting(Setting::WallClockStepMs) % 1000 * 1_000_000;
             if (*now).tv_nsec >= 1_000_000_000 {
                 ((*now).tv_sec, (*now).tv_nsec) = ((*now).tv_sec + 1, (*now).tv_nsec - 1_000_000_000);
             } else if (*now).tv_nsec < 0 {
--- a/crates/sailcart-shim-preload/src/page.rs
+++ b/crates/sailcart-shim-preload/src/page.rs
@@ -3,26 +3,26 @@
 use std::ptr::null_mut;
 use std::sync::atomic::{AtomicPtr, AtomicU64, Ordering};
 
-use sailcart_shim::{Count, PAGE_BYTES, Word};
+use sailcart_shim::{FaultCounter, PAGE_BYTES, Setting};
 
 const PAGE_WORDS: usize = PAGE_BYTES / 8;
 
-type ControlPage = [AtomicU64; PAGE_WORDS];
+type MappedPage = [AtomicU64; PAGE_WORDS];
 
-static MAPPED_PAGE: AtomicPtr<ControlPage> = AtomicPtr::new(null_mut());
+static MAPPED_PAGE: AtomicPtr<MappedPage> = AtomicPtr::new(null_mut());
 /// Stands in for the control page in a process without one; all settings are 0.
-static EMPTY_PAGE: ControlPage = [const { AtomicU64::new(0) }; PAGE_WORDS];
+static EMPTY_PAGE: MappedPage = [const { AtomicU64::new(0) }; PAGE_WORDS];
 static RANDOM_STEP: AtomicU64 = AtomicU64::new(0);
 
 /// The control page, mapped at the first call. Without one no call fails.
-fn page() -> &'static ControlPage {
+fn page() -> &'static MappedPage {
     let mapped = MAPPED_PAGE.load(Ordering::Acquire);
     let mapped = if mapped.is_null() { map() } else { mapped };
     // SAFETY: either the static page or a mapping of PAGE_BYTES that is never unmapped.
     unsafe { &*mapped }
 }
 
-fn map() -> *mut ControlPage {
+fn map() -> *mut MappedPage {
     let mut page = (&raw const EMPTY_PAGE).cast_mut();
     // SAFETY: plain calls of the C library; the system call opens the file without this library's own
     // `open64`.
@@ -45,18 +45,18 @@
 }
 
 /// The current value of a setting.
-pub fn setting(setting: Word) -> i64 {
+pub fn setting(setting: Setting) -> i64 {
     page()[setting as usize].load(Ordering::Relaxed) as i64
 }
 
 /// Counts one injected fault.
-pub fn increment(counter: Count) {
+pub fn increment(counter: FaultCounter) {
     page()[counter as usize].fetch_add(1, Ordering::Relaxed);
 }
 
 /// A random number below `bound`, or 0 if the bound is 0.
 pub fn random_below(bound: u64) -> u64 {
-    let step = RANDOM_STEP.fetch_add(1, Ordering::Relaxed).wrapping_add(setting(Word::Seed) as u64);
+    let step = RANDOM_STEP.fetch_add(1, Ordering::Relaxed).wrapping_add(setting(Setting::Seed) as u64);
     // The finalizer of SplitMix64.
     let mut mixed = step.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -66,7 +66,7 @@
 
 /// Draws whether this call is affected. `per_mille` is the setting that holds the share of calls in
 /// thousandths.
-pub fn is_selected(per_mille: Word) -> bool {
+pub fn is_selected(per_mille: Setting) -> bool {
     let per_mille = setting(per_mille);
     per_mille > 0 && (random_below(1000) as i64) < per_mille
 }
--- a/crates/sailcart-shim/src/lib.rs
+++ b/crates/sailcart-shim/src/lib.rs
@@ -26,7 +26,7 @@
 /// are in thousandths.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(usize)]
-pub enum Word {
+pub enum Setting {
     /// Seed of the library's random number generator.
     Seed = 0,
     /// Error number with which writes to regular files fail.
@@ -34,7 +34,7 @@
     /// If not 0, half of the bytes are written before a write to a file fails.
     FilePartialWrite = 2,
     /// Error number with which `fsync` and `fdatasync` fail.
-    FileSync = 3,
+    FileSyncErrno = 3,
     /// Error number with which `ftruncate` of a regular file fails.
     FileTruncateErrno = 4,
     /// Error number with which creating, renaming and removing files fails.
@@ -45,29 +45,29 @@
     /// Milliseconds in each period during which file calls fail.
     FileFaultWindowMs = 7,
     /// Share of reads from TCP sockets that are short.
-    ReadCut = 8,
+    ShortReadPerMille = 8,
     /// Maximum number of bytes that a short read returns.
-    ReadCutMost = 9,
+    ShortReadMaxBytes = 9,
     /// Share of writes to TCP sockets that are short.
-    WriteCut = 10,
+    ShortWritePerMille = 10,
     /// Error number with which `accept4` fails.
-    Accept = 11,
+    AcceptErrno = 11,
     /// Share of `accept4` calls that fail.
     AcceptPerMille = 12,
     /// Error number with which `socket` fails for TCP.
-    Socket = 13,
+    SocketErrno = 13,
     /// Share of `socket` calls for TCP that fail.
     SocketPerMille = 14,
     /// Error number with which `connect` fails for TCP.
-    Connect = 15,
+    ConnectErrno = 15,
     /// Share of `connect` calls for TCP that fail.
     ConnectPerMille = 16,
     /// Share of waits in `epoll_wait` that are interrupted.
-    WaitInterrupted = 17,
+    WaitInterruptedPerMille = 17,
     /// Error number that calls on a reset connection return in place of `ECONNRESET`.
     ConnectionResetErrno = 18,
     /// Milliseconds by which the wall clock is stepped; negative values step it back.
-    WallStep = 19,
+    WallClockStepMs = 19,
     /// Share of writes to TCP sockets that are delayed.
     WriteDelayPerMille = 20,
     /// Milliseconds by which a delayed write is held.
@@ -77,16 +77,16 @@
 /// A counter of injected faults; the value is its index on the control page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(usize)]
-pub enum Count {
+pub enum FaultCounter {
     FileWrite = FIRST_COUNTER_INDEX,
     FileSync,
     FileTruncate,
     /// Files that were not created, renamed or removed.
     DirectoryUpdate,
     /// Short reads from TCP sockets.
-    ReadCut,
+    ShortRead,
     /// Short writes to TCP sockets.
-    WriteCut,
+    ShortWrite,
     Accept,
     Socket,
     Connect,
@@ -96,62 +96,65 @@
     WriteDelay,
 }
 
-/// Error numbers that callers pass to [`Page`].
+/// Error numbers that callers pass to [`ControlPage`].
 pub use libc::{
     EADDRNOTAVAIL, ECONNABORTED, EHOSTUNREACH, EINTR, EIO, EMFILE, ENETUNREACH, ENFILE, ENOBUFS, ENOSPC,
     ETIMEDOUT,
 };
 
-/// The control page of the processes that are started with its [`environment`](Page::environment).
+/// The control page of the processes that are started with its [`environment`](ControlPage::environment).
 #[derive(Debug)]
-pub struct Page {
+pub struct ControlPage {
     path: PathBuf,
     file: File,
 }
 
-impl Page {
+impl ControlPage {
     /// Creates the file with all settings and counters at 0; an existing file is overwritten.
-    pub fn new(path: &Path) -> io::Result<Page> {
+    pub fn new(path: &Path) -> io::Result<ControlPage> {
         let file = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(path)?;
         file.write_all_at(&[0; PAGE_BYTES], 0)?;
-        Ok(Page { path: path.to_owned(), file })
+        Ok(ControlPage { path: path.to_owned(), file })
     }
 
     /// Changes one setting. It applies from the next call of the process under test.
-    pub fn set(&self, setting: Word, value: i64) -> io::Result<()> {
+    pub fn set(&self, setting: Setting, value: i64) -> io::Result<()> {
         self.file.write_all_at(&value.to_ne_bytes(), (setting as usize * WORD_BYTES) as u64)
     }
 
     /// Makes a share of calls, in thousandths, fail with an error number.
-    pub fn share(&self, errno: (Word, i32), per_mille: (Word, i64)) -> io::Result<()> {
+    pub fn fail_share(&self, errno: (Setting, i32), per_mille: (Setting, i64)) -> io::Result<()> {
         self.set(errno.0, errno.1.into())?;
         self.set(per_mille.0, per_mille.1)
     }
 
     /// Makes file calls (write, sync, truncate, create, rename, remove) fail with this error number; 0 ends
     /// the failures. Half of the bytes of a failing write are written first.
-    pub fn files_fail(&self, errno: i32) -> io::Result<()> {
-        for setting in
-            [Word::FileWriteErrno, Word::FileTruncateErrno, Word::DirectoryUpdateErrno, Word::FileSync]
-        {
+    pub fn fail_files(&self, errno: i32) -> io::Result<()> {
+        for setting in [
+            Setting::FileWriteErrno,
+            Setting::FileTruncateErrno,
+            Setting::DirectoryUpdateErrno,
+            Setting::FileSyncErrno,
+        ] {
             self.set(setting, errno.into())?;
         }
-        self.set(Word::FilePartialWrite, 1)
+        self.set(Setting::FilePartialWrite, 1)
     }
 
     /// Limits file faults to a window at the start of each period. A period of zero removes the limit.
     pub fn set_file_fault_windows(&self, window: Duration, period: Duration) -> io::Result<()> {
-        self.set(Word::FileFaultWindowMs, window.as_millis() as i64)?;
-        self.set(Word::FileFaultPeriodMs, period.as_millis() as i64)
+        self.set(Setting::FileFaultWindowMs, window.as_millis() as i64)?;
+        self.set(Setting::FileFaultPeriodMs, period.as_millis() as i64)
     }
 
     /// Resets all settings, and with them the step of the wall clock. The counters keep their values.
     pub fn clear(&self) -> io::Result<()> {
-        self.file.write_all_at(&[0; (Word::WriteDelayMs as usize + 1) * WORD_BYTES], 0)
+        self.file.write_all_at(&[0; (Setting::WriteDelayMs as usize + 1) * WORD_BYTES], 0)
     }
 
     /// Number of injected faults of one kind; 0 if the page cannot be read.
-    pub fn count(&self, counter: Count) -> u64 {
+    pub fn count(&self, counter: FaultCounter) -> u64 {
         let mut value = [0; WORD_BYTES];
         match self.file.read_exact_at(&mut value, (counter as usize * WORD_BYTES) as u64) {
             Ok(()) => u64::from_ne_bytes(value),
@@ -169,7 +172,7 @@
 ///
 /// # Errors
 /// If cargo cannot build the library.
-pub fn library() -> io::Result<&'static Path> {
+pub fn build_preload_library() -> io::Result<&'static Path> {
     static LIBRARY: OnceLock<Result<PathBuf, String>> = OnceLock::new();
     let built = LIBRARY.get_or_init(|| build().map_err(|error| error.to_string()));
     built.as_deref().map_err(|message| io::Error::other(message.clone()))
