--- a/crates/sailcart-lab/src/capacity/decision_module.rs
+++ b/crates/sailcart-lab/src/capacity/decision_module.rs
@@ -93,7 +93,7 @@
     }
 }
 
-fn listing(index: u64, live: bool) -> ListEntry {
+fn list_entry(index: u64, live: bool) -> ListEntry {
     ListEntry {
         endpoint: EndpointId(index as u32),
         destination: DestinationId(index),
@@ -151,12 +151,12 @@
 
 impl ScalingSubject for DecisionModule {
     fn apply_full_list(&mut self, destinations: u64) {
-        let entries: Vec<ListEntry> = (0..destinations).map(|index| listing(index, true)).collect();
+        let entries: Vec<ListEntry> = (0..destinations).map(|index| list_entry(index, true)).collect();
         self.apply_list(&entries);
     }
 
     fn apply_change(&mut self, destination: DestinationIndex, live: bool) {
-        self.sender.update_list(self.now, false, &[listing(destination.0, live)]);
+        self.sender.update_list(self.now, false, &[list_entry(destination.0, live)]);
     }
 
     fn run_round(&mut self, busy: &[DestinationIndex]) {
@@ -195,7 +195,7 @@
     sizes: &Sizes,
     measurements: &mut Measurements,
 ) -> Result<Vec<DecisionModule>, LabError> {
-    let entries: Vec<ListEntry> = (0..size as u64).map(|index| listing(index, true)).collect();
+    let entries: Vec<ListEntry> = (0..size as u64).map(|index| list_entry(index, true)).collect();
     let count = (TOTAL_DESTINATIONS / size.max(1)).clamp(1, MAX_MODULES);
     let bytes_before = resident_bytes()?;
     let mut modules: Vec<DecisionModule> = (0..count).map(|_| DecisionModule::default()).collect();
--- a/crates/sailcart-lab/src/receivers/limit.rs
+++ b/crates/sailcart-lab/src/receivers/limit.rs
@@ -31,8 +31,9 @@
     /// span) stays as it is.
     pub fn set_share(&mut self, now: Duration, share: f64) {
         if self.limit.rate != self.usual_rate * share {
-            let left = self.calls_left(now);
-            self.level = if self.limit.by == LimitBy::Rate { left } else { self.max_calls() - left };
+            let remaining = self.calls_left(now);
+            self.level =
+                if self.limit.by == LimitBy::Rate { remaining } else { self.max_calls() - remaining };
             (self.limit.rate, self.updated_at) = (self.usual_rate * share, now);
         }
     }
@@ -72,13 +73,13 @@
         if self.limit.by == LimitBy::None {
             return Ok(());
         }
-        let left = self.calls_left(now);
-        let accepted = left >= 1.0;
+        let remaining = self.calls_left(now);
+        let accepted = remaining >= 1.0;
         // Counted refusals reduce the calls left by at most one burst below zero.
-        let min_left = if self.limit.by == LimitBy::Rate { -self.max_calls() } else { 0.0 };
+        let min_remaining = if self.limit.by == LimitBy::Rate { -self.max_calls() } else { 0.0 };
         let used = if accepted || self.limit.refused_count { 1.0 } else { 0.0 };
-        let left = (left - used).max(min_left);
-        self.level = if self.limit.by == LimitBy::Rate { left } else { self.max_calls() - left };
+        let remaining = (remaining - used).max(min_remaining);
+        self.level = if self.limit.by == LimitBy::Rate { remaining } else { self.max_calls() - remaining };
         self.updated_at = now;
         if accepted { Ok(()) } else { Err(self.time_until_available(now)) }
     }
@@ -97,7 +98,7 @@
 
     /// The unused share of the limit, and the limit in calls per second; `None` without a limit.
     pub fn report(&self, now: Duration) -> Option<LimitReport> {
-        let left = (self.calls_left(now) / self.max_calls()).clamp(0.0, 1.0);
-        (self.limit.by != LimitBy::None).then_some(LimitReport { unused_share: left, limit: self.limit.rate })
+        let unused_share = (self.calls_left(now) / self.max_calls()).clamp(0.0, 1.0);
+        (self.limit.by != LimitBy::None).then_some(LimitReport { unused_share, limit: self.limit.rate })
     }
 }
--- a/crates/sailcart-lab/tests/recorded_days.rs
+++ b/crates/sailcart-lab/tests/recorded_days.rs
@@ -71,10 +71,10 @@
 }
 
 impl Host for RecordingHost<'_> {
-    fn dispatch(&mut self, packet: PacketId, endpoint: EndpointId, time_out: Duration) {
+    fn dispatch(&mut self, packet: PacketId, endpoint: EndpointId, timeout: Duration) {
         self.dispatched_to.insert(endpoint);
-        self.record(format_args!("dispatch {} {} {time_out:?}", packet.0, endpoint.0));
-        self.host.dispatch(packet, endpoint, time_out);
+        self.record(format_args!("dispatch {} {} {timeout:?}", packet.0, endpoint.0));
+        self.host.dispatch(packet, endpoint, timeout);
     }
     fn cancel(&mut self, packet: PacketId, dispatch: u32) {
         self.record(format_args!("cancel {} {dispatch}", packet.0));
@@ -119,9 +119,9 @@
         id: PacketId,
         elapsed: Duration,
         outcome: Outcome,
-        over: bool,
+        completed: bool,
     ) {
-        self.module.record_outcome(now, id, elapsed, outcome, over);
+        self.module.record_outcome(now, id, elapsed, outcome, completed);
     }
     fn record_report(&mut self, id: PacketId, report: LimitReport) {
         self.module.record_report(id, report);
--- a/crates/sailcart-lab/tests/rule_violations.rs
+++ b/crates/sailcart-lab/tests/rule_violations.rs
@@ -44,9 +44,9 @@
 }
 
 impl Host for RecordingHost<'_> {
-    fn dispatch(&mut self, packet: PacketId, endpoint: EndpointId, time_out: Duration) {
+    fn dispatch(&mut self, packet: PacketId, endpoint: EndpointId, timeout: Duration) {
         *self.last_endpoint = Some(endpoint);
-        self.host.dispatch(packet, endpoint, time_out);
+        self.host.dispatch(packet, endpoint, timeout);
     }
     fn cancel(&mut self, packet: PacketId, dispatch: u32) {
         self.host.cancel(packet, dispatch);
@@ -88,9 +88,9 @@
         id: PacketId,
         elapsed: Duration,
         outcome: Outcome,
-        over: bool,
+        completed: bool,
     ) {
-        Sender::record_outcome(&mut self.module, now, id, elapsed, outcome, over);
+        Sender::record_outcome(&mut self.module, now, id, elapsed, outcome, completed);
     }
     fn may_still_dispatch(&self, now: Duration, id: PacketId) -> bool {
         Sender::may_still_dispatch(&self.module, now, id) || self.repeats_after_completion
--- a/crates/sailcart-sender/src/exchange/directory/mod.rs
+++ b/crates/sailcart-sender/src/exchange/directory/mod.rs
@@ -198,40 +198,40 @@
         name: CompactString,
         spec: EndpointSpec,
         rate: f64,
-        listings: &mut Vec<ListEntry>,
+        list_entries: &mut Vec<ListEntry>,
     ) {
         let current = self.find_name(&name);
         let same = current.and_then(|at| self.slots.get_mut(at)).filter(|slot| slot.spec() == spec);
         if let Some(slot) = same {
             if slot.rate != rate {
                 slot.rate = rate;
-                listings.push(slot.listing());
+                list_entries.push(slot.list_entry());
             }
             return;
         }
         if let Some(position) = current {
-            self.remove(position, listings);
+            self.remove(position, list_entries);
         }
         let endpoint = EndpointId(self.next_endpoint);
         self.next_endpoint = self.next_endpoint.wrapping_add(1);
         let target = Target::new(spec.address, spec.kind);
         let mark = ListMark::named(self.generation);
         let slot = Slot { name, destination: spec.destination, rate, target, endpoint, mark };
-        listings.push(slot.listing());
+        list_entries.push(slot.list_entry());
         self.insert(slot);
     }
 
     /// Removes the endpoint with this name, which drains.
-    pub(super) fn drain(&mut self, name: &str, listings: &mut Vec<ListEntry>) {
+    pub(super) fn drain(&mut self, name: &str, list_entries: &mut Vec<ListEntry>) {
         if let Some(position) = self.find_name(name) {
-            self.remove(position, listings);
+            self.remove(position, list_entries);
         }
     }
 
     /// Removes the endpoint at a position: it drains, is no longer listed, or has changed its address,
     /// destination or kind. Nothing of it is retained, so that a new endpoint at its address, or under its
     /// name, starts without its state.
-    pub(super) fn remove(&mut self, position: u32, listings: &mut Vec<ListEntry>) {
+    pub(super) fn remove(&mut self, position: u32, list_entries: &mut Vec<ListEntry>) {
         let Some(slot) = self.slots.get(position) else { return };
         let name_hash = self.hasher.hash_one(slot.name.as_str());
         let endpoint_hash = self.hasher.hash_one(slot.endpoint);
@@ -239,7 +239,7 @@
         self.by_endpoint.remove(endpoint_hash, |other| *other == position);
         let Some(slot) = self.slots.remove(position) else { return };
         self.destinations.remove_endpoint(slot.destination);
-        listings.push(ListEntry { live: false, rate: 0.0, ..slot.listing() });
+        list_entries.push(ListEntry { live: false, rate: 0.0, ..slot.list_entry() });
     }
 
     /// Notes that the list being applied names a destination, perhaps without a live endpoint: packets for it
--- a/crates/sailcart-sender/src/exchange/directory/slots.rs
+++ b/crates/sailcart-sender/src/exchange/directory/slots.rs
@@ -63,7 +63,7 @@
     }
 
     /// The endpoint as the decision module receives it.
-    pub(super) fn listing(&self) -> ListEntry {
+    pub(super) fn list_entry(&self) -> ListEntry {
         ListEntry {
             endpoint: self.endpoint,
             destination: self.destination,
--- a/crates/sailcart-sender/src/exchange/lists.rs
+++ b/crates/sailcart-sender/src/exchange/lists.rs
@@ -101,14 +101,14 @@
     /// list is in force.
     fn apply_step(&self, update: &mut Update) -> bool {
         let Inner { sender, host, .. } = &mut *self.inner.borrow_mut();
-        let (listings, last) = match update.step(&mut host.directory) {
+        let (list_entries, last) = match update.step(&mut host.directory) {
             Step::Searched => return false,
-            Step::Changes(listings) => (listings, false),
-            Step::Last(listings) => (listings, true),
+            Step::Changes(list_entries) => (list_entries, false),
+            Step::Last(list_entries) => (list_entries, true),
         };
-        let removed = listings.iter().filter(|listing| !listing.live);
-        host.endpoints_to_close.extend(removed.map(|listing| (listing.endpoint, "unlisted")));
-        sender.update_list(host.clock.now(), false, &listings);
+        let removed = list_entries.iter().filter(|list_entry| !list_entry.live);
+        host.endpoints_to_close.extend(removed.map(|list_entry| (list_entry.endpoint, "unlisted")));
+        sender.update_list(host.clock.now(), false, &list_entries);
         self.round_requested.notify_one();
         last
     }
--- a/crates/sailcart-sender/src/exchange/staged.rs
+++ b/crates/sailcart-sender/src/exchange/staged.rs
@@ -10,10 +10,10 @@
 
 use super::directory::{Directory, EndpointEntry, EndpointSpec, Index, Target};
 
-/// Largest number of listings passed to the decision module at once.
+/// Largest number of list entries passed to the decision module at once.
 pub const MAX_CHANGES_PER_STEP: usize = 2048;
 /// Number of staged entries that are allocated, applied and freed together. Each leads to at most two
-/// listings: the removal of its previous endpoint and the addition of the new one.
+/// list entries: the removal of its previous endpoint and the addition of the new one.
 pub(super) const CHUNK_ENTRIES: usize = MAX_CHANGES_PER_STEP / 2;
 
 /// The list would leave more live endpoints than are allowed.
@@ -92,9 +92,9 @@
     removed_endpoints: usize,
     /// Number of names that the list turns from not live to live.
     added_endpoints: usize,
-    /// Largest number of listings that the list leads to, without the endpoints that a full list removes by
-    /// not naming them.
-    pub(super) max_listings: usize,
+    /// Largest number of list entries that the list leads to, without the endpoints that a full list removes
+    /// by not naming them.
+    pub(super) max_list_entries: usize,
     /// Number of entries whose kind is not in the settings.
     unknown_kinds: usize,
 }
@@ -117,7 +117,7 @@
             live_names: 0,
             removed_endpoints: 0,
             added_endpoints: 0,
-            max_listings: 0,
+            max_list_entries: 0,
             unknown_kinds: 0,
         }
     }
@@ -170,7 +170,7 @@
         self.added_endpoints += usize::from(listed.live && !was_live);
         self.removed_endpoints += usize::from(!listed.live && was_live);
         let stays = listed.live && current.is_some_and(|current| current.same_spec);
-        self.max_listings += usize::from(listed.live) + usize::from(was_live && !stays);
+        self.max_list_entries += usize::from(listed.live) + usize::from(was_live && !stays);
         self.push(listed);
         self.check_limits()
     }
--- a/crates/sailcart-sender/src/exchange/update.rs
+++ b/crates/sailcart-sender/src/exchange/update.rs
@@ -70,7 +70,7 @@
                     }
                 }
                 Phase::Search(_) => {
-                    self.in_steps = self.unlisted.len() + self.staged.max_listings > MAX_CHANGES_PER_STEP;
+                    self.in_steps = self.unlisted.len() + self.staged.max_list_entries > MAX_CHANGES_PER_STEP;
                     self.phase = Phase::RemoveUnlisted;
                     if !self.in_steps {
                         return self.apply_all(directory);
@@ -80,9 +80,9 @@
                 Phase::RemoveUnlisted => return Step::Changes(self.remove_unlisted(directory)),
                 Phase::RemoveDraining(chunk) if chunk < self.staged.chunks.len() => {
                     self.phase = Phase::RemoveDraining(chunk + 1);
-                    let listings = self.remove_draining(chunk, directory);
-                    if !listings.is_empty() {
-                        return Step::Changes(listings);
+                    let list_entries = self.remove_draining(chunk, directory);
+                    if !list_entries.is_empty() {
+                        return Step::Changes(list_entries);
                     }
                 }
                 Phase::RemoveDraining(_) => self.phase = Phase::ApplyLive,
@@ -93,66 +93,70 @@
 
     /// Applies all changes in one step.
     fn apply_all(&mut self, directory: &mut Directory) -> Step {
-        let mut listings = self.remove_unlisted(directory);
+        let mut list_entries = self.remove_unlisted(directory);
         for entry in mem::take(&mut self.staged.chunks).into_iter().flatten() {
             if !entry.live || entry.overridden {
                 directory.mention(entry.destination);
             }
             if entry.live {
-                put(entry, directory, &mut listings);
+                put(entry, directory, &mut list_entries);
             } else {
-                directory.drain(&entry.name, &mut listings);
+                directory.drain(&entry.name, &mut list_entries);
             }
         }
-        self.finish(directory, listings)
+        self.finish(directory, list_entries)
     }
 
     /// Removes up to [`MAX_CHANGES_PER_STEP`] unlisted endpoints.
     fn remove_unlisted(&mut self, directory: &mut Directory) -> Vec<ListEntry> {
-        let mut listings = Vec::new();
+        let mut list_entries = Vec::new();
         let rest = self.unlisted.split_off(self.unlisted.len().min(MAX_CHANGES_PER_STEP));
         for slot in mem::replace(&mut self.unlisted, rest) {
-            directory.remove(slot, &mut listings);
+            directory.remove(slot, &mut list_entries);
         }
-        listings
+        list_entries
     }
 
     /// Removes the draining endpoints of a chunk.
     fn remove_draining(&self, chunk: usize, directory: &mut Directory) -> Vec<ListEntry> {
-        let mut listings = Vec::new();
+        let mut list_entries = Vec::new();
         for entry in self.staged.chunks.get(chunk).into_iter().flatten() {
             if !entry.live || entry.overridden {
                 directory.mention(entry.destination);
             }
             if !entry.live && !entry.overridden {
-                directory.drain(&entry.name, &mut listings);
+                directory.drain(&entry.name, &mut list_entries);
             }
         }
-        listings
+        list_entries
     }
 
     /// Applies the live entries of the first chunk and frees it.
     fn apply_live_chunk(&mut self, directory: &mut Directory) -> Step {
-        let mut listings = Vec::new();
+        let mut list_entries = Vec::new();
         for entry in self.staged.chunks.pop_front().into_iter().flatten() {
             if entry.live && !entry.overridden {
-                put(entry, directory, &mut listings);
+                put(entry, directory, &mut list_entries);
             }
         }
-        if self.staged.chunks.is_empty() { self.finish(directory, listings) } else { Step::Changes(listings) }
+        if self.staged.chunks.is_empty() {
+            self.finish(directory, list_entries)
+        } else {
+            Step::Changes(list_entries)
+        }
     }
 
-    fn finish(&mut self, directory: &mut Directory, listings: Vec<ListEntry>) -> Step {
+    fn finish(&mut self, directory: &mut Directory, list_entries: Vec<ListEntry>) -> Step {
         for destination in mem::take(&mut self.staged.overridden_destinations) {
             directory.mention(destination);
         }
         directory.finish_update(self.now, self.staged.max_endpoints);
-        Step::Last(listings)
+        Step::Last(list_entries)
     }
 }
 
-fn put(entry: StagedEntry, directory: &mut Directory, listings: &mut Vec<ListEntry>) {
+fn put(entry: StagedEntry, directory: &mut Directory, list_entries: &mut Vec<ListEntry>) {
     let (spec, rate) = (entry.spec(), entry.rate);
     log::debug!("list: {} serves destination {}, {rate} calls/s", spec.address, spec.destination.0);
-    directory.put(entry.name, spec, rate, listings);
+    directory.put(entry.name, spec, rate, list_entries);
 }
