--- a/crates/sailcart-lab/src/policies/mod.rs
+++ b/crates/sailcart-lab/src/policies/mod.rs
@@ -61,7 +61,7 @@
 
 /// The decisions of one sender: the methods of [`Sender`], and what a baseline needs instead.
 pub trait Policy {
-    /// Applies the list of endpoints, or changes of it, as [`Sender::list`] does.
+    /// Applies the list of endpoints, or changes of it, as [`Sender::update_list`] does.
     fn update_list(&mut self, now: Duration, full: bool, entries: &[ListEntry]);
     /// Accepts a packet that a client submitted or that the journal held at the start.
     fn accept(&mut self, now: Duration, packet: Packet);
--- a/crates/sailcart-lab/src/sockets/shared_state.rs
+++ b/crates/sailcart-lab/src/sockets/shared_state.rs
@@ -122,13 +122,7 @@
     ) -> PacketId {
         let mut submissions = self.submissions.borrow_mut();
         let packet = PacketId(submissions.len() as u64);
-        submissions.push(Submission {
-            planned_packet: planned_packet,
-            sender,
-            attempt,
-            accepted: false,
-            completion: None,
-        });
+        submissions.push(Submission { planned_packet, sender, attempt, accepted: false, completion: None });
         drop(submissions);
         let planned = &self.plan.planned_packets[planned_packet.0];
         self.tally.borrow_mut().increment(Counter::Submitted);
