--- a/crates/sailcart-lab/src/plan.rs
+++ b/crates/sailcart-lab/src/plan.rs
@@ -107,7 +107,7 @@
 pub enum ListState {
     Ready,
     Draining,
-    Gone,
+    Removed,
 }
 
 /// A change of the list.
@@ -226,7 +226,7 @@
             match change.state {
                 ListState::Ready => live.insert(change.endpoint, true),
                 ListState::Draining => live.insert(change.endpoint, false),
-                ListState::Gone => live.remove(&change.endpoint),
+                ListState::Removed => live.remove(&change.endpoint),
             };
         }
         live.into_iter().map(|(endpoint, live)| self.list_entry(endpoint, live)).collect()
@@ -374,7 +374,7 @@
         let same_address = scheduled.trouble.same_address.unwrap_or(false);
         for endpoint in &scheduled.endpoints {
             changes.push(ListChange { at: scheduled.from, endpoint: *endpoint, state: ListState::Draining });
-            changes.push(ListChange { at: scheduled.until, endpoint: *endpoint, state: ListState::Gone });
+            changes.push(ListChange { at: scheduled.until, endpoint: *endpoint, state: ListState::Removed });
             planned_endpoints[endpoint.0 as usize].removed_at = scheduled.until;
             if is_replaced {
                 let old_endpoint = planned_endpoints[endpoint.0 as usize].clone();
--- a/crates/sailcart-lab/src/receivers/troubles.rs
+++ b/crates/sailcart-lab/src/receivers/troubles.rs
@@ -98,7 +98,9 @@
             troubles[planned_endpoint.endpoint.0 as usize] =
                 inherited.into_iter().filter(|s| !is_drain(s)).collect();
         }
-        debug_assert!(plan.list_changes.iter().all(|c| c.state != ListState::Gone || c.at > Duration::ZERO));
+        debug_assert!(
+            plan.list_changes.iter().all(|c| c.state != ListState::Removed || c.at > Duration::ZERO)
+        );
         TroubleSchedule { troubles }
     }
 
--- a/crates/sailcart-lab/src/simulated/event.rs
+++ b/crates/sailcart-lab/src/simulated/event.rs
@@ -31,7 +31,7 @@
     /// A sender process starts, unless one is running.
     Start(SenderId),
     /// An outage begins at a receiver.
-    OutageBegins(UpstreamId),
+    OutageStarted(UpstreamId),
     /// The figures of the past second are sampled.
     Sample,
 }
--- a/crates/sailcart-lab/src/simulated/mod.rs
+++ b/crates/sailcart-lab/src/simulated/mod.rs
@@ -89,7 +89,7 @@
             Event::StopAccepting(sender) => self.senders[sender.0].accepting = false,
             Event::Kill(sender) => self.kill_sender(sender),
             Event::Start(sender) => self.start_sender(sender),
-            Event::OutageBegins(upstream) => self.observe(Observation::OutageStarted(upstream)),
+            Event::OutageStarted(upstream) => self.observe(Observation::OutageStarted(upstream)),
             Event::Sample => self.sample(),
         }
     }
--- a/crates/sailcart-lab/src/simulated/schedule.rs
+++ b/crates/sailcart-lab/src/simulated/schedule.rs
@@ -56,7 +56,7 @@
         for planned_endpoint in &plan.endpoints {
             let upstream = self.upstream(planned_endpoint.endpoint);
             for (from, _) in troubles.outages(planned_endpoint.endpoint) {
-                self.queue.push(from, Event::OutageBegins(upstream));
+                self.queue.push(from, Event::OutageStarted(upstream));
             }
         }
     }
--- a/crates/sailcart-lab/src/sockets/discovery.rs
+++ b/crates/sailcart-lab/src/sockets/discovery.rs
@@ -111,7 +111,8 @@
         bodiless_response("204 No Content")
     }
 
-    /// Parses one notice: the packet, its end, and the wait before a resubmission. `None` if it is malformed.
+    /// Parses one notice: the packet, its completion, and the wait before a resubmission. `None` if it is
+    /// malformed.
     fn parse_notice(&self, line: &str) -> Option<(sailcart::PacketId, CompletionKind, Duration)> {
         let notice: Value = serde_json::from_str(line).ok()?;
         let packet = self.shared.find_packet(notice.get("message")?.as_str()?)?;
@@ -158,7 +159,7 @@
             });
         }
         if from.is_none() {
-            updates.retain(|(_, state)| *state != ListState::Gone);
+            updates.retain(|(_, state)| *state != ListState::Removed);
         }
         let entries: Vec<Value> = updates
             .iter()
--- a/crates/sailcart-lab/src/sockets/protocol.rs
+++ b/crates/sailcart-lab/src/sockets/protocol.rs
@@ -32,11 +32,12 @@
     let lifecycle = match state {
         ListState::Ready => "Ready",
         ListState::Draining => "Terminating",
-        ListState::Gone => "Gone",
+        ListState::Removed => "Gone",
     };
     let weight = if plan.experiment.senders.rates_listed { destination.rate } else { 1.0 };
     json!({
-        "instanceId": format!("e-{}", endpoint.0), "hostPort": addresses[planned_endpoint.address_owner.0 as usize].to_string(),
+        "instanceId": format!("e-{}", endpoint.0),
+        "hostPort": addresses[planned_endpoint.address_owner.0 as usize].to_string(),
         "zone": "z", "machineType": plan.experiment.kinds[destination.kind.0].name,
         "cell": planned_endpoint.destination.0, "lifecycle": lifecycle, "weight": weight, "startedAtMs": 0,
     })
