--- a/crates/sailcart-lab/src/sockets/endpoints.rs
+++ b/crates/sailcart-lab/src/sockets/endpoints.rs
@@ -427,7 +427,9 @@
         tokio::select! {
             () = due => None,
             () = peer_closed(&self.stream) => Some((Counter::Unanswered, AfterCall::Close)),
-            () = Self::wait_until_stopped(self.shared, self.endpoint) => Some((Counter::Errors, AfterCall::Reset)),
+            () = Self::wait_until_stopped(self.shared, self.endpoint) => {
+                Some((Counter::Errors, AfterCall::Reset))
+            }
         }
     }
 
