--- a/crates/sailcart-lab/src/capacity/decision_module.rs
+++ b/crates/sailcart-lab/src/capacity/decision_module.rs
@@ -13,7 +13,7 @@
 use super::scaling::{DestinationIndex, ScalingSubject};
 use super::series::{Measurements, Quantity};
 use super::sizes::Sizes;
-use crate::experiment::Fault;
+use crate::experiment::LabError;
 
 /// Number of senders that the module's settings state.
 const FLEET_SENDERS: usize = 2600;
@@ -65,7 +65,7 @@
     next_packet_id: u64,
 }
 
-fn terms() -> Settings {
+fn settings() -> Settings {
     let category = Category {
         repeat: Repeat::Idempotent,
         in_order: false,
@@ -93,7 +93,7 @@
     }
 }
 
-fn listing(index: u64, live: bool) -> ListEntry {
+fn list_entry(index: u64, live: bool) -> ListEntry {
     ListEntry {
         endpoint: EndpointId(index as u32),
         destination: DestinationId(index),
@@ -105,7 +105,7 @@
 
 impl Default for DecisionModule {
     fn default() -> Self {
-        let (sender, host) = (Sender::new(terms(), 1), RecordingHost::default());
+        let (sender, host) = (Sender::new(settings(), 1), RecordingHost::default());
         DecisionModule { sender, host, now: Duration::ZERO, next_packet_id: 0 }
     }
 }
@@ -151,12 +151,12 @@
 
 impl ScalingSubject for DecisionModule {
     fn apply_full_list(&mut self, destinations: u64) {
-        let entries: Vec<ListEntry> = (0..destinations).map(|index| listing(index, true)).collect();
+        let entries: Vec<ListEntry> = (0..destinations).map(|index| list_entry(index, true)).collect();
         self.apply_list(&entries);
     }
 
     fn apply_change(&mut self, destination: DestinationIndex, live: bool) {
-        self.sender.update_list(self.now, false, &[listing(destination.0, live)]);
+        self.sender.update_list(self.now, false, &[list_entry(destination.0, live)]);
     }
 
     fn run_round(&mut self, busy: &[DestinationIndex]) {
@@ -176,7 +176,7 @@
 
 /// Measures the module at every size. The modules of all sizes exist until the last one is measured, so that
 /// memory freed by one size is not reused, and thereby missed, at another.
-pub fn measure(sizes: &Sizes, measurements: &mut Measurements) -> Result<(), Fault> {
+pub fn measure(sizes: &Sizes, measurements: &mut Measurements) -> Result<(), LabError> {
     let mut retained = Vec::new();
     for size in sizes.module_destinations.iter().copied() {
         retained.push(measure_size(size, sizes, measurements)?);
@@ -184,9 +184,9 @@
     Ok(())
 }
 
-fn resident_bytes() -> Result<f64, Fault> {
+fn resident_bytes() -> Result<f64, LabError> {
     let status = procfs::process::Process::myself().and_then(|process| process.status());
-    let status = status.map_err(|error| Fault(format!("procfs: {error}")))?;
+    let status = status.map_err(|error| LabError(format!("procfs: {error}")))?;
     Ok(status.vmrss.unwrap_or(0) as f64 * 1024.0)
 }
 
@@ -194,8 +194,8 @@
     size: usize,
     sizes: &Sizes,
     measurements: &mut Measurements,
-) -> Result<Vec<DecisionModule>, Fault> {
-    let entries: Vec<ListEntry> = (0..size as u64).map(|index| listing(index, true)).collect();
+) -> Result<Vec<DecisionModule>, LabError> {
+    let entries: Vec<ListEntry> = (0..size as u64).map(|index| list_entry(index, true)).collect();
     let count = (TOTAL_DESTINATIONS / size.max(1)).clamp(1, MAX_MODULES);
     let bytes_before = resident_bytes()?;
     let mut modules: Vec<DecisionModule> = (0..count).map(|_| DecisionModule::default()).collect();
--- a/crates/sailcart-lab/src/main.rs
+++ b/crates/sailcart-lab/src/main.rs
@@ -160,7 +160,7 @@
             Ok(all_held)
         }
         Command::Compare { a, b, runs } => {
-            let read_results = |folder: &Path| compare::gather(folder).map_err(|e| format!("{e}"));
+            let read_results = |folder: &Path| compare::read_outcomes(folder).map_err(|e| format!("{e}"));
             let (mut a, mut b) = (read_results(&a)?, read_results(&b)?);
             a.truncate(runs.unwrap_or(usize::MAX));
             b.truncate(runs.unwrap_or(usize::MAX));
@@ -168,7 +168,7 @@
             if differences.is_empty() {
                 return Err("the folders have no results of the same experiment and seed".to_owned());
             }
-            print!("{}", compare::table(&differences));
+            print!("{}", compare::format_table(&differences));
             Ok(true)
         }
         Command::Report { folder } => {
@@ -181,18 +181,20 @@
         Command::Receivers { file, discovery, sender, folder, set } => {
             let experiment = load_experiment(&file, &set)?;
             let plan = Plan::new(experiment.clone(), experiment.seed).map_err(|error| error.0)?;
-            sockets::receivers(&plan, discovery, sender, &folder).map_err(|error| error.0)?;
+            sockets::run_receivers(&plan, discovery, sender, &folder).map_err(|error| error.0)?;
             Ok(true)
         }
         Command::Load { file, to, out, set } => {
             let experiment = load_experiment(&file, &set)?;
             let plan = Plan::new(experiment.clone(), experiment.seed).map_err(|error| error.0)?;
-            let outcome = sockets::load(&plan, to, &mut |_| {}).map_err(|error| error.0)?;
+            let outcome = sockets::run_clients(&plan, to, &mut |_| {}).map_err(|error| error.0)?;
             outcome.write(&out).map_err(|e| e.to_string())?;
             println!("{}", load_summary(&outcome));
             Ok(true)
         }
-        Command::Keep { parent, program, words } => Err(sockets::keep(parent, &program, &words).to_string()),
+        Command::Keep { parent, program, words } => {
+            Err(sockets::exec_sender(parent, &program, &words).to_string())
+        }
         Command::Capacity(options) => {
             print!("{}", capacity::run(&options).map_err(|error| error.0)?);
             Ok(true)
@@ -200,7 +202,8 @@
         Command::Story { folder, packet } => {
             print!(
                 "{}",
-                soak::story::story(&folder, packet).map_err(|e| format!("{}: {e}", folder.display()))?
+                soak::packet_trace::trace_packet(&folder, packet)
+                    .map_err(|e| format!("{}: {e}", folder.display()))?
             );
             Ok(true)
         }
@@ -234,7 +237,7 @@
         );
     }
     println!("{}", folder.join("report.html").display());
-    Ok(outcome.rules_kept() && outcome.bounds_kept())
+    Ok(outcome.all_rules_kept() && outcome.all_bounds_met())
 }
 
 fn load_summary(outcome: &Outcome) -> String {
@@ -275,14 +278,14 @@
             .iter()
             .enumerate()
             .map(|(index, line)| {
-                (line.rule, outcomes.iter().map(|outcome| outcome.rules[index].broken).sum::<u64>())
+                (line.rule, outcomes.iter().map(|outcome| outcome.rules[index].violations).sum::<u64>())
             })
             .filter(|(_, violations)| *violations > 0)
             .map(|(rule, violations)| format!("{rule:?} {violations}"))
             .collect();
         println!(
             "| {} | {:.3} ± {standard_deviation:.3} | {:.3} | {:.0} | {:.0} | {} |",
-            policy.word(),
+            policy.name(),
             mean("credit"),
             mean("credit_worst_10s"),
             mean("full"),
--- a/crates/sailcart-lab/src/policies/mod.rs
+++ b/crates/sailcart-lab/src/policies/mod.rs
@@ -41,7 +41,7 @@
     ];
 
     /// The name on the command line.
-    pub fn word(self) -> &'static str {
+    pub fn name(self) -> &'static str {
         match self {
             PolicyName::Sailcart => "sailcart",
             PolicyName::OneTry => "one-try",
@@ -61,7 +61,7 @@
 
 /// The decisions of one sender: the methods of [`Sender`], and what a baseline needs instead.
 pub trait Policy {
-    /// Applies the list of endpoints, or changes of it, as [`Sender::list`] does.
+    /// Applies the list of endpoints, or changes of it, as [`Sender::update_list`] does.
     fn update_list(&mut self, now: Duration, full: bool, entries: &[ListEntry]);
     /// Accepts a packet that a client submitted or that the journal held at the start.
     fn accept(&mut self, now: Duration, packet: Packet);
@@ -150,9 +150,9 @@
 }
 
 /// Creates the decisions of a sender that starts.
-pub fn start(name: PolicyName, terms: &Settings, seed: u64) -> Box<dyn Policy> {
+pub fn start(name: PolicyName, settings: &Settings, seed: u64) -> Box<dyn Policy> {
     match name {
-        PolicyName::Sailcart => Box::new(Sender::new(terms.clone(), seed)),
-        other => Box::new(Baseline::new(other, terms.clone(), seed)),
+        PolicyName::Sailcart => Box::new(Sender::new(settings.clone(), seed)),
+        other => Box::new(Baseline::new(other, settings.clone(), seed)),
     }
 }
--- a/crates/sailcart-lab/src/results/assemble.rs
+++ b/crates/sailcart-lab/src/results/assemble.rs
@@ -8,16 +8,16 @@
 use super::bounds::Bound;
 use super::credit::Credit;
 use super::outcome::{BoundLine, Cost, Outcome, RuleLine, Series, TroubleLine, VERSION};
-use super::tally::{Count, Tally, microsecond_histogram};
+use super::tally::{Counter, Tally, microsecond_histogram};
 use crate::experiment::{Mode, Trouble};
 use crate::plan::Plan;
 use crate::policies::PolicyName;
 use crate::watcher::{Rule, Watcher};
 
 impl Tally {
-    /// Builds the result of the run, with the breaches that the watcher found and the resources its processes
-    /// used.
-    pub fn outcome(
+    /// Builds the result of the run, with the violations that the watcher found and the resources its
+    /// processes used.
+    pub fn into_outcome(
         self,
         plan: &Plan,
         mode: Mode,
@@ -39,9 +39,9 @@
             span_s: experiment.span.as_secs_f64(),
             senders: experiment.senders.count,
             destinations: plan.destinations.len(),
-            endpoints: plan.places.len(),
+            endpoints: plan.endpoints.len(),
             rules: rule_lines(watcher),
-            breaches: watcher.breaches().to_vec(),
+            violations: watcher.violations().to_vec(),
             bounds: bound_lines(&experiment.bounds, &figures),
             troubles: trouble_lines(plan),
             series: self.series(plan, &credit),
@@ -65,7 +65,7 @@
         let mut series = credit.series(plan);
         for (chart, values_by_series) in [
             ("dispatches a second", &self.dispatches_per_second),
-            ("refusals a second", &self.refusals_per_second),
+            ("refusals a second", &self.rejections_per_second),
             ("packets held", &self.packets_held),
             ("calls out", &self.calls_in_flight),
         ] {
@@ -88,13 +88,13 @@
     ) -> BTreeMap<String, f64> {
         let mut figures = BTreeMap::new();
         let mut insert = |name: &str, value: f64| figures.insert(name.to_owned(), round_to_millionths(value));
-        for (counter, name) in Count::ALL {
+        for (counter, name) in Counter::ALL {
             insert(name, self.counts.get(&counter).copied().unwrap_or(0) as f64);
         }
         insert("credit", credit.overall());
         insert("credit_worst_10s", credit.worst_window());
         insert("credit_worst_category", credit.worst_category());
-        insert("wanted", plan.origins.len() as f64);
+        insert("wanted", plan.planned_packets.len() as f64);
         insert("delivered", self.delivery_delays.iter().flatten().count() as f64);
         insert("late", self.late_count(plan) as f64);
         insert("jain", jain_index(plan, &self.delivery_delays));
@@ -110,8 +110,8 @@
 
     /// The number of packets that were delivered after their soft limit.
     fn late_count(&self, plan: &Plan) -> usize {
-        let late = plan.origins.iter().zip(&self.delivery_delays).filter(|(origin, delay)| {
-            delay.is_some_and(|delay| delay > plan.category(origin.category).soft_limit)
+        let late = plan.planned_packets.iter().zip(&self.delivery_delays).filter(|(planned, delay)| {
+            delay.is_some_and(|delay| delay > plan.category(planned.category).soft_limit)
         });
         late.count()
     }
@@ -129,7 +129,7 @@
     let lines = Rule::ALL.iter().map(|rule| RuleLine {
         rule: *rule,
         description: rule.description().to_owned(),
-        broken: watcher.count(*rule),
+        violations: watcher.count(*rule),
     });
     lines.collect()
 }
@@ -137,18 +137,18 @@
 /// Evaluates the bounds of an experiment against the figures. A bound that cannot be parsed is left out.
 fn bound_lines(bounds: &[String], figures: &BTreeMap<String, f64>) -> Vec<BoundLine> {
     let lines = bounds.iter().filter_map(|text| {
-        let bound = Bound::read(text).ok()?;
+        let bound = Bound::parse(text).ok()?;
         let value = figures.get(&bound.figure).copied().unwrap_or(0.0);
-        Some(BoundLine { bound: text.clone(), value, held: bound.holds(value) })
+        Some(BoundLine { bound: text.clone(), value, held: bound.is_satisfied_by(value) })
     });
     lines.collect()
 }
 
 fn trouble_lines(plan: &Plan) -> Vec<TroubleLine> {
-    let lines = plan.struck.iter().map(|struck| TroubleLine {
-        description: describe_trouble(&struck.trouble),
-        from_s: struck.from.as_secs_f64(),
-        until_s: struck.until.as_secs_f64(),
+    let lines = plan.scheduled_troubles.iter().map(|scheduled| TroubleLine {
+        description: describe_trouble(&scheduled.trouble),
+        from_s: scheduled.from.as_secs_f64(),
+        until_s: scheduled.until.as_secs_f64(),
     });
     lines.collect()
 }
@@ -183,8 +183,8 @@
 /// share.
 fn jain_index(plan: &Plan, delivery_delays: &[Option<Duration>]) -> f64 {
     let mut by_destination = vec![(0.0, 0.0); plan.destinations.len()];
-    for (origin, delay) in plan.origins.iter().zip(delivery_delays) {
-        let (delivered_count, wanted_count) = &mut by_destination[origin.destination.0 as usize];
+    for (planned, delay) in plan.planned_packets.iter().zip(delivery_delays) {
+        let (delivered_count, wanted_count) = &mut by_destination[planned.destination.0 as usize];
         *wanted_count += 1.0;
         *delivered_count += if delay.is_some() { 1.0 } else { 0.0 };
     }
--- a/crates/sailcart-lab/src/simulated/dispatching.rs
+++ b/crates/sailcart-lab/src/simulated/dispatching.rs
@@ -9,8 +9,8 @@
 use super::sender::Dispatch;
 use super::world::World;
 use crate::plan::SenderId;
-use crate::receivers::Connect;
-use crate::results::tally::Count;
+use crate::receivers::ConnectResult;
+use crate::results::tally::Counter;
 use crate::watcher::CallId;
 
 impl World<'_> {
@@ -20,10 +20,10 @@
         let mut requests: Vec<CallRequest> = Vec::new();
         for Dispatch { packet, endpoint, timeout } in dispatches {
             let max_batch = self.max_batch(endpoint);
-            let has_room = |request: &&mut CallRequest| {
+            let has_capacity = |request: &&mut CallRequest| {
                 request.endpoint == endpoint && request.packets.len() < max_batch
             };
-            match requests.iter_mut().rev().find(has_room) {
+            match requests.iter_mut().rev().find(has_capacity) {
                 Some(request) => {
                     request.packets.push(packet);
                     request.timeout = request.timeout.min(timeout);
@@ -38,7 +38,7 @@
 
     /// Maximum number of packets in a call to an endpoint.
     fn max_batch(&self, endpoint: EndpointId) -> usize {
-        let destination = self.plan.place(endpoint).destination;
+        let destination = self.plan.endpoint(endpoint).destination;
         let kind = self.plan.destination(destination).kind;
         self.plan.experiment.kinds[kind.0].batch.max(1)
     }
@@ -52,11 +52,11 @@
             submission.dispatches += 1;
             submission.call = Some(id);
         }
-        self.tally.calls_out(self.plan.place(endpoint).destination, true);
+        self.tally.adjust_calls_in_flight(self.plan.endpoint(endpoint).destination, true);
         let mut call = Call::new(sender, endpoint, packets, self.now);
         call.holds_connection = self.connect(id, &call, timeout);
-        let gate = self.gate(endpoint);
-        self.calls_not_arrived[gate.0] += 1;
+        let upstream = self.upstream(endpoint);
+        self.calls_not_arrived[upstream.0] += 1;
         self.calls.insert(id, call);
         self.queue.push(self.now + timeout, Event::AbortCall(id, Outcome::TimedOut));
     }
@@ -70,17 +70,17 @@
         }
         let round_trip = self.plan.experiment.network.transit * 2;
         match self.receivers.connect(self.plan, self.now, call.endpoint) {
-            Connect::Up(handshake) => {
-                self.tally.count(Count::Connections);
+            ConnectResult::Established(handshake) => {
+                self.tally.increment(Counter::Connections);
                 self.queue.push(self.now + round_trip + handshake, Event::Connected(id));
                 true
             }
-            Connect::Refused => {
+            ConnectResult::Refused => {
                 self.queue.push(self.now + round_trip, Event::ConnectFailed(id));
                 false
             }
-            Connect::Never => {
-                let timeout = self.plan.terms.connect_timeout.min(timeout);
+            ConnectResult::Unanswered => {
+                let timeout = self.plan.settings.connect_timeout.min(timeout);
                 self.queue.push(self.now + timeout, Event::ConnectFailed(id));
                 false
             }
@@ -94,7 +94,7 @@
         if !call.packets.iter().all(|packet| policy.may_still_dispatch(self.now, *packet)) {
             return self.finish_call(id, Outcome::NoSlot);
         }
-        if self.receivers.cuts_before(self.now, call.endpoint) {
+        if self.receivers.breaks_before_end(self.now, call.endpoint) {
             return self.finish_call(id, Outcome::NoConnection);
         }
         self.write(id);
--- a/crates/sailcart-lab/src/simulated/outcomes.rs
+++ b/crates/sailcart-lab/src/simulated/outcomes.rs
@@ -5,19 +5,19 @@
 use super::call::{Call, Stage};
 use super::submission::Completion;
 use super::world::World;
-use crate::results::tally::Count;
-use crate::watcher::{CallId, End, Heard, Seen};
+use crate::results::tally::Counter;
+use crate::watcher::{CallId, CallResult, CompletionKind, Observation};
 
 /// What a sender has learnt from an answer it received.
-fn observed_result(outcomes: &[Outcome]) -> Heard {
+fn observed_result(outcomes: &[Outcome]) -> CallResult {
     let rejection = outcomes.iter().find_map(|outcome| match outcome {
-        Outcome::Full(wait) => Some(Heard::Full(*wait)),
+        Outcome::Full(wait) => Some(CallResult::Rejected(*wait)),
         _ => None,
     });
     rejection.unwrap_or(match outcomes.first() {
-        Some(Outcome::Done) => Heard::Done,
-        Some(Outcome::Error) => Heard::Error,
-        _ => Heard::Unsure,
+        Some(Outcome::Done) => CallResult::Done,
+        Some(Outcome::Error) => CallResult::Error,
+        _ => CallResult::PossiblyExecuted,
     })
 }
 
@@ -43,13 +43,13 @@
         let Some(call) = self.remove_call(id) else { return };
         let first_outcome = outcomes.first().copied().unwrap_or(Outcome::NoSlot);
         self.release_connection(&call, first_outcome);
-        self.tally.calls_out(self.plan.place(call.endpoint).destination, false);
+        self.tally.adjust_calls_in_flight(self.plan.endpoint(call.endpoint).destination, false);
         self.count_failure(first_outcome);
         if call.has_arrived() {
-            self.observe(Seen::Over { call: id, heard: observed_result(&outcomes) });
+            self.observe(Observation::CallCompleted { call: id, result: observed_result(&outcomes) });
         } else if first_outcome == Outcome::NoConnection {
-            let gate = self.gate(call.endpoint);
-            self.observe(Seen::NoConnection { sender: call.sender, gate });
+            let upstream = self.upstream(call.endpoint);
+            self.observe(Observation::ConnectionFailed { sender: call.sender, upstream });
         }
         for (packet, outcome) in call.packets.iter().zip(outcomes) {
             self.record_packet_outcome(&call, *packet, outcome);
@@ -62,11 +62,11 @@
     pub fn remove_call(&mut self, id: CallId) -> Option<Call> {
         let call = self.calls.remove(&id)?;
         if !call.has_arrived() {
-            let gate = self.gate(call.endpoint);
-            self.calls_not_arrived[gate.0] -= 1;
+            let upstream = self.upstream(call.endpoint);
+            self.calls_not_arrived[upstream.0] -= 1;
         }
         if *call.stage() == Stage::InTransit {
-            self.arrive_abandoned(id, &call);
+            self.receive_abandoned_call(id, &call);
         }
         Some(call)
     }
@@ -85,9 +85,9 @@
 
     fn count_failure(&mut self, outcome: Outcome) {
         match outcome {
-            Outcome::Error | Outcome::Reset => self.tally.count(Count::Errors),
-            Outcome::TimedOut | Outcome::Cancelled => self.tally.count(Count::Unanswered),
-            Outcome::NoConnection => self.tally.count(Count::NotConnected),
+            Outcome::Error | Outcome::Reset => self.tally.increment(Counter::Errors),
+            Outcome::TimedOut | Outcome::Cancelled => self.tally.increment(Counter::Unanswered),
+            Outcome::NoConnection => self.tally.increment(Counter::NotConnected),
             _ => {}
         }
     }
@@ -102,7 +102,7 @@
             // This dispatch was not executed, and no earlier one may have been.
             submission.possibly_executed_at = None;
         }
-        let was_completed = submission.end.is_some();
+        let was_completed = submission.completion.is_some();
         let done = outcome == Outcome::Done;
         if done {
             self.record_delivery(packet);
@@ -115,12 +115,12 @@
 
     /// Records that a packet was executed. That completes it, unless it was completed before.
     fn record_delivery(&mut self, packet: PacketId) {
-        let delay = self.now.saturating_sub(self.origin_of(packet).at);
+        let delay = self.now.saturating_sub(self.planned(packet).at);
         let submission = self.submission(packet);
-        let was_completed = submission.end.is_some();
-        self.tally.delivered(submission.origin, delay);
+        let was_completed = submission.completion.is_some();
+        self.tally.record_delivery(submission.planned_packet, delay);
         if !was_completed {
-            self.complete_packet(Completion { packet, end: End::Done, retry_after: None });
+            self.complete_packet(Completion { packet, kind: CompletionKind::Done, retry_after: None });
         }
     }
 }
--- a/crates/sailcart-lab/src/simulated/processes.rs
+++ b/crates/sailcart-lab/src/simulated/processes.rs
@@ -4,9 +4,9 @@
 use sailcart::{ListEntry, Packet};
 
 use super::world::World;
-use crate::plan::{SenderId, Standing, chance};
-use crate::results::tally::Count;
-use crate::watcher::{CallId, Heard, Seen};
+use crate::plan::{ListState, SenderId, seeded_rng};
+use crate::results::tally::Counter;
+use crate::watcher::{CallId, CallResult, Observation};
 
 /// Random stream that the seed of the first sender is drawn from. The streams of the other senders follow it.
 const FIRST_SENDER_STREAM: u64 = 100;
@@ -33,15 +33,15 @@
     fn sender_seed(&self, sender: SenderId) -> u64 {
         let process_number = u64::from(self.senders[sender.0].process_number);
         let stream = FIRST_SENDER_STREAM + sender.0 as u64;
-        chance(self.plan.seed ^ (process_number << 32), stream).random()
+        seeded_rng(self.plan.seed ^ (process_number << 32), stream).random()
     }
 
     fn observe_start(&mut self, sender: SenderId, entries: &[ListEntry]) {
         if !self.now.is_zero() {
-            self.observe(Seen::SenderUp(sender));
+            self.observe(Observation::SenderUp(sender));
         }
         for entry in entries.iter().filter(|entry| !entry.live) {
-            self.observe(Seen::ToldOff(sender, entry.endpoint));
+            self.observe(Observation::EndpointDraining(sender, entry.endpoint));
         }
     }
 
@@ -50,13 +50,13 @@
         let Some(policy) = &mut self.senders[sender.0].policy else {
             return; // a process reads the full list when it starts
         };
-        let change = self.plan.changes[change];
-        let live = change.standing == Standing::Ready;
-        policy.update_list(self.now, false, &[self.plan.listing(change.endpoint, live)]);
+        let change = self.plan.list_changes[change];
+        let live = change.state == ListState::Ready;
+        policy.update_list(self.now, false, &[self.plan.list_entry(change.endpoint, live)]);
         self.observe(if live {
-            Seen::ToldOn(sender, change.endpoint)
+            Observation::EndpointReady(sender, change.endpoint)
         } else {
-            Seen::ToldOff(sender, change.endpoint)
+            Observation::EndpointDraining(sender, change.endpoint)
         });
         self.request_round(sender);
     }
@@ -70,8 +70,8 @@
             self.drop_call(call);
         }
         self.close_all_idle(sender);
-        self.tally.count(Count::Kills);
-        self.observe(Seen::SenderDown(sender));
+        self.tally.increment(Counter::Kills);
+        self.observe(Observation::SenderDown(sender));
         for packet in self.senders[sender.0].stop() {
             self.abandon(packet);
         }
@@ -91,12 +91,12 @@
         if call.holds_connection {
             self.receivers.disconnected(call.endpoint);
         }
-        self.tally.calls_out(self.plan.place(call.endpoint).destination, false);
+        self.tally.adjust_calls_in_flight(self.plan.endpoint(call.endpoint).destination, false);
         for packet in &call.packets {
             self.submission_mut(*packet).call = None;
         }
         if call.has_arrived() {
-            self.observe(Seen::Over { call: id, heard: Heard::Unsure });
+            self.observe(Observation::CallCompleted { call: id, result: CallResult::PossiblyExecuted });
         }
     }
 }
--- a/crates/sailcart-lab/src/simulated/rounds.rs
+++ b/crates/sailcart-lab/src/simulated/rounds.rs
@@ -10,7 +10,7 @@
 use crate::plan::{Plan, SenderId};
 use crate::policies::OracleView;
 use crate::receivers::Receivers;
-use crate::watcher::Seen;
+use crate::watcher::Observation;
 
 /// The state of the world that the oracle policy may look at.
 struct WorldView<'a> {
@@ -22,7 +22,7 @@
 
 impl OracleView for WorldView<'_> {
     fn would_finish(&self, now: Duration, endpoint: EndpointId, additional: usize) -> Option<Duration> {
-        let ahead = self.calls_not_arrived[self.receivers.gate(endpoint)] + additional;
+        let ahead = self.calls_not_arrived[self.receivers.upstream(endpoint)] + additional;
         self.receivers.would_finish(self.plan, now, endpoint, ahead)
     }
 }
@@ -43,13 +43,13 @@
     /// The description of a packet that its sender passes to the policy.
     pub fn describe(&self, packet: PacketId) -> sailcart::Packet {
         let submission = self.submission(packet);
-        let origin = self.origin_of(packet);
+        let planned = self.planned(packet);
         sailcart::Packet {
             id: packet,
-            destination: origin.destination,
-            category: origin.category,
-            customer: origin.customer,
-            key: origin.key,
+            destination: planned.destination,
+            category: planned.category,
+            customer: planned.customer,
+            key: planned.key,
             deadline: submission.deadline,
             dispatches: submission.dispatches,
             possibly_executed_at: submission.possibly_executed_at,
@@ -122,9 +122,9 @@
     /// meantime.
     fn confirm_accepted(&mut self, sender: SenderId) {
         for packet in std::mem::take(&mut self.senders[sender.0].unconfirmed) {
-            if self.submission(packet).end.is_none() {
+            if self.submission(packet).completion.is_none() {
                 self.answer_client(packet);
-                self.observe(Seen::Taken(packet));
+                self.observe(Observation::Accepted(packet));
             }
         }
     }
--- a/crates/sailcart-lab/src/simulated/submission.rs
+++ b/crates/sailcart-lab/src/simulated/submission.rs
@@ -4,12 +4,12 @@
 
 use sailcart::PacketId;
 
-use crate::plan::{OriginId, SenderId};
-use crate::watcher::{CallId, End};
+use crate::plan::{PlannedPacketId, SenderId};
+use crate::watcher::{CallId, CompletionKind};
 
 /// A packet as submitted once to one sender.
 pub struct Submission {
-    pub origin: OriginId,
+    pub planned_packet: PlannedPacketId,
     pub sender: SenderId,
     /// Number of earlier submissions of the same planned packet that were dismissed.
     pub resubmissions: u32,
@@ -24,20 +24,20 @@
     /// Whether its client has received an answer.
     pub answered: bool,
     /// The way in which it completed, if it has.
-    pub end: Option<End>,
+    pub completion: Option<CompletionKind>,
 }
 
 impl Submission {
     /// Creates a submission to a sender.
     pub fn new(
-        origin: OriginId,
+        planned_packet: PlannedPacketId,
         sender: SenderId,
         resubmissions: u32,
         submitted_at: Duration,
         deadline: Duration,
     ) -> Self {
         Submission {
-            origin,
+            planned_packet,
             sender,
             resubmissions,
             submitted_at,
@@ -46,7 +46,7 @@
             possibly_executed_at: None,
             call: None,
             answered: false,
-            end: None,
+            completion: None,
         }
     }
 
@@ -59,7 +59,7 @@
 /// The completion of a packet.
 pub struct Completion {
     pub packet: PacketId,
-    pub end: End,
+    pub kind: CompletionKind,
     /// Time that the client is asked to wait before it resubmits.
     pub retry_after: Option<Duration>,
 }
--- a/crates/sailcart-lab/src/sockets/endpoints.rs
+++ b/crates/sailcart-lab/src/sockets/endpoints.rs
@@ -14,11 +14,11 @@
 
 use super::http::{CallReader, response};
 use super::protocol::{packets_in_call, response_bytes};
-use super::shared::SharedState;
+use super::shared_state::SharedState;
 use crate::plan::SenderId;
-use crate::receivers::{Answer, Connect, Reception, TroubleSchedule};
-use crate::results::tally::Count;
-use crate::watcher::{CallId, End, GateId, Heard, Seen};
+use crate::receivers::{Answer, ConnectResult, Reception, TroubleSchedule};
+use crate::results::tally::Counter;
+use crate::watcher::{CallId, CallResult, CompletionKind, Observation, UpstreamId};
 
 /// Maximum number of connections that wait to be accepted at an endpoint that is up.
 const LISTEN_BACKLOG: u32 = 1024;
@@ -30,12 +30,12 @@
 /// number. An endpoint that replaces another one at the same address shares its socket.
 pub async fn open_all(shared: &Rc<SharedState>) -> io::Result<Rc<[SocketAddr]>> {
     let mut addresses: Vec<SocketAddr> = Vec::new();
-    for place in &shared.plan.places {
-        if place.address != place.endpoint {
-            addresses.push(addresses[place.address.0 as usize]);
+    for planned_endpoint in &shared.plan.endpoints {
+        if planned_endpoint.address_owner != planned_endpoint.endpoint {
+            addresses.push(addresses[planned_endpoint.address_owner.0 as usize]);
             continue;
         }
-        let number = place.endpoint.0;
+        let number = planned_endpoint.endpoint.0;
         let ip = Ipv4Addr::new(
             127,
             10 + (number / 62_500) as u8,
@@ -46,8 +46,12 @@
         let address = listener.local_addr()?;
         addresses.push(address);
         spawn_local(
-            Rc::new(ListeningAddress { shared: shared.clone(), address, first_endpoint: place.endpoint })
-                .serve(listener),
+            Rc::new(ListeningAddress {
+                shared: shared.clone(),
+                address,
+                first_endpoint: planned_endpoint.endpoint,
+            })
+            .serve(listener),
         );
     }
     Ok(addresses.into())
@@ -64,20 +68,20 @@
 /// accepted no connections, the senders that must have failed to connect.
 pub fn report_outages(shared: &Rc<SharedState>) {
     let schedule = TroubleSchedule::new(&shared.plan);
-    for place in &shared.plan.places {
-        let gate = shared.gate(place.endpoint);
-        for (from, until) in schedule.outages(place.endpoint) {
-            let (shared, endpoint) = (shared.clone(), place.endpoint);
+    for planned_endpoint in &shared.plan.endpoints {
+        let upstream = shared.upstream(planned_endpoint.endpoint);
+        for (from, until) in schedule.outages(planned_endpoint.endpoint) {
+            let (shared, endpoint) = (shared.clone(), planned_endpoint.endpoint);
             spawn_local(async move {
                 sleep_until(shared.instant(from)).await;
-                shared.observe(Seen::OutageFrom(gate));
+                shared.observe(Observation::OutageStarted(upstream));
                 let refuses_connections = {
                     let conditions = shared.receivers.borrow().conditions(from, endpoint);
                     conditions.down || conditions.black_hole
                 };
                 sleep_until(shared.instant(until)).await;
                 if refuses_connections {
-                    shared.record_failed_connections(gate, &[endpoint]);
+                    shared.record_failed_connections(upstream, &[endpoint]);
                 }
             });
         }
@@ -106,9 +110,19 @@
 impl ListeningAddress {
     /// The endpoint that uses the address now.
     fn current_endpoint(&self, now: Duration) -> Option<EndpointId> {
-        let at_this_address = |place: &&crate::plan::Place| place.address == self.first_endpoint;
-        let in_use = |place: &&crate::plan::Place| place.from <= now && now < place.gone;
-        self.shared.plan.places.iter().filter(at_this_address).find(in_use).map(|place| place.endpoint)
+        let at_this_address = |planned_endpoint: &&crate::plan::PlannedEndpoint| {
+            planned_endpoint.address_owner == self.first_endpoint
+        };
+        let in_use = |planned_endpoint: &&crate::plan::PlannedEndpoint| {
+            planned_endpoint.added_at <= now && now < planned_endpoint.removed_at
+        };
+        self.shared
+            .plan
+            .endpoints
+            .iter()
+            .filter(at_this_address)
+            .find(in_use)
+            .map(|planned_endpoint| planned_endpoint.endpoint)
     }
 
     fn listen_state(&self, now: Duration) -> ListenState {
@@ -123,9 +137,18 @@
 
     /// The time before which the state does not change; `None` if no change is planned.
     fn next_change(&self, now: Duration) -> Option<Duration> {
-        let places = self.shared.plan.places.iter().filter(|place| place.address == self.first_endpoint);
+        let planned_endpoints = self
+            .shared
+            .plan
+            .endpoints
+            .iter()
+            .filter(|planned_endpoint| planned_endpoint.address_owner == self.first_endpoint);
         let receivers = self.shared.receivers.borrow();
-        places.filter_map(|place| receivers.next_change(&self.shared.plan, now, place.endpoint)).min()
+        planned_endpoints
+            .filter_map(|planned_endpoint| {
+                receivers.next_change(&self.shared.plan, now, planned_endpoint.endpoint)
+            })
+            .min()
     }
 
     /// Follows the state of the address for the whole run.
@@ -218,8 +241,8 @@
         let now = self.shared.now();
         let Some(endpoint) = self.current_endpoint(now) else { return reset(stream) };
         let decision = self.shared.receivers.borrow_mut().connect(&self.shared.plan, now, endpoint);
-        let Connect::Up(handshake) = decision else { return reset(stream) };
-        self.shared.tally.borrow_mut().count(Count::Connections);
+        let ConnectResult::Established(handshake) = decision else { return reset(stream) };
+        self.shared.tally.borrow_mut().increment(Counter::Connections);
         if !handshake.is_zero() {
             sleep(handshake).await;
         }
@@ -266,7 +289,7 @@
     /// Serves calls until the connection ends. True if it is to be closed with a reset.
     async fn serve_calls(&mut self) -> bool {
         let idle_timeout =
-            self.shared.plan.group(self.shared.plan.place(self.endpoint).destination).idle_close;
+            self.shared.plan.group(self.shared.plan.endpoint(self.endpoint).destination).idle_close;
         loop {
             let call = tokio::select! {
                 call = timeout(idle_timeout, self.reader.read_call(&mut self.stream)) => call,
@@ -277,14 +300,14 @@
                 Ok(Ok(Some(call))) => call,
                 Ok(Ok(None)) => return false,
                 Ok(Err(error)) if error.kind() == io::ErrorKind::InvalidData => {
-                    self.shared.tally.borrow_mut().count(Count::Strays);
+                    self.shared.tally.borrow_mut().increment(Counter::UnmatchedCalls);
                     let _ = self.stream.write_all(&response("400 Bad Request", "", "")).await;
                     return false;
                 }
                 Ok(Err(_)) => return true,
             };
             let now = self.shared.now();
-            if self.shared.receivers.borrow_mut().cuts_before(now, self.endpoint) {
+            if self.shared.receivers.borrow_mut().breaks_before_end(now, self.endpoint) {
                 return true;
             }
             let named_packets = packets_in_call(&call);
@@ -296,7 +319,7 @@
                         .collect()
                 });
             let (Some(named_packets), Some(packets)) = (named_packets, packets) else {
-                self.shared.tally.borrow_mut().count(Count::Strays);
+                self.shared.tally.borrow_mut().increment(Counter::UnmatchedCalls);
                 let _ = self.stream.write_all(&response("400 Bad Request", "", "")).await;
                 return false;
             };
@@ -317,20 +340,21 @@
         packets: &[(PacketId, Option<String>)],
     ) -> AfterCall {
         let shared = self.shared;
-        let (id, gate) = (shared.next_call(), shared.gate(self.endpoint));
-        let destination = shared.plan.place(self.endpoint).destination;
+        let (id, upstream) = (shared.next_call(), shared.upstream(self.endpoint));
+        let destination = shared.plan.endpoint(self.endpoint).destination;
         let sender = shared.sender(packets[0].0);
-        let pieces: Vec<_> = packets
+        let call_packets: Vec<_> = packets
             .iter()
-            .map(|(id, idempotency_key)| shared.piece(*id, idempotency_key.as_deref()))
+            .map(|(id, idempotency_key)| shared.call_packet(*id, idempotency_key.as_deref()))
             .collect();
-        let reception = shared.receivers.borrow_mut().arrive(&shared.plan, now, self.endpoint, &pieces);
-        shared.tally.borrow_mut().dispatched(now, destination, packets.len());
-        shared.tally.borrow_mut().calls_out(destination, true);
+        let reception =
+            shared.receivers.borrow_mut().receive_call(&shared.plan, now, self.endpoint, &call_packets);
+        shared.tally.borrow_mut().record_dispatch(now, destination, packets.len());
+        shared.tally.borrow_mut().adjust_calls_in_flight(destination, true);
         let packet_ids: Vec<PacketId> = packets.iter().map(|(id, _)| *id).collect();
-        self.record_arrival(id, sender, gate, &packet_ids, &reception);
+        self.record_arrival(id, sender, upstream, &packet_ids, &reception);
         let after_call = self.respond(id, ids, &packet_ids, reception).await;
-        shared.tally.borrow_mut().calls_out(destination, false);
+        shared.tally.borrow_mut().adjust_calls_in_flight(destination, false);
         after_call
     }
 
@@ -339,17 +363,23 @@
         &self,
         call: CallId,
         sender: SenderId,
-        gate: GateId,
+        upstream: UpstreamId,
         packets: &[PacketId],
         reception: &Reception,
     ) {
         let packets = packets.to_vec();
-        self.shared.observe(Seen::Came { call, sender, endpoint: self.endpoint, gate, packets });
+        self.shared.observe(Observation::CallReceived {
+            call,
+            sender,
+            endpoint: self.endpoint,
+            upstream,
+            packets,
+        });
         if reception.effects.contains(&true) {
-            self.shared.observe(Seen::Ran(call, reception.effects.clone()));
+            self.shared.observe(Observation::Executed(call, reception.effects.clone()));
         }
-        if reception.fell {
-            self.shared.observe(Seen::Fell(gate));
+        if reception.collapsed {
+            self.shared.observe(Observation::Collapsed(upstream));
         }
     }
 
@@ -362,21 +392,21 @@
         reception: Reception,
     ) -> AfterCall {
         let due = reception.answer.as_ref().map(|(at, _)| *at);
-        if let Some((count, after_call)) = self.wait_for_interruption(due).await {
-            return self.end_without_response(id, count, after_call);
+        if let Some((counter, after_call)) = self.wait_for_interruption(due).await {
+            return self.end_without_response(id, counter, after_call);
         }
         let Some((_, answer)) = reception.answer else { return AfterCall::Reset };
         let Some(bytes) = response_bytes(&answer, ids, reception.report) else {
-            return self.end_without_response(id, Count::Errors, AfterCall::Reset);
+            return self.end_without_response(id, Counter::Errors, AfterCall::Reset);
         };
         // The completion is recorded first, as the sender may act on the response as soon as it is written.
-        let heard = self.record_response(&answer, packets);
-        self.shared.observe(Seen::Over { call: id, heard });
+        let result = self.record_response(&answer, packets);
+        self.shared.observe(Observation::CallCompleted { call: id, result });
         // A malformed response may be longer than the sender reads. Then the sender closes, or the write
         // times out.
         let written = timeout(Duration::from_secs(1), self.stream.write_all(&bytes)).await;
         match (&answer, written) {
-            (Answer::Spoilt(_), _) => {
+            (Answer::Malformed(_), _) => {
                 let _ = timeout(Duration::from_secs(1), peer_closed(&self.stream)).await;
                 AfterCall::Close
             }
@@ -387,7 +417,7 @@
 
     /// Waits until the response is due, without limit if there is none. Returns how the call is to be counted
     /// if the sender closes or the endpoint stops before that.
-    async fn wait_for_interruption(&self, due: Option<Duration>) -> Option<(Count, AfterCall)> {
+    async fn wait_for_interruption(&self, due: Option<Duration>) -> Option<(Counter, AfterCall)> {
         let due = async {
             match due {
                 Some(at) => sleep_until(self.shared.instant(at)).await,
@@ -396,54 +426,57 @@
         };
         tokio::select! {
             () = due => None,
-            () = peer_closed(&self.stream) => Some((Count::Unanswered, AfterCall::Close)),
-            () = Self::wait_until_stopped(self.shared, self.endpoint) => Some((Count::Errors, AfterCall::Reset)),
+            () = peer_closed(&self.stream) => Some((Counter::Unanswered, AfterCall::Close)),
+            () = Self::wait_until_stopped(self.shared, self.endpoint) => {
+                Some((Counter::Errors, AfterCall::Reset))
+            }
         }
     }
 
     /// Records that a call has ended without a response.
-    fn end_without_response(&self, id: CallId, count: Count, after_call: AfterCall) -> AfterCall {
-        self.shared.tally.borrow_mut().count(count);
-        self.shared.observe(Seen::Over { call: id, heard: Heard::Unsure });
+    fn end_without_response(&self, id: CallId, counter: Counter, after_call: AfterCall) -> AfterCall {
+        self.shared.tally.borrow_mut().increment(counter);
+        self.shared.observe(Observation::CallCompleted { call: id, result: CallResult::PossiblyExecuted });
         after_call
     }
 
     /// Records the packets that this response completes and the counts; returns what the sender learns from
     /// it.
-    fn record_response(&self, answer: &Answer, packets: &[PacketId]) -> Heard {
+    fn record_response(&self, answer: &Answer, packets: &[PacketId]) -> CallResult {
         let shared = self.shared;
-        let complete = |packet: &PacketId| shared.record_completion(*packet, End::Done, Duration::ZERO);
-        let count = |counter| shared.tally.borrow_mut().count(counter);
+        let complete =
+            |packet: &PacketId| shared.record_completion(*packet, CompletionKind::Done, Duration::ZERO);
+        let increment = |counter| shared.tally.borrow_mut().increment(counter);
         match answer {
             Answer::Done => {
                 packets.iter().for_each(complete);
-                Heard::Done
+                CallResult::Done
             }
-            Answer::Spoilt(kind) if kind.settles(packets.len() > 1) => {
+            Answer::Malformed(kind) if kind.counts_as_delivered(packets.len() > 1) => {
                 packets.iter().for_each(complete);
-                Heard::Done
+                CallResult::Done
             }
-            Answer::Full(wait) => {
-                let destination = shared.plan.place(self.endpoint).destination;
-                shared.tally.borrow_mut().refused(shared.now(), destination);
-                Heard::Full(*wait)
+            Answer::Rejected(wait) => {
+                let destination = shared.plan.endpoint(self.endpoint).destination;
+                shared.tally.borrow_mut().record_rejection(shared.now(), destination);
+                CallResult::Rejected(*wait)
             }
             Answer::Mixed(each, wait) => {
                 let accepted = packets.iter().zip(each);
                 let accepted = accepted
-                    .filter(|(_, piece_answer)| **piece_answer == crate::receivers::PieceAnswer::Accepted);
+                    .filter(|(_, packet_answer)| **packet_answer == crate::receivers::PacketAnswer::Accepted);
                 accepted.map(|(packet, _)| packet).for_each(complete);
-                wait.map_or(Heard::Done, |wait| Heard::Full(Some(wait)))
+                wait.map_or(CallResult::Done, |wait| CallResult::Rejected(Some(wait)))
             }
             // A malformed response is a response all the same: the call is no longer in progress at the
             // endpoint.
-            Answer::Error | Answer::Spoilt(_) => {
-                count(Count::Errors);
-                Heard::Error
+            Answer::Error | Answer::Malformed(_) => {
+                increment(Counter::Errors);
+                CallResult::Error
             }
             Answer::Reset => {
-                count(Count::Errors);
-                Heard::Unsure
+                increment(Counter::Errors);
+                CallResult::PossiblyExecuted
             }
         }
     }
--- a/crates/sailcart-lab/src/sockets/process.rs
+++ b/crates/sailcart-lab/src/sockets/process.rs
@@ -13,19 +13,19 @@
 use nix::sys::prctl::set_pdeathsig;
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::{Pid, getppid};
-use sailcart_shim::{Page, Word};
+use sailcart_shim::{ControlPage, Setting};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::process::{Child, Command};
 use tokio::time::{Instant, sleep, timeout};
 
 use super::protocol;
-use super::shared::SharedState;
-use crate::experiment::Fault;
+use super::shared_state::SharedState;
+use crate::experiment::LabError;
 use crate::plan::SenderId;
 use crate::results::Cost;
-use crate::results::tally::Count;
-use crate::watcher::Seen;
+use crate::results::tally::Counter;
+use crate::watcher::Observation;
 
 /// The subcommand with which the lab starts itself to become a sender.
 pub const KEEP_COMMAND: &str = "keep";
@@ -41,7 +41,7 @@
 ///
 /// # Errors
 /// If there is no such file.
-pub fn find_program(given: Option<&Path>) -> Result<PathBuf, Fault> {
+pub fn find_program(given: Option<&Path>) -> Result<PathBuf, LabError> {
     let beside_this_program = || {
         let own = std::env::current_exe().ok()?;
         // The program of a test is one folder deeper.
@@ -51,13 +51,13 @@
     path.filter(|path| path.is_file()).ok_or_else(|| {
         let message =
             "--sender: sender program not found; build it with cargo build --release -p sailcart-sender";
-        Fault(message.to_owned())
+        LabError(message.to_owned())
     })
 }
 
 /// Replaces this process by the program and has it killed when the process `parent` ends. Returns only on an
 /// error.
-pub fn keep(parent: i32, program: &Path, arguments: &[String]) -> io::Error {
+pub fn exec_sender(parent: i32, program: &Path, arguments: &[String]) -> io::Error {
     if let Err(error) = set_pdeathsig(Signal::SIGKILL) {
         return error.into();
     }
@@ -84,7 +84,7 @@
     /// Address at which clients reach it, if not its own.
     proxy_address: Cell<Option<SocketAddr>>,
     /// The control page of the shim, if it runs under it.
-    control_page: Option<Page>,
+    control_page: Option<ControlPage>,
 }
 
 /// All senders of a run.
@@ -117,7 +117,7 @@
         discovery: &[SocketAddr],
         addresses: &[Rc<[SocketAddr]>],
         options: ProcessOptions<'_>,
-    ) -> Result<Rc<SenderProcesses>, Fault> {
+    ) -> Result<Rc<SenderProcesses>, LabError> {
         let temporary_folder = match options.folder {
             Some(_) => None,
             None => Some(
@@ -152,9 +152,9 @@
             std::fs::write(&config_path, text.to_string()).map_err(super::error_context("folder"))?;
             let mut process = SenderProcess::new(listen_address, config_path);
             if options.inject_faults {
-                let control_page = Page::new(&folder.join(format!("page-{sender}")))
+                let control_page = ControlPage::new(&folder.join(format!("page-{sender}")))
                     .map_err(super::error_context("page"))?;
-                control_page.set(Word::Seed, sender as i64).map_err(super::error_context("page"))?;
+                control_page.set(Setting::Seed, sender as i64).map_err(super::error_context("page"))?;
                 process.control_page = Some(control_page);
             }
             processes.push(process);
@@ -197,7 +197,7 @@
     }
 
     /// The control page of the shim that a sender runs under, if any.
-    pub fn control_page(&self, sender: SenderId) -> Option<&Page> {
+    pub fn control_page(&self, sender: SenderId) -> Option<&ControlPage> {
         self.processes[sender.0].control_page.as_ref()
     }
 
@@ -217,7 +217,7 @@
     }
 
     /// Starts a sender; does not wait until it is ready.
-    pub async fn start(&self, sender: SenderId) -> Result<(), Fault> {
+    pub async fn start(&self, sender: SenderId) -> Result<(), LabError> {
         let process = &self.processes[sender.0];
         let lab_program = std::env::current_exe().map_err(super::error_context("keep"))?;
         let log = process.config_path.with_extension("log");
@@ -236,7 +236,9 @@
             .kill_on_drop(true);
         if let Some(control_page) = &process.control_page {
             command.envs(
-                control_page.environment(sailcart_shim::library().map_err(super::error_context("shim"))?),
+                control_page.environment(
+                    sailcart_shim::build_preload_library().map_err(super::error_context("shim"))?,
+                ),
             );
         }
         let child = command.spawn();
@@ -249,7 +251,7 @@
     ///
     /// # Errors
     /// If it does not within this time; the message holds the last lines of its log.
-    pub async fn wait_until_ready(&self, sender: SenderId, within: Duration) -> Result<(), Fault> {
+    pub async fn wait_until_ready(&self, sender: SenderId, within: Duration) -> Result<(), LabError> {
         let (process, deadline) = (&self.processes[sender.0], Instant::now() + within);
         while Instant::now() < deadline {
             if let Ok(Ok(())) = timeout(Duration::from_secs(1), ping(process.listen_address)).await {
@@ -260,7 +262,7 @@
         }
         let log = std::fs::read_to_string(process.config_path.with_extension("log")).unwrap_or_default();
         let last_lines: Vec<&str> = log.lines().rev().take(3).collect();
-        Err(Fault(format!(
+        Err(LabError(format!(
             "sender {} does not answer PING at {}; end of its log, last line first: {}",
             sender.0,
             process.listen_address,
@@ -288,9 +290,9 @@
         if !process.expected_running.replace(false) {
             return; // another restart is in progress
         }
-        self.shared.tally.borrow_mut().count(Count::Kills);
+        self.shared.tally.borrow_mut().increment(Counter::Kills);
         self.measure(sender);
-        self.shared.observe(Seen::SenderDown(sender));
+        self.shared.observe(Observation::SenderDown(sender));
         if let Some(within) = stop_within {
             let _ = kill(pid, Signal::SIGTERM);
             if process.control_page.is_some() {
@@ -311,9 +313,9 @@
         }
         match self.start(sender).await {
             Ok(()) if self.wait_until_ready(sender, Duration::from_secs(10)).await.is_ok() => {
-                self.shared.observe(Seen::SenderUp(sender));
+                self.shared.observe(Observation::SenderUp(sender));
             }
-            _ => self.shared.tally.borrow_mut().count(Count::Crashes),
+            _ => self.shared.tally.borrow_mut().increment(Counter::Crashes),
         }
     }
 
@@ -339,14 +341,14 @@
         let process = &self.processes[sender.0];
         process.expected_running.set(false);
         process.accepting.set(false);
-        self.shared.observe(Seen::SenderDown(sender));
+        self.shared.observe(Observation::SenderDown(sender));
         *process.child.borrow_mut() = None;
         process.accumulate_cpu_time();
         sleep(super::RESTART_DELAY).await;
         if self.start(sender).await.is_ok()
             && self.wait_until_ready(sender, Duration::from_secs(10)).await.is_ok()
         {
-            self.shared.observe(Seen::SenderUp(sender));
+            self.shared.observe(Observation::SenderUp(sender));
         }
     }
 
@@ -378,7 +380,7 @@
                 };
                 if let Some(status) = exit_status {
                     log::error!("sender {index}: code=crashed {status}");
-                    self.shared.tally.borrow_mut().count(Count::Crashes);
+                    self.shared.tally.borrow_mut().increment(Counter::Crashes);
                     self.restart_crashed(SenderId(index)).await;
                 }
             }
--- a/crates/sailcart-lab/tests/edge_cases.rs
+++ b/crates/sailcart-lab/tests/edge_cases.rs
@@ -7,10 +7,12 @@
 use common::{experiment, experiment_text, plan, run, violated_rules};
 use sailcart::{DestinationId, EndpointId, PacketId};
 use sailcart_lab::experiment::{Repeat, Rules, read_text};
-use sailcart_lab::plan::{OriginId, SenderId};
+use sailcart_lab::plan::{PlannedPacketId, SenderId};
 use sailcart_lab::policies::PolicyName;
-use sailcart_lab::receivers::{Answer, Connect, Piece, PieceAnswer, Receivers, TroubleSchedule};
-use sailcart_lab::watcher::{CallId, End, GateId, Handed, Heard, Rule, Seen, Watcher};
+use sailcart_lab::receivers::{Answer, CallPacket, ConnectResult, PacketAnswer, Receivers, TroubleSchedule};
+use sailcart_lab::watcher::{
+    CallId, CallResult, CompletionKind, Observation, Rule, SubmittedPacket, UpstreamId, Watcher,
+};
 
 const ENDPOINT: EndpointId = EndpointId(0);
 
@@ -18,31 +20,41 @@
     Duration::from_secs_f64(value)
 }
 
-fn piece(origin: usize) -> Piece {
-    Piece { origin: OriginId(origin), repeat: Repeat::Deduplicated, memory: seconds(5.0) }
+fn call_packet(planned_packet: usize) -> CallPacket {
+    CallPacket {
+        planned_packet: PlannedPacketId(planned_packet),
+        repeat: Repeat::Deduplicated,
+        memory: seconds(5.0),
+    }
 }
 
-fn submitted(packet: u64, origin: usize) -> Seen {
-    Seen::Handed(Handed {
+fn submitted(packet: u64, planned_packet: usize) -> Observation {
+    Observation::Submitted(SubmittedPacket {
         packet: PacketId(packet),
-        origin: OriginId(origin),
+        planned_packet: PlannedPacketId(planned_packet),
         sender: SenderId(0),
         destination: DestinationId(0),
         repeat: Repeat::Unrepeatable,
         in_order: false,
         key: None,
-        ends: seconds(20.0),
+        deadline: seconds(20.0),
     })
 }
 
-fn call_received(call: u64, packets: &[u64]) -> Seen {
+fn call_received(call: u64, packets: &[u64]) -> Observation {
     let packets = packets.iter().map(|id| PacketId(*id)).collect();
-    Seen::Came { call: CallId(call), sender: SenderId(0), endpoint: ENDPOINT, gate: GateId(0), packets }
+    Observation::CallReceived {
+        call: CallId(call),
+        sender: SenderId(0),
+        endpoint: ENDPOINT,
+        upstream: UpstreamId(0),
+        packets,
+    }
 }
 
-fn watch(events: &[(f64, Seen)]) -> Watcher {
+fn watch(events: &[(f64, Observation)]) -> Watcher {
     let mut watcher = Watcher::new(&Rules::default());
-    events.iter().for_each(|(at, event)| watcher.see(seconds(*at), event));
+    events.iter().for_each(|(at, event)| watcher.observe(seconds(*at), event));
     watcher
 }
 
@@ -50,17 +62,17 @@
 fn a_call_reset_after_its_last_byte_counts_as_executed() {
     let plan = plan(&[], "[[troubles]]\nkind = \"reset-after\"\nat = \"1s\"\nfor = \"5s\"\n");
     let mut receivers = Receivers::new(&plan);
-    let reset_call = receivers.arrive(&plan, seconds(2.0), ENDPOINT, &[piece(1)]);
+    let reset_call = receivers.receive_call(&plan, seconds(2.0), ENDPOINT, &[call_packet(1)]);
     assert_eq!(reset_call.answer.map(|(_, answer)| answer), Some(Answer::Reset));
     assert_eq!(reset_call.effects, vec![true]);
     // The receiver recognizes the repeated call and does not execute it again,
-    let repeated_call = receivers.arrive(&plan, seconds(6.5), ENDPOINT, &[piece(1)]);
+    let repeated_call = receivers.receive_call(&plan, seconds(6.5), ENDPOINT, &[call_packet(1)]);
     assert_eq!(
         (repeated_call.answer.map(|(_, answer)| answer), repeated_call.effects),
         (Some(Answer::Done), vec![false])
     );
     // until its deduplication memory of 5 s has passed.
-    assert_eq!(receivers.arrive(&plan, seconds(7.1), ENDPOINT, &[piece(1)]).effects, vec![true]);
+    assert_eq!(receivers.receive_call(&plan, seconds(7.1), ENDPOINT, &[call_packet(1)]).effects, vec![true]);
 }
 
 #[test]
@@ -68,10 +80,10 @@
     let plan =
         plan(&[("DESTINATION", "")], "[[troubles]]\nkind = \"refuse\"\nat = \"1010ms\"\nfor = \"5s\"\n");
     let mut receivers = Receivers::new(&plan);
-    assert!(matches!(receivers.connect(&plan, seconds(1.0), ENDPOINT), Connect::Up(_)));
-    let call = receivers.arrive(&plan, seconds(1.0), ENDPOINT, &[piece(1)]);
+    assert!(matches!(receivers.connect(&plan, seconds(1.0), ENDPOINT), ConnectResult::Established(_)));
+    let call = receivers.receive_call(&plan, seconds(1.0), ENDPOINT, &[call_packet(1)]);
     assert_eq!((call.answer, call.effects), (Some((seconds(1.01), Answer::Reset)), vec![true]));
-    assert_eq!(receivers.connect(&plan, seconds(1.02), ENDPOINT), Connect::Refused);
+    assert_eq!(receivers.connect(&plan, seconds(1.02), ENDPOINT), ConnectResult::Refused);
 }
 
 #[test]
@@ -90,19 +102,22 @@
 fn an_endpoint_replaced_at_the_same_address_during_a_call_is_a_new_one() {
     let troubles = "[[troubles]]\nkind = \"replace\"\nat = \"2s\"\nfor = \"3s\"\nsame_address = true\n";
     let plan = plan(&[("DESTINATION", "spread = 0.0")], troubles);
-    let (old_place, new_place) = (&plan.places[0], &plan.places[2]);
+    let (old_endpoint, new_endpoint) = (&plan.endpoints[0], &plan.endpoints[2]);
     assert_eq!(
-        (new_place.address, new_place.from, old_place.gone),
-        (old_place.endpoint, seconds(5.0), seconds(5.0))
+        (new_endpoint.address_owner, new_endpoint.added_at, old_endpoint.removed_at),
+        (old_endpoint.endpoint, seconds(5.0), seconds(5.0))
     );
     let mut receivers = Receivers::new(&plan);
-    assert!(receivers.reachable(&plan, seconds(4.99), old_place.endpoint));
+    assert!(receivers.reachable(&plan, seconds(4.99), old_endpoint.endpoint));
     assert!(
-        !receivers.reachable(&plan, seconds(5.0), old_place.endpoint),
+        !receivers.reachable(&plan, seconds(5.0), old_endpoint.endpoint),
         "a call in flight to the old endpoint is lost"
     );
-    assert_eq!(receivers.connect(&plan, seconds(4.99), new_place.endpoint), Connect::Refused);
-    assert!(matches!(receivers.connect(&plan, seconds(5.0), new_place.endpoint), Connect::Up(_)));
+    assert_eq!(receivers.connect(&plan, seconds(4.99), new_endpoint.endpoint), ConnectResult::Refused);
+    assert!(matches!(
+        receivers.connect(&plan, seconds(5.0), new_endpoint.endpoint),
+        ConnectResult::Established(_)
+    ));
     assert_eq!(violated_rules(&run(&plan, PolicyName::Sailcart)), vec![]);
 }
 
@@ -111,20 +126,20 @@
     let troubles = "[[troubles]]\nkind = \"partial\"\nat = \"1s\"\nfor = \"9s\"\nshare = 1.0\n";
     let plan = plan(&[("KIND", "batch = 5")], troubles);
     let mut receivers = Receivers::new(&plan);
-    let pieces: Vec<Piece> = (0..5).map(piece).collect();
-    let call = receivers.arrive(&plan, seconds(2.0), ENDPOINT, &pieces);
+    let call_packets: Vec<CallPacket> = (0..5).map(call_packet).collect();
+    let call = receivers.receive_call(&plan, seconds(2.0), ENDPOINT, &call_packets);
     let Some((_, Answer::Mixed(answers, wait))) = call.answer else { panic!("{:?}", call.answer) };
-    for (piece, executed) in answers.iter().zip(&call.effects) {
-        assert_eq!(*piece == PieceAnswer::Deferred, !executed, "a deferred packet was not executed");
+    for (answer, executed) in answers.iter().zip(&call.effects) {
+        assert_eq!(*answer == PacketAnswer::Deferred, !executed, "a deferred packet was not executed");
     }
-    assert!(answers.contains(&PieceAnswer::Deferred));
-    let heard = Heard::Full(wait);
-    assert_eq!(heard, Heard::Full(Some(seconds(0.5))));
+    assert!(answers.contains(&PacketAnswer::Deferred));
+    let result = CallResult::Rejected(wait);
+    assert_eq!(result, CallResult::Rejected(Some(seconds(0.5))));
     let second_call_at = |at| {
         watch(&[
             (2.0, submitted(1, 1)),
             (2.0, call_received(1, &[1])),
-            (2.1, Seen::Over { call: CallId(1), heard }),
+            (2.1, Observation::CallCompleted { call: CallId(1), result }),
             (at, call_received(2, &[1])),
         ])
     };
@@ -136,31 +151,38 @@
 
 #[test]
 fn a_second_call_for_a_packet_in_flight_is_a_double_execution() {
-    let violations = |events_between: &[(f64, Seen)]| {
+    let violations = |events_between: &[(f64, Observation)]| {
         let mut events = vec![(1.0, submitted(1, 1)), (1.0, call_received(1, &[1]))];
         events.extend_from_slice(events_between);
         events.push((1.2, call_received(2, &[1])));
         watch(&events).count(Rule::NoDouble)
     };
     assert_eq!(violations(&[]), 1);
-    assert_eq!(violations(&[(1.1, Seen::Over { call: CallId(1), heard: Heard::Unsure })]), 0);
+    assert_eq!(
+        violations(&[(
+            1.1,
+            Observation::CallCompleted { call: CallId(1), result: CallResult::PossiblyExecuted }
+        )]),
+        0
+    );
 }
 
 #[test]
 fn executions_that_the_client_abandoned_unanswered_are_not_counted() {
-    let executed = |call, executed_first: bool| (1.1, Seen::Ran(CallId(call), vec![executed_first]));
-    let violations_with = |abandoned: &[(f64, Seen)]| {
+    let executed =
+        |call, executed_first: bool| (1.1, Observation::Executed(CallId(call), vec![executed_first]));
+    let violations_with = |abandoned: &[(f64, Observation)]| {
         let mut events = vec![(1.0, submitted(1, 7)), (1.0, call_received(1, &[1])), executed(1, true)];
         events.extend_from_slice(abandoned);
         events.extend([
             (1.5, submitted(2, 7)),
             (1.5, call_received(2, &[2])),
-            (1.6, Seen::Ran(CallId(2), vec![true])),
+            (1.6, Observation::Executed(CallId(2), vec![true])),
         ]);
         watch(&events).count(Rule::NoDouble)
     };
     assert_eq!(violations_with(&[]), 1);
-    assert_eq!(violations_with(&[(1.4, Seen::Abandoned(PacketId(1)))]), 0);
+    assert_eq!(violations_with(&[(1.4, Observation::Abandoned(PacketId(1)))]), 0);
 }
 
 #[test]
@@ -168,8 +190,8 @@
     let violations_if_scrapped_at = |time_s| {
         let mut watcher = watch(&[
             (1.0, submitted(1, 1)),
-            (1.0, Seen::Taken(PacketId(1))),
-            (time_s, Seen::Ended(PacketId(1), End::Scrapped)),
+            (1.0, Observation::Accepted(PacketId(1))),
+            (time_s, Observation::Completed(PacketId(1), CompletionKind::Scrapped)),
         ]);
         watcher.finish(seconds(60.0));
         watcher.count(Rule::OneEnd)
@@ -201,7 +223,7 @@
     assert!(error.contains("troubles.0.after"), "{error}");
     let acyclic_troubles = cyclic_troubles.replacen("after = \"b\"", "at = \"2s\"", 1);
     let plan = plan(&[], &acyclic_troubles);
-    assert_eq!(plan.struck[1].from, seconds(3.0), "b begins when a ends");
+    assert_eq!(plan.scheduled_troubles[1].from, seconds(3.0), "b begins when a ends");
 }
 
 #[test]
--- a/crates/sailcart-sender/tests/clock_steps.rs
+++ b/crates/sailcart-sender/tests/clock_steps.rs
@@ -10,7 +10,7 @@
 
 use common::harness::Harness;
 use common::{Call, HttpReply, http_response, submit};
-use sailcart_shim::{Page, Word};
+use sailcart_shim::{ControlPage, Setting};
 
 /// Steps of the wall clock, in seconds.
 const STEPS: [i64; 7] = [-3600, -40, -4, -1, 4, 40, 3600];
@@ -37,16 +37,16 @@
 fn for_each_step(
     scenario: &str,
     while_running: bool,
-    run: impl Fn(&str, &dyn Fn(&Page, bool)) + Send + Sync,
+    run: impl Fn(&str, &dyn Fn(&ControlPage, bool)) + Send + Sync,
 ) {
     thread::scope(|scope| {
         for seconds in STEPS {
             let run = &run;
             scope.spawn(move || {
                 // The scenario calls this before and after the process ends; one of the calls steps.
-                let step = move |page: &Page, running: bool| {
+                let step = move |page: &ControlPage, running: bool| {
                     if running == while_running {
-                        page.set(Word::WallStep, seconds * 1000).expect("the control page");
+                        page.set(Setting::WallClockStepMs, seconds * 1000).expect("the control page");
                     }
                 };
                 run(&format!("{scenario}-{while_running}-{seconds}"), &step);
--- a/crates/sailcart-sender/tests/common/harness.rs
+++ b/crates/sailcart-sender/tests/common/harness.rs
@@ -9,7 +9,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-use sailcart_shim::Page;
+use sailcart_shim::ControlPage;
 
 use super::{Call, HttpReply, Platform, list_entry, send_command, serve_http, submit};
 
@@ -32,7 +32,7 @@
     /// Ids of the packets that the endpoint received, in order of arrival; a repeated call appears again.
     pub received_ids: Arc<Mutex<Vec<String>>>,
     /// If set, the sender is started with fault injection under this control page.
-    pub control_page: Option<Arc<Page>>,
+    pub control_page: Option<Arc<ControlPage>>,
 }
 
 impl Harness {
@@ -96,7 +96,9 @@
             .env("RUST_LOG", "debug")
             .stderr(log.expect("open the log"));
         if let Some(page) = &self.control_page {
-            command.envs(page.environment(sailcart_shim::library().expect("the shim library is built")));
+            command.envs(
+                page.environment(sailcart_shim::build_preload_library().expect("the shim library is built")),
+            );
         }
         self.sender = Some(command.spawn().expect("start the sender process"));
         self.wait_until("the sender is ready", |harness| {
@@ -108,7 +110,7 @@
     pub fn with_fault_injection(
         scenario: &str,
         reply: impl Fn(usize, &Call) -> HttpReply + Send + Sync + 'static,
-    ) -> (Harness, Arc<Page>) {
+    ) -> (Harness, Arc<ControlPage>) {
         let mut harness = Harness::new(scenario, reply);
         let page = harness.attach_control_page();
         harness.kill();
@@ -118,8 +120,9 @@
     }
 
     /// Enables fault injection from the next start of the sender on; the control page sets no faults yet.
-    pub fn attach_control_page(&mut self) -> Arc<Page> {
-        let page = Arc::new(Page::new(&self.folder.join("shim-page")).expect("create the control page"));
+    pub fn attach_control_page(&mut self) -> Arc<ControlPage> {
+        let page =
+            Arc::new(ControlPage::new(&self.folder.join("shim-page")).expect("create the control page"));
         self.control_page = Some(page.clone());
         page
     }
--- a/crates/sailcart-sender/tests/common/process_control.rs
+++ b/crates/sailcart-sender/tests/common/process_control.rs
@@ -40,7 +40,9 @@
         command.args(["-c", script, &limit, env!("CARGO_BIN_EXE_sailcart"), "serve", "--config"]);
         command.arg(file).env("RUST_LOG", "debug").stderr(log.expect("open the log"));
         if let Some(page) = &self.control_page {
-            command.envs(page.environment(sailcart_shim::library().expect("the shim library is built")));
+            command.envs(
+                page.environment(sailcart_shim::build_preload_library().expect("the shim library is built")),
+            );
         }
         self.sender = Some(command.spawn().expect("start the sender process"));
     }
--- a/crates/sailcart-sender/tests/failing_state_folder.rs
+++ b/crates/sailcart-sender/tests/failing_state_folder.rs
@@ -11,13 +11,13 @@
 
 use common::harness::Harness;
 use common::{Call, HttpReply, http_response, list_entry, submit};
-use sailcart_shim::{Count, EIO, ENOSPC, Page, Word};
+use sailcart_shim::{ControlPage, EIO, ENOSPC, FaultCounter, Setting};
 
 /// Starts a sender with a control page through which file operations can be made to fail.
 fn start_sender(
     name: &str,
     reply: impl Fn(usize, &Call) -> HttpReply + Send + Sync + 'static,
-) -> (Harness, Arc<Page>) {
+) -> (Harness, Arc<ControlPage>) {
     let mut world = Harness::new(name, reply);
     let page = world.attach_control_page();
     world.restart_with(&[(r#""aim_ms": 3000"#, r#""aim_ms": 1000"#)]);
@@ -44,10 +44,10 @@
         world.platform.set_list(&[list_entry("e", world.endpoint_address, 7, "Terminating")]);
         world.wait_until("the draining endpoint", |world| world.log().contains("discovery: version 2"));
         assert_eq!(submit_with_deadline(&world, "a1", 20_000), "+OK");
-        page.files_fail(errno).expect("the control page");
+        page.fail_files(errno).expect("the control page");
         world.wait_until("the completion", |world| world.log().contains("ends Dismissed"));
         sleep(Duration::from_millis(400)); // time for a notice to be sent
-        assert!(page.count(Count::FileWrite) > 0, "no write failed");
+        assert!(page.count(FaultCounter::FileWrite) > 0, "no write failed");
         let notices_before_kill = notices_of(&world, "a1");
         world.kill();
         page.clear().expect("the control page");
@@ -89,7 +89,7 @@
                 }
             }
         }
-        page.files_fail(ENOSPC).expect("the control page");
+        page.fail_files(ENOSPC).expect("the control page");
         let start = Instant::now();
         world.start();
         assert!(start.elapsed() < Duration::from_secs(3), "ready after {:?}", start.elapsed());
@@ -122,7 +122,7 @@
     for number in 0..STORED_PACKETS {
         assert_eq!(submit_with_deadline(&world, &format!("kept-{number}-"), 20_000), "+OK");
     }
-    page.files_fail(ENOSPC).expect("the control page");
+    page.fail_files(ENOSPC).expect("the control page");
     let start = Instant::now();
     let mut rejected = 0;
     while start.elapsed() < Duration::from_secs(10) {
@@ -173,10 +173,10 @@
         })
         .collect();
     world.wait_until("the last record", |world| world.store_summary().matches("packet b").count() >= 6);
-    page.files_fail(ENOSPC).expect("the control page");
+    page.fail_files(ENOSPC).expect("the control page");
     let replies: Vec<(String, String)> =
         clients.into_iter().map(|client| client.join().expect("no panic")).collect();
-    assert!(page.count(Count::FileWrite) > 0, "no write failed: {}", world.log());
+    assert!(page.count(FaultCounter::FileWrite) > 0, "no write failed: {}", world.log());
     assert!(
         world.log().contains("code=not_recorded"),
         "no dismissal became a notice in place of -BUSY: {}",
@@ -203,13 +203,13 @@
         world.restart_with(&[(r#""disk_mb": 3 "#, &format!(r#""disk_mb": 3, "sync": "{sync}" "#))]);
         assert_eq!(submit_with_deadline(&world, "a1", 20_000), "+OK");
         world.wait_until("the call", |world| world.received_ids() == ["a1"]);
-        page.set(Word::FileSync, EIO.into()).expect("the control page");
+        page.set(Setting::FileSyncErrno, EIO.into()).expect("the control page");
         let listen = world.listen_address;
         let client = std::thread::spawn(move || {
             submit(listen, "b2", "c=notice,t=acme,d=20000,k=b2,dest=7", "hello").unwrap_or_default()
         });
         sleep(Duration::from_millis(1500));
-        assert!(page.count(Count::FileSync) > 0, "no sync failed");
+        assert!(page.count(FaultCounter::FileSync) > 0, "no sync failed");
         assert!(
             !world.received_ids().contains(&"b2".to_owned()),
             "a call was sent before its record was synced"
@@ -236,7 +236,7 @@
 fn stop_during_failing_syncs_answers_clients() {
     let (mut world, page) = start_sender("failing-sync-stop", |_, _| http_response("200 OK", "", ""));
     world.restart_with(&[(r#""disk_mb": 3 "#, r#""disk_mb": 3, "sync": "round" "#)]);
-    page.set(Word::FileSync, EIO.into()).expect("the control page");
+    page.set(Setting::FileSyncErrno, EIO.into()).expect("the control page");
     let listen = world.listen_address;
     let client = std::thread::spawn(move || {
         submit(listen, "a1", "c=notice,t=acme,d=20000,k=a1,dest=7", "hello").unwrap_or_default()
@@ -272,9 +272,9 @@
         })
         .collect();
     world.wait_until("the last record", |world| world.store_summary().matches("packet b").count() >= 6);
-    page.set(Word::FileSync, EIO.into()).expect("the control page");
+    page.set(Setting::FileSyncErrno, EIO.into()).expect("the control page");
     world.wait_until("a completion that may be on disk", |world| {
-        page.count(Count::FileSync) > 0 && world.log().contains("ends Dismissed")
+        page.count(FaultCounter::FileSync) > 0 && world.log().contains("ends Dismissed")
     });
     sleep(Duration::from_millis(200));
     world.kill();
@@ -295,12 +295,12 @@
 fn busy_is_not_sent_for_a_packet_that_may_be_stored() {
     let (mut world, page) = start_sender("busy-unsynced", |_, _| http_response("200 OK", "", ""));
     world.restart_with(&[(r#""disk_mb": 3 "#, r#""disk_mb": 3, "sync": "each" "#)]);
-    page.set(Word::FileSync, EIO.into()).expect("the control page");
+    page.set(Setting::FileSyncErrno, EIO.into()).expect("the control page");
     let listen = world.listen_address;
     let client = std::thread::spawn(move || {
         submit(listen, "a1", "c=notice,t=acme,d=20000,k=a1,dest=7", "hello").unwrap_or_default()
     });
-    world.wait_until("a failed sync", |_| page.count(Count::FileSync) > 0);
+    world.wait_until("a failed sync", |_| page.count(FaultCounter::FileSync) > 0);
     sleep(Duration::from_millis(300));
     world.kill();
     let reply = client.join().expect("no panic");
--- a/crates/sailcart-sender/tests/local_errors.rs
+++ b/crates/sailcart-sender/tests/local_errors.rs
@@ -11,7 +11,9 @@
 
 use common::harness::Harness;
 use common::{http_response, list_entry, send_command, submit};
-use sailcart_shim::{Count, EADDRNOTAVAIL, ECONNABORTED, EINTR, EMFILE, ENETUNREACH, ENFILE, ENOBUFS, Word};
+use sailcart_shim::{
+    EADDRNOTAVAIL, ECONNABORTED, EINTR, EMFILE, ENETUNREACH, ENFILE, ENOBUFS, FaultCounter, Setting,
+};
 
 const PING: &str = "*1\r\n$4\r\nPING\r\n";
 /// Number of clients in the accept queue at a stop.
@@ -30,13 +32,13 @@
                 http_response("200 OK", "", "")
             });
         control_page
-            .share((Word::Connect, errno), (Word::ConnectPerMille, 1000))
+            .fail_share((Setting::ConnectErrno, errno), (Setting::ConnectPerMille, 1000))
             .expect("write to the control page");
         let reply = submit(harness.listen_address, "a1", "c=notice,t=acme,d=8000,k=a1,dest=7", "hello")
             .expect("the sender replies");
         assert_eq!(reply, "+OK");
         sleep(CONNECT_FAILURE_TIME);
-        let failed = control_page.count(Count::Connect);
+        let failed = control_page.count(FaultCounter::Connect);
         assert!(failed > 3, "{failed} connects failed");
         assert!(failed < 200, "{failed} connects in {CONNECT_FAILURE_TIME:?} are a busy loop");
         assert_eq!(harness.notices(), [""; 0], "{}", harness.log());
@@ -61,13 +63,13 @@
                 http_response("200 OK", "", "")
             });
         control_page
-            .share((Word::Accept, errno), (Word::AcceptPerMille, 500))
+            .fail_share((Setting::AcceptErrno, errno), (Setting::AcceptPerMille, 500))
             .expect("write to the control page");
         for _ in 0..40 {
             assert_eq!(send_command(harness.listen_address, PING).expect("the sender replies"), "+PONG");
         }
         // All clients that connect during the stop wait in the accept queue, and each gets a reply.
-        control_page.set(Word::AcceptPerMille, 1000).expect("write to the control page");
+        control_page.set(Setting::AcceptPerMille, 1000).expect("write to the control page");
         harness.signal("-TERM");
         let clients: Vec<TcpStream> = (0..QUEUED_CLIENTS)
             .map(|_| {
@@ -77,7 +79,7 @@
             })
             .collect();
         sleep(Duration::from_millis(800)); // by now the stopping sender accepts from its queue
-        control_page.set(Word::AcceptPerMille, 300).expect("write to the control page");
+        control_page.set(Setting::AcceptPerMille, 300).expect("write to the control page");
         let replies = clients.into_iter().map(|mut client| {
             client.set_read_timeout(Some(Duration::from_secs(5))).expect("set the read timeout");
             let mut reply = String::new();
@@ -86,7 +88,7 @@
         });
         assert!(replies.filter(|reply| reply == "+PONG\r\n").count() == QUEUED_CLIENTS, "{}", harness.log());
         harness.wait_for_exit();
-        assert!(control_page.count(Count::Accept) > 20, "no accept call failed");
+        assert!(control_page.count(FaultCounter::Accept) > 20, "no accept call failed");
         assert!(
             harness.log().matches("code=not_accepted").count() < 16,
             "one log line per failed accept: {}",
@@ -105,7 +107,7 @@
                 http_response("200 OK", "", "")
             });
         control_page
-            .share((Word::Connect, errno), (Word::ConnectPerMille, 1000))
+            .fail_share((Setting::ConnectErrno, errno), (Setting::ConnectPerMille, 1000))
             .expect("write to the control page");
         // Makes both connections to the platform be established again: discovery stops responding, and a
         // notice is pending.
@@ -117,9 +119,9 @@
         );
         harness.platform.unresponsive.store(true, Ordering::SeqCst);
         sleep(Duration::from_secs(4));
-        let connects_before = control_page.count(Count::Connect);
+        let connects_before = control_page.count(FaultCounter::Connect);
         sleep(Duration::from_secs(1));
-        let new_connects = control_page.count(Count::Connect) - connects_before;
+        let new_connects = control_page.count(FaultCounter::Connect) - connects_before;
         assert!(new_connects < 60, "{new_connects} connects in a second");
         control_page.clear().expect("write to the control page");
         harness.platform.unresponsive.store(false, Ordering::SeqCst);
@@ -136,11 +138,11 @@
         let control_page = harness.attach_control_page();
         harness.kill();
         control_page
-            .share((Word::Socket, errno), (Word::SocketPerMille, 1000))
+            .fail_share((Setting::SocketErrno, errno), (Setting::SocketPerMille, 1000))
             .expect("write to the control page");
         harness.spawn_sender(None);
         sleep(Duration::from_secs(1));
-        assert!(control_page.count(Count::Socket) > 0, "no socket call failed");
+        assert!(control_page.count(FaultCounter::Socket) > 0, "no socket call failed");
         control_page.clear().expect("write to the control page");
         harness.wait_until("a reply to PING", |harness| send_command(harness.listen_address, PING).is_ok());
         let reply = submit(harness.listen_address, "a1", "c=notice,t=acme,d=8000,k=a1,dest=7", "hello")
--- a/crates/sailcart-sender/tests/partial_io.rs
+++ b/crates/sailcart-sender/tests/partial_io.rs
@@ -10,7 +10,7 @@
 
 use common::harness::Harness;
 use common::{http_response, submit_command};
-use sailcart_shim::{Count, Word};
+use sailcart_shim::{FaultCounter, Setting};
 
 /// 20 % of the reads return at most 40 bytes, 20 % of the writes are cut at a random length, and 10 % of the
 /// waits are interrupted.
@@ -23,9 +23,12 @@
     let (harness, control_page) = Harness::with_fault_injection("short-calls", |_, _| {
         http_response("200 OK", "X-Some: header of an answer\r\n", "and a body")
     });
-    for (setting, value) in
-        [(Word::ReadCut, 200), (Word::ReadCutMost, 40), (Word::WriteCut, 200), (Word::WaitInterrupted, 100)]
-    {
+    for (setting, value) in [
+        (Setting::ShortReadPerMille, 200),
+        (Setting::ShortReadMaxBytes, 40),
+        (Setting::ShortWritePerMille, 200),
+        (Setting::WaitInterruptedPerMille, 100),
+    ] {
         control_page.set(setting, value).expect("write to the control page");
     }
     let mut client = TcpStream::connect(harness.listen_address).expect("establish a connection");
@@ -46,7 +49,7 @@
     harness.wait_until("all calls", |harness| harness.received_ids().len() >= PACKETS);
     assert_eq!(harness.received_ids().len(), PACKETS, "a packet was sent again");
     assert_eq!(harness.notices(), [""; 0]);
-    for count in [Count::ReadCut, Count::WriteCut, Count::WaitInterrupted] {
-        assert!(control_page.count(count) > 20, "{count:?}: {}", control_page.count(count));
+    for counter in [FaultCounter::ShortRead, FaultCounter::ShortWrite, FaultCounter::WaitInterrupted] {
+        assert!(control_page.count(counter) > 20, "{counter:?}: {}", control_page.count(counter));
     }
 }
