--- a/crates/sailcart-sender/src/clients.rs
+++ b/crates/sailcart-sender/src/clients.rs
@@ -18,8 +18,8 @@
 use crate::socket::Socket;
 use crate::wire::resp::{self, Command};
 
-/// Bounds the time from a command's first byte to its last, and the time to write a reply. Clients give up
-/// long before.
+/// Bounds the time from a command's first byte to its last, and the time to write a reply. Clients time
+/// out long before that.
 const IO_TIMEOUT: Duration = Duration::from_secs(2);
 /// Initial capacity of a connection's read buffer.
 const INITIAL_BUFFER_BYTES: usize = 4 * 1024;
@@ -43,9 +43,9 @@
 /// How long to wait for an idle connection to close before another is chosen for eviction.
 const EVICTION_WAIT: Duration = Duration::from_millis(20);
 
-/// The code of the reason why a connection has ended. There is no `Ok`, as every connection ends for some
-/// reason.
-type Ended = Result<std::convert::Infallible, &'static str>;
+/// The code of the reason why a connection has ended, as an error. There is no `Ok`, as every connection ends
+/// for some reason.
+type ConnectionResult = Result<std::convert::Infallible, &'static str>;
 
 /// State of an open connection that the tasks of other connections use.
 struct Connection {
@@ -143,7 +143,7 @@
     /// Accepts the connections that wait in the listener's queue, as closing the listener would reset them
     /// unread. Returns true if there were none.
     ///
-    /// A failed accept does not tell whether connections wait; call this again to retry.
+    /// A failed accept does not show whether connections wait; call this again to retry.
     pub fn accept_queued(self: &Rc<Self>, listener: &std::net::TcpListener) -> bool {
         let mut accepted_count = 0;
         while self.open_connections() < self.max_connections + MAX_UNCOUNTED_CLOSING {
@@ -253,7 +253,7 @@
         stream: &mut Socket,
         connection: &Connection,
         replies_sent: &mut u64,
-    ) -> Ended {
+    ) -> ConnectionResult {
         let mut buffer = BytesMut::with_capacity(INITIAL_BUFFER_BYTES);
         let mut pending = VecDeque::new();
         loop {
@@ -377,14 +377,14 @@
 }
 
 impl PendingCommand {
-    /// Waits for the reply. Cancel safe: the future may be dropped and created anew until it has returned the
+    /// Waits for the reply. Cancel safe: the future may be dropped and recreated until it has returned the
     /// reply.
     async fn reply(&mut self, connection: &Connection) -> Vec<u8> {
-        let answer = match self {
+        let submit_reply = match self {
             PendingCommand::Ready(reply) => return std::mem::take(reply),
-            PendingCommand::Submitted(answer) => answer.await,
+            PendingCommand::Submitted(submit_reply) => submit_reply.await,
         };
-        match answer {
+        match submit_reply {
             Ok(SubmitReply::Accepted) => resp::ACCEPTED.to_vec(),
             Ok(SubmitReply::Dismissed(wait)) => resp::busy(wait),
             Ok(SubmitReply::Scrapped) => resp::error("given up"),
@@ -403,7 +403,7 @@
     reply
 }
 
-/// Writes a reply together with the replies behind it that are already known.
+/// Writes a reply together with those that follow it and are already known.
 async fn write_replies(
     stream: &mut Socket,
     mut replies: Vec<u8>,
@@ -434,16 +434,16 @@
 }
 
 /// Writes an error reply with the reason why the connection ends.
-async fn send_error(stream: &mut Socket, message: &str, code: &'static str) -> Ended {
+async fn send_error(stream: &mut Socket, message: &str, code: &'static str) -> ConnectionResult {
     let _ = timeout(LINGER_TIMEOUT, stream.write_all(&resp::error(message))).await;
     Err(code)
 }
 
-/// Closes a client's connection. Every connection ends here, after all commands that were read have got their
-/// replies. Closing a socket with unread input would reset the connection, and replies still on their way
-/// would be lost. So this side shuts down its direction first, then reads and discards input until the client
-/// has closed too. Discarded packets are neither accepted nor dispatched; the client submits them again
-/// elsewhere.
+/// Closes a client's connection. Every connection ends here, after all commands that were read have received
+/// their replies. Closing a socket with unread input would reset the connection, and replies still on their
+/// way would be lost. So this side shuts down its direction first, then reads and discards input until the
+/// client has closed too. Discarded packets are neither accepted nor dispatched; the client submits them
+/// again elsewhere.
 async fn close_gracefully(mut stream: Socket, code: &'static str) {
     if matches!(code, "reset" | "broken") {
         return;
--- a/crates/sailcart-sender/src/endpoints.rs
+++ b/crates/sailcart-sender/src/endpoints.rs
@@ -57,7 +57,8 @@
         }
     }
 
-    /// Executes a call. When its owner receives the outcome, its connection is closed or idle again.
+    /// Executes a call. By the time the owner receives the outcome, the call's connection is closed or back
+    /// in the pool.
     pub async fn execute(self: Rc<Self>, call: Call, owner: Rc<impl CallOwner>) {
         owner.wait_for_key_order(&call).await;
         let (outcomes, head, reusable) = match self.connect(&call).await {
@@ -139,7 +140,9 @@
         // malformed.
         _ if call::proves_delivery(response.status, ids.len()) => vec![(Outcome::Done, true)],
         (Some(head), Ok(())) => call::packet_outcomes(head, &response.body, &ids),
-        (_, Err(error)) => same_for_all(call, failure(written || response.status.is_some(), error)),
+        (_, Err(error)) => {
+            same_for_all(call, outcome_of_failure(written || response.status.is_some(), error))
+        }
         (None, Ok(())) => same_for_all(call, Outcome::Reset),
     };
     match result {
@@ -176,7 +179,7 @@
 
 /// Returns the outcome of a call without a complete response. The call was not executed unless it `began`:
 /// its last byte was written, or a response to it began.
-fn failure(began: bool, error: &io::Error) -> Outcome {
+fn outcome_of_failure(began: bool, error: &io::Error) -> Outcome {
     match error.kind() {
         _ if !began => Outcome::NoConnection,
         io::ErrorKind::TimedOut => Outcome::TimedOut,
--- a/crates/sailcart-sender/src/exchange/calls.rs
+++ b/crates/sailcart-sender/src/exchange/calls.rs
@@ -1,5 +1,4 @@
-//! Groups the dispatches of a round into calls, and answers for the exchange as the [`CallOwner`] of each
-//! call.
+//! Groups the dispatches of a round into calls, and implements [`CallOwner`] for the exchange.
 
 use std::cell::Cell;
 use std::rc::Rc;
--- a/crates/sailcart-sender/src/exchange/clock.rs
+++ b/crates/sailcart-sender/src/exchange/clock.rs
@@ -1,4 +1,4 @@
-//! The sender's clock: real time on an axis that also holds the points in time that the journal restored.
+//! The sender's clock: real time on an axis that also covers the times restored from the journal.
 
 use std::time::{Duration, Instant};
 
@@ -66,9 +66,9 @@
     }
 }
 
-/// Time since a dispatch was sent, or [`UNKNOWN_AGE`], after which its idempotency key is certainly
-/// forgotten, if that is unknown because the machine has rebooted or its wall clock was set back. Records of
-/// earlier formats hold only wall clock time, which is used as it is.
+/// Time since a dispatch was sent. If the machine has rebooted or its wall clock was set back, that time is
+/// unknown, and [`UNKNOWN_AGE`] is returned, after which the idempotency key is certainly forgotten. Records
+/// of earlier formats hold only wall clock time, which is used as it is.
 fn dispatch_age(now: Moment, sent: Moment) -> Duration {
     match now.distance(sent) {
         Distance::Monotonic(Span::Ago(span)) => span,
--- a/crates/sailcart-sender/src/exchange/host.rs
+++ b/crates/sailcart-sender/src/exchange/host.rs
@@ -34,7 +34,7 @@
         self.endpoints_to_close.push((endpoint, "asked"));
     }
 
-    /// Does nothing: the `platform` module watches the list without being asked.
+    /// Does nothing: the `platform` module watches the list on its own.
     fn request_list(&mut self) {}
 
     fn wake(&mut self, after: Duration) {
--- a/crates/sailcart-sender/src/exchange/invariants.rs
+++ b/crates/sailcart-sender/src/exchange/invariants.rs
@@ -1,4 +1,4 @@
-//! Checks on the steps that must never go wrong: sending the first byte of a call and completing a packet.
+//! Checks the two safety-critical steps: sending the first byte of a call and completing a packet.
 //! Every code path that takes such a step passes through here. A step that breaks an invariant is refused,
 //! counted and logged (`invariant=... count=...`).
 
@@ -18,7 +18,7 @@
     OutcomeWithoutCall,
 }
 
-const ALL: [Invariant; 4] = [
+const ALL_INVARIANTS: [Invariant; 4] = [
     Invariant::CallAfterCompletion,
     Invariant::SecondCompletion,
     Invariant::SecondCallInFlight,
@@ -38,7 +38,7 @@
 
 /// Number of violations of each invariant in this process.
 #[derive(Debug, Default)]
-pub struct Violations([u64; ALL.len()]);
+pub struct Violations([u64; ALL_INVARIANTS.len()]);
 
 impl Violations {
     /// Counts a violation. Logs the first of each invariant and every one that doubles its count.
@@ -64,8 +64,9 @@
 /// Why a call must not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// Its endpoint has left the list, its destination requested a wait, its time or the destination's memory
-    /// of its idempotency key has expired, or another packet comes first in the order of its key.
+    /// Its endpoint has left the list, its destination requested a wait, its deadline has passed, the
+    /// destination may have forgotten its idempotency key, or another packet comes first in the order of its
+    /// key.
     NotNow,
     /// The journal cannot record it: a local error.
     Unrecorded,
--- a/crates/sailcart-sender/src/exchange/packets.rs
+++ b/crates/sailcart-sender/src/exchange/packets.rs
@@ -55,14 +55,14 @@
         self.inner.borrow().host.ledger.uncompleted_packets()
     }
 
-    /// Passes a packet that a previous process accepted to the sender again. One with names that are no
-    /// longer in the settings is scrapped.
+    /// Restores a packet that a previous process accepted, by passing it to the sender. A packet with names
+    /// that are no longer in the settings is scrapped.
     pub fn restore(&self, packet: &Packet) {
         let Inner { sender, host, .. } = &mut *self.inner.borrow_mut();
         match host.sender_packet(packet) {
             Ok(restored) => {
                 let now = host.clock.now();
-                // The previous process may have had a wrong clock: the time left is never longer than the
+                // The previous process's clock may have been wrong: the time left is never longer than the
                 // category's patience.
                 let max = now.saturating_add(host.patience_by_category[restored.category.0]);
                 sender.accept(
--- a/crates/sailcart-sender/src/exchange/update.rs
+++ b/crates/sailcart-sender/src/exchange/update.rs
@@ -110,8 +110,8 @@
     /// Removes up to [`MAX_CHANGES_PER_STEP`] unlisted endpoints.
     fn remove_unlisted(&mut self, directory: &mut Directory) -> Vec<ListEntry> {
         let mut list_entries = Vec::new();
-        let rest = self.unlisted.split_off(self.unlisted.len().min(MAX_CHANGES_PER_STEP));
-        for slot in mem::replace(&mut self.unlisted, rest) {
+        let remaining = self.unlisted.split_off(self.unlisted.len().min(MAX_CHANGES_PER_STEP));
+        for slot in mem::replace(&mut self.unlisted, remaining) {
             directory.remove(slot, &mut list_entries);
         }
         list_entries
--- a/crates/sailcart-sender/src/response.rs
+++ b/crates/sailcart-sender/src/response.rs
@@ -28,6 +28,7 @@
 pub struct Response {
     /// The status, known as soon as the first line is complete.
     pub status: Option<u16>,
+    /// The head, set once it is complete.
     pub head: Option<Head>,
     /// The body of a collected response, set once it is complete.
     pub body: Vec<u8>,
--- a/src/control.rs
+++ b/src/control.rs
@@ -7,7 +7,7 @@
 //! An *upstream* is the unit of rate limiting and health: a destination or, where each route has limits of
 //! its own, one route. *Sparse traffic* means that there are so many senders that an upstream receives a call
 //! from each of them only now and then. Several mechanisms then work differently, because a sender's own
-//! answers tell it little.
+//! answers provide too little information.
 //!
 //! The mechanisms, by their standard names:
 //! - **Token bucket**: each upstream has one; a packet needs a token before it competes for a slot, and waits
@@ -26,10 +26,10 @@
 //!   (`Endpoint::concurrency_limit`); per destination, a share of the slots (`Sender::concurrency_limit`).
 //! - **Max-min fair shares**: the slots are divided among the destinations by their demand
 //!   (`Sender::max_min_shares`, `Sender::assign_slots`).
-//! - **Priority order**: the held packets of a destination are dispatched in the order in which credit is at
-//!   stake (`Sender::dispatch_order`).
-//! - **Load shedding**: a hold that is nearly full dismisses the packet with the lowest prospects
-//!   (`Sender::shed_load`).
+//! - **Priority order**: the held packets of a destination are ordered by quota, lateness and due time
+//!   (`Sender::dispatch_order`).
+//! - **Load shedding**: when the hold is nearly full, the destination with the most held packets loses the
+//!   one with the earliest deadline (`Sender::shed_load`).
 //! - **Retry budget**: with sparse traffic, refused packets are dispatched again only for a part of the
 //!   answers (`Sender::retry_budget`).
 //! - **Backoff with jitter**: after losses, refusals, reached connection limits and failed requests for the
@@ -72,16 +72,16 @@
 const EJECTION_LOSSES: f64 = 3.0;
 /// Loss weight of a connection that was lost during a call, unless traffic is sparse.
 const RESET_LOSS_WEIGHT: f64 = 0.25;
-/// Idle connections are closed above this ratio of losses to answers, or above this number of recently
-/// reached connection limits.
-const IDLE_CLOSE_LOSS_RATIO: f64 = 1.0 / 64.0;
+/// Idle connections are closed above this ratio of losses to answers, or above this decayed count of reached
+/// connection limits.
+const IDLE_CLOSE_THRESHOLD: f64 = 1.0 / 64.0;
 /// Refused packets that may be dispatched again per answer, with sparse traffic.
 const RETRIES_PER_ANSWER: f64 = 0.1;
-/// No dispatch starts within this part of the soft limit before a packet's deadline.
+/// No dispatch starts within a margin before a packet's deadline: its soft limit divided by this number.
 const DEADLINE_MARGIN_DIVISOR: u32 = 8;
 /// Minimum and maximum backoff after a call that could not be sent because of a local error.
 const LOCAL_ERROR_BACKOFF: [Duration; 2] = [Duration::from_millis(20), Duration::from_millis(320)];
-/// This part of the hold is kept free.
+/// The part of the hold that is kept free is `max_held` divided by this number, and at least one packet.
 const HOLD_RESERVE_DIVISOR: usize = 16;
 /// Number of destinations whose learned state is retained; see `evict_idle`.
 const MAX_ACTIVE_DESTINATIONS: usize = 4096;
@@ -100,8 +100,8 @@
     Unresponsive,
     /// An outage has been detected.
     Ejected,
-    /// It answered after an outage, or its long Retry-After wait ends, at this time, and may be cold from
-    /// then on.
+    /// Possibly cold since this time: its first answer after an outage, or the end of a long Retry-After
+    /// wait.
     Recovering(Duration),
 }
 
@@ -741,7 +741,7 @@
 
     /// Whether a dispatch may still be sent. The host asks before the first byte of a call that may have
     /// waited for its connection: since the decision its endpoint may have left the list, a Retry-After wait
-    /// may have been requested, or the time for the dispatch may have passed.
+    /// may have been requested, or the dispatch deadline may have passed.
     pub fn may_still_dispatch(&self, now: Duration, id: PacketId) -> bool {
         let Some(tracked) = self.packets.get(&id) else { return false };
         let PacketState::InFlight(call, _) = tracked.state else { return false };
@@ -800,6 +800,7 @@
         let limit_unknown = self.parameters.sparse_traffic
             && upstreams.into_iter().all(|upstream_id| has_no_limit(&self.upstreams[upstream_id]));
         tracked.refused |= limit_unknown && matches!(outcome, Outcome::Full(_));
+        // After `Moot` the packet gets no further dispatches.
         let min_dispatches =
             if outcome == Outcome::Moot { self.parameters.settings.max_dispatches } else { 0 };
         tracked.packet.dispatches -= u32::from(outcome == Outcome::Unsent);
@@ -882,7 +883,7 @@
             Outcome::NoRoom => {
                 let (kind, is_first) = (
                     endpoint.kind,
-                    connection_limits.read(now, parameters.min_soft_limit * 8) <= IDLE_CLOSE_LOSS_RATIO,
+                    connection_limits.read(now, parameters.min_soft_limit * 8) <= IDLE_CLOSE_THRESHOLD,
                 );
                 connection_limits.add(now, parameters.min_soft_limit * 8);
                 upstream.record_connection_limit(now, jitter, parameters);
@@ -1000,9 +1001,9 @@
         queueing.max(available_in.filter(|_| self.parameters.sparse_traffic).unwrap_or_default())
     }
 
-    /// Whether the wait for a token exceeds a packet's time; such a packet is dismissed at once, with the
-    /// wait as Retry-After. A packet that the previous process accepted and did not dispatch is tried, unless
-    /// a wait or backoff of all its upstreams exceeds its time.
+    /// Whether the wait for a token lasts beyond a packet's deadline; such a packet is dismissed at once,
+    /// with the wait as Retry-After. A packet that the previous process accepted and did not dispatch is
+    /// tried, unless a wait or backoff of all its upstreams lasts beyond its deadline.
     fn would_expire(&self, wait: Duration, tracked: &TrackedPacket) -> bool {
         let upstreams = self.upstreams_of(&tracked.packet.destination);
         let Some(blocked) = upstreams.map(|upstream| upstream.blocked_until).min() else { return false };
@@ -1011,7 +1012,7 @@
     }
 
     /// Checks the held packets of a destination again after an upstream's rate was reduced, because otherwise
-    /// they would wait on although the upstream becomes available only after their time.
+    /// they would continue to wait although the upstream becomes available only after their deadline.
     fn fail_packets_that_would_expire(&mut self, destination: DestinationId) {
         let held = self.held.get(&destination).into_iter().flatten().enumerate();
         let waits = held.map(|(packets_ahead, id)| (*id, self.estimated_wait(destination, packets_ahead)));
@@ -1059,7 +1060,8 @@
         self.schedule_wake(host);
     }
 
-    /// Fails the packets that are marked for failure and those whose time for a dispatch has passed.
+    /// Fails the packets that are marked for failure, and those whose dispatch deadline has passed or whose
+    /// destination has not been listed within a soft limit.
     fn fail_due_packets(&mut self, host: &mut impl Host) {
         for (id, wait) in std::mem::take(&mut self.pending_failures) {
             self.fail_packet(id, wait, host);
@@ -1087,8 +1089,8 @@
             // Once a connection limit was reached, other senders need the capacity that an idle connection
             // takes up, however many calls are answered.
             let needed_elsewhere = losses.read(now, window)
-                > answers.read(now, window) * IDLE_CLOSE_LOSS_RATIO
-                || connection_limits.read(now, window) > IDLE_CLOSE_LOSS_RATIO;
+                > answers.read(now, window) * IDLE_CLOSE_THRESHOLD
+                || connection_limits.read(now, window) > IDLE_CLOSE_THRESHOLD;
             if needed_elsewhere
                 && self.parameters.sparse_traffic
                 && self.calls.values().all(|call| call.endpoint != id)
@@ -1099,7 +1101,7 @@
     }
 
     /// Completes a held packet without success: dismissed where the category lets the client submit it again
-    /// without harm, scrapped otherwise.
+    /// safely, scrapped otherwise.
     fn fail_packet(&mut self, id: PacketId, wait: Option<Duration>, host: &mut impl Host) {
         let Some(tracked) = self.packets.get(&id) else { return };
         let PacketState::Held(possibly_executed_at) = tracked.state else { return };
@@ -1132,8 +1134,8 @@
     }
 
     /// Load shedding: before a failing destination fills the hold, the destination with the most held packets
-    /// loses the one with the earliest deadline, those beyond a quota first. Packets that the previous
-    /// process accepted and did not dispatch are spared as long as there are others.
+    /// loses the one with the earliest deadline; packets beyond a quota are chosen first. Packets that the
+    /// previous process accepted and did not dispatch are failed only if there are no others.
     fn shed_load(&mut self, host: &mut impl Host) {
         while self.packets.len() > self.parameters.shedding_threshold {
             let sheddable = |held: &&BTreeSet<PacketId>| {
--- a/src/host.rs
+++ b/src/host.rs
@@ -48,6 +48,7 @@
 /// The rules for one category of packets.
 #[derive(Clone, Copy, Debug)]
 pub struct Category {
+    /// Whether its packets may be dispatched again after a possible execution.
     pub repeat: Repeat,
     /// Packets with the same key are dispatched one after the other, in the order in which they were
     /// accepted.
@@ -118,10 +119,13 @@
     pub max_retry_after: Option<Duration>,
     /// How long a key is blocked after a dispatch that may still execute.
     pub key_block_time: Duration,
+    /// The categories, indexed by [`CategoryId`].
     pub categories: Vec<Category>,
+    /// The customers, indexed by [`CustomerId`].
     pub customers: Vec<Customer>,
     /// Share of the credit for a packet beyond its customer's quota.
     pub over_quota_credit_share: f64,
+    /// The kinds of destinations, indexed by [`KindId`].
     pub kinds: Vec<Kind>,
     /// The destination list contains each destination's rate.
     pub rates_listed: bool,
@@ -130,7 +134,9 @@
     pub max_list_staleness: Option<Duration>,
     /// Answers report the remaining rate limit ([`LimitReport`]).
     pub limits_reported: bool,
+    /// How the credit falls after the soft limit.
     pub credit_decay: CreditDecay,
+    /// The capacity of destinations after an outage, for slow start.
     pub recovery: RecoveryProfile,
 }
 
@@ -152,7 +158,9 @@
     pub id: PacketId,
     pub destination: DestinationId,
     pub category: CategoryId,
+    /// The customer whose quota it counts against, if any.
     pub customer: Option<CustomerId>,
+    /// Its ordering key (see [`Category::in_order`]).
     pub key: Option<KeyId>,
     /// When the client abandons the packet.
     pub deadline: Duration,
--- a/src/state.rs
+++ b/src/state.rs
@@ -47,13 +47,17 @@
 /// executed was sent, if there is one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PacketState {
+    /// Waits for its next dispatch.
     Held(Option<Duration>),
     /// Dispatched in the call with this number.
     InFlight(u64, Option<Duration>),
     /// Withdrawn by its client during the call with this number; the client gets no answer.
     Withdrawn(u64),
+    /// Completed by the outcome of a call.
     Completed,
+    /// Rejected; the client may submit it again.
     Dismissed,
+    /// Failed for good, or withdrawn by its client while held.
     Scrapped,
 }
 
--- a/tests/scalability.rs
+++ b/tests/scalability.rs
@@ -231,7 +231,7 @@
     assert_eq!(harness.in_flight().len(), 1, "slow start still applies");
 }
 
-/// An evicted destination is still listed: its next packet finds it like a new one.
+/// An evicted destination is still listed: its next packet creates its state again from the list.
 #[test]
 fn an_evicted_destination_is_activated_by_its_next_packet() {
     let mut harness = Harness::new(settings(), 20_000, 0, 8.0);
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -32,8 +32,12 @@
     let mut harness = Harness::new(settings(), 1, 0, 2.0);
     harness.submit(50, 0, 0, None);
     harness.run_round();
-    let dismissed =
-        harness.host.failures.iter().filter(|(_, a)| *a == Failure::Dismissed(Some(ms(2000)))).count();
+    let dismissed = harness
+        .host
+        .failures
+        .iter()
+        .filter(|(_, failure)| *failure == Failure::Dismissed(Some(ms(2000))))
+        .count();
     assert_eq!(dismissed, 9, "41 calls at two per second start within 20 s");
 }
 
@@ -206,12 +210,12 @@
 #[test]
 fn a_retry_after_wait_blocks_every_packet_and_the_longest_wait_applies() {
     let mut harness = Harness::new(settings(), 1, 1, 100.0);
-    let sent = harness.submit(2, 0, 0, None);
+    let packets = harness.submit(2, 0, 0, None);
     harness.run_round();
-    harness.complete(sent[0], Outcome::Full(Some(ms(800))));
+    harness.complete(packets[0], Outcome::Full(Some(ms(800))));
     harness.advance(5);
     // The outcomes of one call arrived in two rounds, and the second counted the wait anew (lisboa-logs).
-    harness.complete(sent[1], Outcome::Full(Some(ms(800))));
+    harness.complete(packets[1], Outcome::Full(Some(ms(800))));
     harness.advance(799);
     harness.submit(1, 0, 0, None);
     assert_eq!(harness.in_flight().len(), 0);
@@ -807,8 +811,8 @@
 }
 
 /// A packet that was held and not dispatched when its sender stopped was dismissed at the next start, because
-/// its estimated wait in the queue, at the rate of a cold token bucket, exceeded its time. It must be tried,
-/// unless its destination is blocked for longer.
+/// its estimated wait in the queue, at the rate of a cold token bucket, exceeded its remaining time. It must
+/// be tried, unless its destination is blocked for longer.
 #[test]
 fn packets_accepted_by_the_previous_process_are_tried() {
     let mut harness = Harness::new(settings(), 1, 0, 0.2);
@@ -871,8 +875,8 @@
     harness.run_round();
     assert_eq!(harness.in_flight(), [packet]);
     assert!(harness.sender.may_still_dispatch(harness.now, PacketId(packet)));
-    let memory = settings().categories[1].repeat;
-    let Repeat::Deduplicated { memory } = memory else { panic!("a category with a memory") };
+    let repeat = settings().categories[1].repeat;
+    let Repeat::Deduplicated { memory } = repeat else { panic!("a category with a memory") };
     assert!(!harness.sender.may_still_dispatch(ms(9000) + memory, PacketId(packet)));
 }
 
@@ -897,15 +901,16 @@
     harness.update_list(false, &[list_entry(9, 0, 0, 100.0, true)]);
     let packets = harness.submit(3, 0, 0, None);
     harness.run_round();
-    let may_go = |harness: &Harness, packet| harness.sender.may_still_dispatch(harness.now, PacketId(packet));
-    assert!(packets.iter().all(|packet| may_go(&harness, *packet)));
+    let may_dispatch =
+        |harness: &Harness, packet| harness.sender.may_still_dispatch(harness.now, PacketId(packet));
+    assert!(packets.iter().all(|packet| may_dispatch(&harness, *packet)));
     harness.complete(packets[0], Outcome::Full(Some(ms(500))));
-    assert!(!may_go(&harness, packets[0]), "it is not in flight");
-    assert!(!may_go(&harness, packets[1]), "a wait was requested");
+    assert!(!may_dispatch(&harness, packets[0]), "it is not in flight");
+    assert!(!may_dispatch(&harness, packets[1]), "a wait was requested");
     harness.now += ms(500);
-    assert!(may_go(&harness, packets[1]));
+    assert!(may_dispatch(&harness, packets[1]));
     harness.update_list(false, &[list_entry(0, 0, 0, 100.0, false), list_entry(9, 0, 0, 100.0, false)]);
-    assert!(!may_go(&harness, packets[1]), "its endpoint drains");
+    assert!(!may_dispatch(&harness, packets[1]), "its endpoint drains");
 }
 
 /// Idle connections of other senders filled the connection tables, so that 7,880 calls of 327 senders were
@@ -961,8 +966,8 @@
 }
 
 /// Three held packets waited from 3.6 s until 11.8 to 12.8 s, although the rate of their upstream was reduced
-/// at 3.6 s so that it became available only after their time: only packets entering the hold were checked
-/// (fleet day zone+mass, seed 2002).
+/// at 3.6 s so that it became available only after their deadline: only packets entering the hold were
+/// checked (fleet day zone+mass, seed 2002).
 #[test]
 fn held_packets_are_dismissed_when_a_rate_reduction_makes_them_too_late() {
     let mut harness = Harness::new(Settings { senders: 300, ..settings() }, 12, 0, 30.0);
@@ -981,7 +986,7 @@
     assert!(!dismissed(&harness), "the upstream is available in two seconds");
     harness.complete(first, Outcome::Full(None));
     harness.advance(10);
-    assert!(dismissed(&harness), "the upstream is available only after their time");
+    assert!(dismissed(&harness), "the upstream is available only after their deadline");
 }
 
 /// Simulates a hundred senders with a packet in six seconds each, and a destination with a limit of 22 calls
@@ -1041,12 +1046,12 @@
         Settings { senders: 100, max_held: 900, max_dispatches: 9, limits_reported: true, ..settings() };
     let mut harness = Harness::new(settings, 1, 0, 4.0);
     let mut calls = 0;
-    for left in (0..60).map(|n| 0.9 + f64::from(n) / 1000.0) {
+    for unused_share in (0..60).map(|n| 0.9 + f64::from(n) / 1000.0) {
         harness.submit(3, 0, 0, None);
         harness.advance(250);
         for packet in harness.in_flight() {
             calls += 1;
-            harness.report(packet, left, 1e12);
+            harness.report(packet, unused_share, 1e12);
             harness.complete(packet, Outcome::Done);
         }
     }
