--- a/crates/sailcart-drill/src/instance.rs
+++ b/crates/sailcart-drill/src/instance.rs
@@ -18,11 +18,12 @@
     kind: String,
     destination: u64,
     live: bool,
-    /// Calls per second that the destination takes from all senders; `heft` in the messages.
+    /// Calls per second that the destination accepts from all senders; `heft` in the messages.
     rate: f64,
 }
 
 impl Entry {
+    /// Reads an entry from its JSON array.
     pub fn read(entry: &Value) -> Result<Self, ValueError> {
         let message = Message::unnamed(entry, "rows_in")?;
         message.text(1, "rack_zone")?;
@@ -44,8 +45,9 @@
 /// Maps the simulator's names to ids, and ids back to names.
 #[derive(Default)]
 struct IdMap {
+    /// The ids of packets by the simulator's name.
     packets: HashMap<String, PacketId>,
-    /// The simulator's names of packets.
+    /// The simulator's names of packets, by id.
     handles: HashMap<PacketId, String>,
     endpoints: HashMap<String, EndpointId>,
     /// The simulator's names of endpoints, by id.
@@ -95,6 +97,7 @@
 }
 
 impl Instance {
+    /// Starts a sender with these settings.
     pub fn new(wall_time: Duration, seed: u64, settings_value: &Value) -> Result<Self, ValueError> {
         let (settings, names) = sailcart_terms::read(settings_value)?;
         let mut sender = Sender::new(settings, seed);
@@ -194,7 +197,7 @@
         Ok(())
     }
 
-    /// Withdraws a packet that its client has given up (`Dropped`).
+    /// Withdraws a packet that its client has abandoned (`Dropped`).
     pub fn withdraw(&mut self, wall_time: Duration, message: &Message) -> Result<(), ValueError> {
         let handle = message.text(0, "handle")?;
         let now = self.now(wall_time);
@@ -237,10 +240,10 @@
 }
 
 impl Host for MessageWriter<'_> {
-    fn dispatch(&mut self, packet: PacketId, endpoint: EndpointId, time_out: Duration) {
+    fn dispatch(&mut self, packet: PacketId, endpoint: EndpointId, timeout: Duration) {
         let handle = self.ids.handles.get(&packet);
         let address = self.ids.addresses.get(endpoint.0 as usize);
-        self.messages.push(json!(["Place", handle, address, milliseconds(time_out)]));
+        self.messages.push(json!(["Place", handle, address, milliseconds(timeout)]));
     }
 
     fn cancel(&mut self, packet: PacketId, dispatch: u32) {
--- a/crates/sailcart-drill/src/message.rs
+++ b/crates/sailcart-drill/src/message.rs
@@ -34,16 +34,19 @@
         self.optional(index).ok_or_else(|| format!("expected {what} in {}", self.name).into())
     }
 
+    /// The text at a position, called `what` in errors.
     pub fn text(&self, index: usize, what: &str) -> Result<&'a str, ValueError> {
         read_text(self.required(index, what)?, what)
     }
 
+    /// The whole number at a position, called `what` in errors.
     pub fn unsigned(&self, index: usize, what: &str) -> Result<u64, ValueError> {
         self.required(index, what)?
             .as_u64()
             .ok_or_else(|| format!("expected a whole number in {what}").into())
     }
 
+    /// The array at a position, called `what` in errors.
     pub fn list(&self, index: usize, what: &str) -> Result<&'a [Value], ValueError> {
         let list = self.required(index, what)?.as_array();
         list.map(Vec::as_slice).ok_or_else(|| format!("expected an array in {what}").into())
--- a/crates/sailcart-sender/src/backoff.rs
+++ b/crates/sailcart-sender/src/backoff.rs
@@ -8,9 +8,9 @@
 /// Exponential backoff with full jitter: each delay is drawn at random from a range whose upper bound
 /// doubles with every consecutive failure, up to a maximum.
 ///
-/// Hundreds of senders that were turned away together must not return together: that would keep out even
-/// those that discovery could serve. Backoff libraries add jitter on top of a fixed delay, which keeps such
-/// a group together at first.
+/// Hundreds of senders that were rejected at the same time must not retry at the same time: discovery would
+/// then reject even those that it has capacity for. Backoff libraries add jitter on top of a fixed delay,
+/// which spreads such a group too little at first.
 pub struct Backoff {
     rng: ChaCha8Rng,
     min_delay: Duration,
@@ -31,7 +31,7 @@
         self.min_delay + self.upper_bound.saturating_sub(self.min_delay).mul_f64(self.rng.random())
     }
 
-    /// Records a success: the upper bound of the next delay starts anew.
+    /// Records a success: the next delay counts as the first after a success.
     pub fn reset(&mut self) {
         self.upper_bound = Duration::ZERO;
     }
--- a/crates/sailcart-sender/src/config/document.rs
+++ b/crates/sailcart-sender/src/config/document.rs
@@ -4,8 +4,8 @@
 //! so that both are checked and given defaults by the same code. The doc comments of the fields are the user
 //! reference: they are printed by `sailcart config reference` and included in the JSON Schema.
 //!
-//! The variants of the enums must not have doc comments: schemars would then describe the enum by `oneOf` instead
-//! of `enum`, which `validation` and `show` don't read.
+//! The variants of the enums must not have doc comments: schemars would then describe the enum by `oneOf`
+//! instead of `enum`, which `validation` and `show` don't read.
 
 use std::time::Duration;
 
--- a/crates/sailcart-sender/src/config/known_list.rs
+++ b/crates/sailcart-sender/src/config/known_list.rs
@@ -75,7 +75,7 @@
     Ok((Value::Object(members), list))
 }
 
-/// Takes the list out of a configuration that is a JSON value already.
+/// Splits a configuration that is already a JSON value, as [`split`] does.
 pub fn split_value(mut file: Value) -> Result<(Value, KnownList), ValueError> {
     let known = file.as_object_mut().and_then(|file| file.remove(KNOWN)).map(|known| known.to_string());
     let range = known.as_ref().map(|known| 0..known.len());
--- a/crates/sailcart-sender/src/config/mod.rs
+++ b/crates/sailcart-sender/src/config/mod.rs
@@ -75,8 +75,8 @@
 
 /// Share of the memory that is for listed endpoints.
 const LISTED_MEMORY_SHARE: f64 = 3.0 / 8.0;
-/// Memory for a listed endpoint in the whole process, in bytes. The most that was measured is 180, just after
-/// an index had grown (`docs/CAPACITY.md`), with names of up to 24 bytes and IPv4 addresses.
+/// Memory for a listed endpoint in the entire process, in bytes. Up to 180 are in use just after an index has
+/// grown (`docs/CAPACITY.md`), with names of up to 24 bytes and IPv4 addresses.
 const BYTES_PER_LISTED_ENDPOINT: f64 = 192.0;
 
 /// Looks up an environment variable.
@@ -155,8 +155,8 @@
 }
 
 /// The part of a newer configuration that a running sender applies: the source of the destination list. A
-/// changed address of discovery in the file overrides the environment variable, which is as old as the
-/// process. Other changes are logged and take effect at the next start.
+/// changed address of discovery in the file overrides the environment variable, which cannot change while the
+/// process runs. Other changes are logged and take effect at the next start.
 pub fn reloaded_source(old: &Value, new: &SenderConfig) -> Result<Source, ValueError> {
     let file = &new.file;
     let needs_restart = |key: &&String| !["discovery", "seed"].contains(&key.as_str());
--- a/crates/sailcart-sender/src/inspect.rs
+++ b/crates/sailcart-sender/src/inspect.rs
@@ -11,8 +11,8 @@
 use crate::memory::records::{Record, RecordKind, decode, encode_dispatch_state, key};
 use crate::memory::{DispatchState, Notice};
 
-/// How often the folder is read before an error counts: a running sender may retire a segment during the
-/// read.
+/// How many times the folder is read before an error is reported: a running sender may retire a segment
+/// during the read.
 const MAX_READ_ATTEMPTS: usize = 5;
 
 /// Reads all records. Returns the store's summary, the decoded records, and the number of unknown ones.
@@ -125,7 +125,7 @@
     }
 }
 
-/// Copies the readable records of a damaged folder into a new one, and reports what had to be given up.
+/// Copies the readable records of a damaged folder into a new one, and reports what was lost.
 ///
 /// # Errors
 /// A message for the operator: `new` cannot be created, or a file operation failed.
@@ -170,7 +170,7 @@
 const BEYOND_KEY_RETENTION: Duration = Duration::from_secs(24 * 3600);
 
 /// Marks each packet as possibly executed. Prevents a second execution where the record of the first
-/// dispatch is among what was given up.
+/// dispatch is among what was lost.
 fn mark_all_possibly_executed(store: &mut Store<Disk>) -> Result<(), StoreError> {
     let keys: Vec<Vec<u8>> = store.keys(&[], None).map(<[u8]>::to_vec).collect();
     for packet_key in keys {
--- a/crates/sailcart-sender/src/life/reload.rs
+++ b/crates/sailcart-sender/src/life/reload.rs
@@ -1,4 +1,4 @@
-//! Reload: at SIGHUP the configuration is read again and validated as a whole. This happens on a thread of
+//! Reload: at SIGHUP the configuration is read again and validated completely. This happens on a thread of
 //! its own, as the list in it may be long. An invalid configuration changes nothing.
 
 use std::net::SocketAddr;
--- a/crates/sailcart-sender/src/life/start.rs
+++ b/crates/sailcart-sender/src/life/start.rs
@@ -77,9 +77,9 @@
             spawn_local(follower.follow(first_call_completed));
             spawn_local(platform::send_notices(address_receiver, exchange.clone()));
             if max_list_staleness.is_none() {
-                // What the agent has counts as known from the first moment on, and the list of the previous
-                // process may name endpoints that have drained since. The start waits for one call at most
-                // if the agent is silent.
+                // The sender must know the agent's current list from its start on, and the list of the
+                // previous process may contain endpoints that have drained since. If the agent does not
+                // answer, the start waits for one call at most.
                 let _ = first_call.await;
             }
             ReloadTarget::DiscoveryAddress(address_sender)
--- a/crates/sailcart-sender/src/life/stop.rs
+++ b/crates/sailcart-sender/src/life/stop.rs
@@ -13,12 +13,12 @@
 use crate::clients::Clients;
 use crate::exchange::Exchange;
 
-/// For this long after the signal clients may still open connections. After that they connect elsewhere,
-/// but go on using the connections they have for as long as these stay open.
-const LATE_CONNECTIONS: Duration = Duration::from_millis(400);
+/// How long after the signal clients may still open connections. After that they connect elsewhere, but
+/// continue to use the connections they have for as long as these stay open.
+const LATE_CONNECTION_TIME: Duration = Duration::from_millis(400);
 /// How long a stop may take: the process is killed 3.7 s after the signal at the earliest.
-const MAX_STOP: Duration = Duration::from_millis(3200);
-/// The part of [`MAX_STOP`] reserved for connections that wait in the listener's accept queue.
+const MAX_STOP_TIME: Duration = Duration::from_millis(3200);
+/// The part of [`MAX_STOP_TIME`] reserved for connections that wait in the listener's accept queue.
 const ACCEPT_QUEUE_RESERVE: Duration = Duration::from_millis(400);
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
@@ -49,10 +49,10 @@
 pub async fn stop(exchange: &Exchange, clients: &Rc<Clients>, accepting: JoinHandle<TcpListener>) {
     let start = Instant::now();
     exchange.stop_accepting_packets();
-    sleep(LATE_CONNECTIONS).await;
+    sleep(LATE_CONNECTION_TIME).await;
     clients.close_when_idle();
     while Outstanding::now(exchange, clients) != Outstanding::default()
-        && start.elapsed() < MAX_STOP - ACCEPT_QUEUE_RESERVE
+        && start.elapsed() < MAX_STOP_TIME - ACCEPT_QUEUE_RESERVE
     {
         sleep(POLL_INTERVAL).await;
     }
@@ -77,7 +77,7 @@
 ) -> io::Result<()> {
     let Ok(listener) = accepting.await else { return Ok(()) };
     let listener = listener.into_std()?;
-    while start.elapsed() < MAX_STOP {
+    while start.elapsed() < MAX_STOP_TIME {
         if clients.accept_queued(&listener) && clients.open_connections() == 0 {
             break;
         }
--- a/crates/sailcart-sender/src/memory/ledger.rs
+++ b/crates/sailcart-sender/src/memory/ledger.rs
@@ -2,7 +2,7 @@
 //!
 //! An action whose record must be on disk first is refused while the state folder cannot be written. What
 //! has already happened is recorded as soon as the folder can be written again. Until then it is reported
-//! only where a later process, which would not find the record, could not contradict the report.
+//! only where a later process, which would not find the record, cannot contradict the report.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::io;
@@ -52,9 +52,9 @@
     }
 }
 
-/// The ids of completed packets may use the capacity of the journal divided by this.
+/// The ids of completed packets may use this fraction (one sixteenth) of the journal's capacity.
 const COMPLETED_IDS_CAPACITY_DIVISOR: u64 = 16;
-/// Approximate size of such an id in the journal.
+/// Approximate size of a completed id in the journal.
 const COMPLETED_ID_BYTES: u64 = 96;
 
 /// Accepted packets, pending notices and completed ids, in memory and in the journal.
@@ -460,7 +460,7 @@
         }
     }
 
-    /// Whether everything that has happened is in the journal and synced as the settings ask.
+    /// Whether everything that has happened is in the journal and synced as the settings require.
     pub fn is_recorded(&self) -> bool {
         self.backlog.is_empty() && !self.store.needs_sync()
     }
--- a/crates/sailcart-sender/src/memory/mod.rs
+++ b/crates/sailcart-sender/src/memory/mod.rs
@@ -27,10 +27,10 @@
     pub customer: Option<Box<str>>,
     /// The idempotency key that endpoints receive with each dispatch.
     pub idempotency_key: Option<Box<str>>,
-    /// The key whose packets are dispatched in order of acceptance, in categories that ask for it.
+    /// The key whose packets are dispatched in order of acceptance, in categories with ordered delivery.
     pub order_key: Option<Box<str>>,
     pub destination: DestinationId,
-    /// When the patience that the client asked for is used up.
+    /// The end of the patience that the client requested.
     pub deadline: Moment,
     pub body: Box<[u8]>,
 }
@@ -46,10 +46,10 @@
     pub in_flight_since: Option<Moment>,
 }
 
-/// The platform is notified of each packet that completed without being delivered.
+/// Notifies the platform of a packet that completed without being delivered.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Notice {
-    /// The packet may be submitted again, if a wait is given not before it has passed.
+    /// The packet may be submitted again, after the wait if there is one.
     Dismissed(Option<Duration>),
     /// The packet failed; it must not be submitted again.
     Scrapped,
--- a/crates/sailcart-sender/src/memory/unacknowledged.rs
+++ b/crates/sailcart-sender/src/memory/unacknowledged.rs
@@ -22,15 +22,15 @@
     }
 
     /// Records that a notice is pending for a packet with this key.
-    pub fn insert(&mut self, id: PacketId, key: KeyId) {
-        self.keys.insert(id, key);
+    pub fn insert(&mut self, number: PacketId, key: KeyId) {
+        self.keys.insert(number, key);
     }
 
     /// Records that the platform has acknowledged the notices of these packets.
-    pub fn remove(&mut self, ids: &[PacketId]) {
-        for id in ids {
-            self.without_key.remove(id);
-            self.keys.remove(id);
+    pub fn remove(&mut self, numbers: &[PacketId]) {
+        for number in numbers {
+            self.without_key.remove(number);
+            self.keys.remove(number);
         }
     }
 
@@ -41,7 +41,8 @@
 
     /// Whether a notice is pending for a packet that was accepted before this one and has, or may have, its
     /// key.
-    pub fn any_before(&self, id: PacketId, key: KeyId) -> bool {
-        self.without_key.range(..id).next().is_some() || self.keys.range(..id).any(|(_, other)| *other == key)
+    pub fn any_before(&self, number: PacketId, key: KeyId) -> bool {
+        self.without_key.range(..number).next().is_some()
+            || self.keys.range(..number).any(|(_, other)| *other == key)
     }
 }
--- a/crates/sailcart-sender/src/platform/connection.rs
+++ b/crates/sailcart-sender/src/platform/connection.rs
@@ -32,7 +32,7 @@
 pub(super) struct Connection {
     pub(super) address_receiver: AddressReceiver,
     pub(super) stream: Option<Socket>,
-    /// Applies to connecting alone, however long the answer of the call may take.
+    /// Limits the time for connecting alone; the answer has a limit of its own.
     pub(super) connect_timeout: Duration,
 }
 
@@ -80,7 +80,7 @@
     }
 
     /// Sends one call and reads its answer within the limits, connecting first if necessary. A connection
-    /// on which no complete answer came is closed.
+    /// on which no complete answer arrived is closed.
     async fn call_current_address<S: BodySink>(
         &mut self,
         bytes: &[u8],
--- a/crates/sailcart-sender/src/platform/follower.rs
+++ b/crates/sailcart-sender/src/platform/follower.rs
@@ -21,14 +21,14 @@
 /// A list that is received more slowly than this is abandoned.
 const MIN_LIST_BYTES_PER_SECOND: u32 = 4_000_000;
 
-/// What a call that succeeded brought.
+/// Whether a successful call returned any entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Received {
     Entries,
-    Nothing,
+    NoEntries,
 }
 
-/// Why a call brought no valid list.
+/// Why a call returned no valid list.
 #[derive(Debug)]
 enum ListError {
     /// A reload changed the address of discovery.
@@ -129,10 +129,9 @@
 ///
 /// A list that is too large is refused and the last valid one stays in force. The refused request is
 /// repeated after delays that grow to a minute. If it was for the full list (after a malformed one), the
-/// watch from the last valid version continues meanwhile at its own pace, so updates after that version
-/// still arrive on the usual schedule. If the answer to the watch itself was too large, no update can be
-/// received without reading that answer again, so nothing is promised about updates before the delay has
-/// passed.
+/// watch from the last valid version continues meanwhile on its own schedule, so updates after that version
+/// still arrive in time. If the answer to the watch itself was too large, no update can be received without
+/// reading that answer again, so no update is guaranteed to arrive before the delay has passed.
 ///
 /// [`response::MAX_PIECE_BYTES`]: crate::response::MAX_PIECE_BYTES
 pub struct Follower {
@@ -181,7 +180,7 @@
     }
 
     /// Polls discovery for the life of the process. `first_call_completed` is notified when the first call
-    /// has completed, whether it brought a list or not.
+    /// has completed, whether it returned a list or not.
     pub async fn follow(mut self, first_call_completed: oneshot::Sender<()>) {
         let mut first_call_completed = Some(first_call_completed);
         loop {
@@ -193,10 +192,10 @@
             first_call_completed.take().map(|sender| sender.send(()));
             match polled {
                 Ok(Received::Entries) => {}
-                Ok(Received::Nothing) => {
+                Ok(Received::NoEntries) => {
                     // A watch that is answered at once is not repeated at once, to bound the rate of calls.
                     // The delay is short enough that updates still arrive on schedule.
-                    let delay = polling::MIN_DELAY.saturating_sub(start.elapsed());
+                    let delay = polling::MIN_RETRY_DELAY.saturating_sub(start.elapsed());
                     self.wait(delay).await;
                 }
                 Err(error) => self.handle_failure(error).await,
@@ -204,7 +203,7 @@
         }
     }
 
-    /// Makes one call and puts the list or update that it brings in force.
+    /// Makes one call and puts the list or update that it returns in force.
     async fn poll(&mut self) -> Result<Received, ListError> {
         let (path, base_time) = self.next_call();
         let call = http::get(&self.connection.address().to_string(), &path);
@@ -223,13 +222,13 @@
         let list = intake.reader.finish()?;
         check_not_older(&list, self.watch_from)?;
         exchange.fits(&intake.staged, list.full)?;
-        // Also without changes: applying a list forgets endpoints that left the list long ago.
+        // Also without changes: applying a list removes endpoints that left the list long ago.
         exchange.apply(intake.staged, list.full).await;
-        let received = if list.read > 0 { Received::Entries } else { Received::Nothing };
+        let received = if list.read > 0 { Received::Entries } else { Received::NoEntries };
         if list.full || received == Received::Entries {
             log::info!("discovery: version {}, {} entries", list.version, list.read);
         }
-        self.note_in_force(&list);
+        self.record_in_force(&list);
         Ok(received)
     }
 
@@ -245,20 +244,20 @@
     }
 
     /// Updates the state after a list or update was put in force.
-    fn note_in_force(&mut self, list: &Summary) {
-        let asked_for_full = self.watch_from.is_none();
+    fn record_in_force(&mut self, list: &Summary) {
+        let requested_full = self.watch_from.is_none();
         self.version_in_force = Some(list.version);
         self.watch_from = self.version_in_force;
         self.logged_error = None;
         self.schedule.list_in_force();
-        if self.full_list_at.is_none() || list.full || asked_for_full {
+        if self.full_list_at.is_none() || list.full || requested_full {
             self.full_list_at = None;
             self.logged_too_large = false;
             self.schedule.list_fits();
         }
     }
 
-    /// Decides what the next call asks for after a call without a valid list, and waits until it is due.
+    /// Decides what the next call requests after a call without a valid list, and waits until it is due.
     async fn handle_failure(&mut self, error: ListError) {
         match error {
             ListError::AddressChanged => self.reset(),
--- a/crates/sailcart-sender/src/platform/notices.rs
+++ b/crates/sailcart-sender/src/platform/notices.rs
@@ -19,7 +19,7 @@
 use crate::wire::http::Head;
 use crate::wire::{MAX_BODY_BYTES, http, notice};
 
-/// The delay before notices are sent again after a call that was not acknowledged, and between looks at
+/// The delay before notices are sent again after a call that was not acknowledged, and between checks of
 /// notices that may not be sent yet.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 /// The longest wait while no notice is pending.
@@ -37,11 +37,11 @@
 }
 
 /// The number of calls with notices that may be in flight at once. While the platform does not answer one
-/// call, the notices that become pending go out with another.
+/// call, the notices that become pending are sent with another.
 const MAX_CONCURRENT_CALLS: usize = 4;
-/// How long the first call is in flight before another may start: no second one is needed if the platform
-/// answers within this time.
-const SECOND_CALL_DELAY: Duration = Duration::from_millis(50);
+/// How long a call is in flight before another may start: no other is needed if the platform answers within
+/// this time.
+const ADDITIONAL_CALL_DELAY: Duration = Duration::from_millis(50);
 
 /// The state that the workers share.
 #[derive(Default)]
@@ -52,35 +52,37 @@
 }
 
 impl SharedState {
-    fn is_free(&self, id: PacketId) -> bool {
-        !self.in_flight.borrow().contains(&id)
+    /// Whether this notice is in no call in flight.
+    fn is_available(&self, number: PacketId) -> bool {
+        !self.in_flight.borrow().contains(&number)
     }
 
-    /// Whether a notice may be sent that is in no call in flight.
-    fn has_free(&self, exchange: &Exchange) -> bool {
-        exchange.sendable_notices(|all| all.filter(|(id, ..)| self.is_free(*id)).count() > 0)
+    /// Whether any notice that may be sent is available.
+    fn any_available(&self, exchange: &Exchange) -> bool {
+        exchange.sendable_notices(|all| all.filter(|(number, ..)| self.is_available(*number)).count() > 0)
     }
 
     /// Selects the notices of the next call, marks them as in flight, and returns them with the body of the
     /// call.
-    fn take(&self, exchange: &Exchange) -> (Vec<PacketId>, String) {
+    fn select(&self, exchange: &Exchange) -> (Vec<PacketId>, String) {
         let mut refused = self.refused.borrow_mut();
         let others_wait = exchange.sendable_notices(|all| {
-            all.filter(|(id, ..)| self.is_free(*id) && !refused.contains(*id)).count() > 0
+            all.filter(|(number, ..)| self.is_available(*number) && !refused.contains(*number)).count() > 0
         });
         let single = refused.next_single(others_wait);
-        let is_selected =
-            |id: PacketId| self.is_free(id) && single.map_or(!refused.contains(id), |single| single == id);
-        let (ids, body) =
-            exchange.sendable_notices(|all| encode_body(&mut all.filter(|(id, ..)| is_selected(*id))));
-        self.in_flight.borrow_mut().extend(&ids);
-        (ids, body)
+        let is_selected = |number: PacketId| {
+            self.is_available(number) && single.map_or(!refused.contains(number), |single| single == number)
+        };
+        let (numbers, body) = exchange
+            .sendable_notices(|all| encode_body(&mut all.filter(|(number, ..)| is_selected(*number))));
+        self.in_flight.borrow_mut().extend(&numbers);
+        (numbers, body)
     }
 
     /// Releases the notices of a call that has completed: they are acknowledged, or available for another
     /// call.
-    fn release(&self, ids: &[PacketId]) {
-        self.in_flight.borrow_mut().retain(|id| !ids.contains(id));
+    fn release(&self, numbers: &[PacketId]) {
+        self.in_flight.borrow_mut().retain(|number| !numbers.contains(number));
     }
 }
 
@@ -106,10 +108,10 @@
 ) {
     let mut worker = Worker::new(address_receiver);
     loop {
-        sleep(SECOND_CALL_DELAY).await;
+        sleep(ADDITIONAL_CALL_DELAY).await;
         if shared.in_flight.borrow().is_empty() {
             exchange.notices_sent.notified().await;
-        } else if shared.has_free(&exchange) {
+        } else if shared.any_available(&exchange) {
             worker.call(&exchange, &shared).await;
         }
     }
@@ -135,8 +137,8 @@
 
     /// Sends one call with the available notices and handles its answer; false if no notice is available.
     async fn call(&mut self, exchange: &Exchange, shared: &SharedState) -> bool {
-        let (ids, body) = shared.take(exchange);
-        if ids.is_empty() {
+        let (numbers, body) = shared.select(exchange);
+        if numbers.is_empty() {
             return false;
         }
         exchange.notices_sent.notify_waiters();
@@ -150,11 +152,11 @@
         self.consecutive_losses = if response.is_ok() { 0 } else { self.consecutive_losses + 1 };
         let status = response.map(|response| response.head.map_or(0, |head| head.status));
         if matches!(status, Ok(204)) {
-            shared.refused.borrow_mut().remove(&ids);
-            exchange.acknowledge_notices(&ids);
+            shared.refused.borrow_mut().remove(&numbers);
+            exchange.acknowledge_notices(&numbers);
         }
-        let needs_delay = self.handle_status(status, &ids, &body, exchange, shared);
-        shared.release(&ids);
+        let needs_delay = self.handle_status(status, &numbers, &body, exchange, shared);
+        shared.release(&numbers);
         if needs_delay {
             sleep(RETRY_DELAY).await;
         }
@@ -165,7 +167,7 @@
     fn handle_status(
         &mut self,
         status: io::Result<u16>,
-        ids: &[PacketId],
+        numbers: &[PacketId],
         body: &str,
         exchange: &Exchange,
         shared: &SharedState,
@@ -178,7 +180,7 @@
             Ok(400) => {
                 // Either the platform cannot read one of these notices, or the answer was corrupted. Each
                 // is sent again in a call of its own.
-                let abandoned = shared.refused.borrow_mut().record_refusal(ids);
+                let abandoned = shared.refused.borrow_mut().record_refusal(numbers);
                 if !abandoned.is_empty() {
                     log::error!(
                         "notices: code=unreadable abandoned after repeated answers 400: {}",
@@ -232,7 +234,7 @@
 /// Encodes one line for each notice, up to [`MAX_BODY_BYTES`] bytes. Returns the notices that fit, and the
 /// body.
 fn encode_body(pending: &mut dyn Iterator<Item = (PacketId, &str, Notice)>) -> (Vec<PacketId>, String) {
-    let (mut ids, mut body) = (Vec::new(), String::new());
+    let (mut numbers, mut body) = (Vec::new(), String::new());
     for (number, id, notice) in pending {
         let line = match notice {
             Notice::Dismissed(wait) => notice::dismissed(id, wait),
@@ -242,7 +244,7 @@
             break;
         }
         body.push_str(&line);
-        ids.push(number);
+        numbers.push(number);
     }
-    (ids, body)
+    (numbers, body)
 }
--- a/crates/sailcart-sender/src/wire/discovery.rs
+++ b/crates/sailcart-sender/src/wire/discovery.rs
@@ -1,4 +1,4 @@
-//! The destination list in discovery's format: request paths, the list as a whole, and single entries. Lists
+//! The destination list in discovery's format: request paths, complete lists, and single entries. Lists
 //! that may be large are read with [`ListReader`].
 
 use std::net::SocketAddr;
@@ -30,7 +30,7 @@
     pub destination: u64,
     /// Whether the endpoint accepts new calls.
     pub live: bool,
-    /// Calls per second that the destination takes from all senders.
+    /// Calls per second that the destination accepts from all senders.
     pub rate: f64,
 }
 
--- a/crates/sailcart-sender/src/wire/mod.rs
+++ b/crates/sailcart-sender/src/wire/mod.rs
@@ -1,8 +1,8 @@
 //! Readers and writers of the formats that the sender speaks: RESP2 with clients, HTTP/1.1 with endpoints and
 //! the platform, and the JSON bodies of those calls.
 //!
-//! This module turns bytes into values and values into bytes. It opens no sockets and knows nothing of
-//! packets in progress.
+//! This module turns bytes into values and values into bytes. It opens no sockets and has no state of
+//! the packets in progress.
 
 pub mod call;
 pub mod chunked;
--- a/crates/sailcart-sender/src/wire/resp.rs
+++ b/crates/sailcart-sender/src/wire/resp.rs
@@ -11,7 +11,7 @@
 
 /// The most arguments that a command may have, its name included.
 const MAX_ARGUMENTS: usize = 8;
-/// The longest patience that a client may ask for; a longer one is rejected.
+/// The longest patience that a client may request; a longer one is rejected.
 const MAX_PATIENCE: Duration = Duration::from_secs(24 * 3600);
 /// The largest command, in bytes: a body of [`MAX_BODY_BYTES`] and the arguments before it.
 pub const MAX_COMMAND_BYTES: usize = MAX_BODY_BYTES + 4096;
@@ -65,8 +65,8 @@
     match arguments {
         [name] if name.eq_ignore_ascii_case(b"PING") => Command::Ping(None),
         [name, echo] if name.eq_ignore_ascii_case(b"PING") => Command::Ping(Some(echo)),
-        [name, key, id, fields, body] if name.eq_ignore_ascii_case(b"MSG.PUT") => {
-            parse_put(key, id, fields, body).map_or_else(Command::Malformed, Command::Put)
+        [name, order_key, id, fields, body] if name.eq_ignore_ascii_case(b"MSG.PUT") => {
+            parse_put(order_key, id, fields, body).map_or_else(Command::Malformed, Command::Put)
         }
         [name, ..] if name.eq_ignore_ascii_case(b"MSG.PUT") => {
             Command::Malformed("wrong number of arguments")
@@ -77,12 +77,12 @@
 
 /// The arguments of MSG.PUT. `fields` is a list of `name=value`, separated by commas.
 fn parse_put<'a>(
-    key: &'a [u8],
+    order_key: &'a [u8],
     id: &'a [u8],
     fields: &'a [u8],
     body: &'a [u8],
 ) -> Result<Put<'a>, &'static str> {
-    let key = unescaped_text(key).ok_or("bad key")?;
+    let order_key = unescaped_text(order_key).ok_or("bad key")?;
     let id = unescaped_text(id).ok_or("bad id")?;
     let (mut category, mut customer, mut patience) = (None, None, None);
     let (mut idempotency_key, mut destination) = (None, None);
@@ -106,7 +106,7 @@
         idempotency_key,
         destination: destination.ok_or("expected dest, a number")?,
         // A key of zeros means that the packet has no ordering key.
-        order_key: Some(key).filter(|key| key.bytes().any(|digit| digit != b'0')),
+        order_key: Some(order_key).filter(|key| key.bytes().any(|digit| digit != b'0')),
         body,
     })
 }
