--- a/crates/sailcart-sender/src/config/validation.rs
+++ b/crates/sailcart-sender/src/config/validation.rs
@@ -163,7 +163,7 @@
     }
 }
 
-/// The error of a string that is not one of the values, or not in the format, that its schema allows.
+/// The error of a string that is not among the values that its schema lists, or not in its schema's format.
 fn string_error(schema: &Value, text: &str) -> Option<String> {
     let allowed: Vec<&str> =
         schema["enum"].as_array().into_iter().flatten().filter_map(Value::as_str).collect();
--- a/crates/sailcart-sender/src/inspect.rs
+++ b/crates/sailcart-sender/src/inspect.rs
@@ -166,8 +166,8 @@
 }
 
 /// How long before a packet's deadline its dispatch is assumed to have been sent, if that time is unknown:
-/// so long that no destination still remembers its idempotency key.
-const BEYOND_KEY_RETENTION: Duration = Duration::from_secs(24 * 3600);
+/// longer than any destination remembers an idempotency key.
+const ASSUMED_DISPATCH_LEAD: Duration = Duration::from_secs(24 * 3600);
 
 /// Marks each packet as possibly executed. Prevents a second execution where the record of the first
 /// dispatch is among what was lost.
@@ -183,7 +183,7 @@
             _ => DispatchState::default(),
         };
         let possibly_executed_at =
-            Some(Moment::by_wall_clock(packet.deadline.unix.saturating_sub(BEYOND_KEY_RETENTION)));
+            Some(Moment::by_wall_clock(packet.deadline.unix.saturating_sub(ASSUMED_DISPATCH_LEAD)));
         let value = encode_dispatch_state(&DispatchState {
             dispatches: state.dispatches.max(1),
             possibly_executed_at,
--- a/crates/sailcart-sender/src/memory/format1.rs
+++ b/crates/sailcart-sender/src/memory/format1.rs
@@ -44,7 +44,7 @@
         return Err(io::Error::new(io::ErrorKind::InvalidData, message));
     }
     let (mut records, mut rest) = (Vec::new(), content.strip_prefix(HEADER).unwrap_or_default());
-    while let Ok((after, record)) = unframe(rest) {
+    while let Ok((after, record)) = parse_frame(rest) {
         let Ok((_, record)) = all_consuming(decode).parse(record) else { break };
         records.push(record);
         rest = after;
@@ -66,7 +66,7 @@
 }
 
 /// Parses one frame: the record's length, its CRC-32, the record.
-fn unframe(input: &[u8]) -> IResult<&[u8], &[u8]> {
+fn parse_frame(input: &[u8]) -> IResult<&[u8], &[u8]> {
     let (rest, (length, checksum)) = (be_u32, be_u32).parse(input)?;
     let (rest, record) = take(length)(rest)?;
     if crc32fast::hash(record) != checksum {
--- a/crates/sailcart-sender/src/memory/pool.rs
+++ b/crates/sailcart-sender/src/memory/pool.rs
@@ -19,7 +19,7 @@
     idle: HashMap<EndpointId, Vec<IdleConnection>>,
     /// A connection that has been idle for this long is closed.
     max_idle_time: Duration,
-    /// Over all endpoints.
+    /// Maximum number of idle connections over all endpoints.
     max_connections: usize,
 }
 
--- a/crates/sailcart-sender/src/platform/connection.rs
+++ b/crates/sailcart-sender/src/platform/connection.rs
@@ -31,6 +31,7 @@
 /// A connection to the platform that is opened by the first call and kept alive between calls.
 pub(super) struct Connection {
     pub(super) address_receiver: AddressReceiver,
+    /// The open connection while no call is using it.
     pub(super) stream: Option<Socket>,
     /// Limits the time for connecting alone; the answer has a limit of its own.
     pub(super) connect_timeout: Duration,
@@ -62,8 +63,8 @@
         }
     }
 
-    /// Waits before the next call. Returns early, with true, if the address changes meanwhile.
-    pub(super) async fn address_changes_within(&mut self, delay: Duration) -> bool {
+    /// Waits for `delay` before the next call. Returns early, with true, if the address changes meanwhile.
+    pub(super) async fn wait_for_address_change(&mut self, delay: Duration) -> bool {
         let old_address = self.address();
         tokio::select! {
             () = sleep(delay) => return false,
--- a/crates/sailcart-sender/src/platform/follower.rs
+++ b/crates/sailcart-sender/src/platform/follower.rs
@@ -84,7 +84,7 @@
 }
 
 /// Parses a list as it is received, and stages its entries.
-struct ListIntake<'a> {
+struct StagingSink<'a> {
     exchange: &'a Exchange,
     reader: ListReader,
     staged: StagedList,
@@ -92,7 +92,7 @@
     other_bytes: usize,
 }
 
-impl BodySink for ListIntake<'_> {
+impl BodySink for StagingSink<'_> {
     type Error = ListError;
 
     fn receive(&mut self, head: &Head, piece: &[u8]) -> Result<(), ListError> {
@@ -212,18 +212,18 @@
             AnswerLimits { base_time, min_bytes_per_second: Some(MIN_LIST_BYTES_PER_SECOND), max_body_bytes };
         let exchange = self.exchange.clone();
         let staged = exchange.stage(self.max_endpoints);
-        let mut intake =
-            ListIntake { exchange: &exchange, reader: ListReader::default(), staged, other_bytes: 0 };
-        let response = self.connection.call(&call, limits, &mut intake).await?;
+        let mut sink =
+            StagingSink { exchange: &exchange, reader: ListReader::default(), staged, other_bytes: 0 };
+        let response = self.connection.call(&call, limits, &mut sink).await?;
         let status = response.head.map_or(0, |head| head.status);
         if status != 200 {
             return Err(ListError::Status(status));
         }
-        let list = intake.reader.finish()?;
+        let list = sink.reader.finish()?;
         check_not_older(&list, self.watch_from)?;
-        exchange.fits(&intake.staged, list.full)?;
+        exchange.fits(&sink.staged, list.full)?;
         // Also without changes: applying a list removes endpoints that left the list long ago.
-        exchange.apply(intake.staged, list.full).await;
+        exchange.apply(sink.staged, list.full).await;
         let received = if list.read > 0 { Received::Entries } else { Received::NoEntries };
         if list.full || received == Received::Entries {
             log::info!("discovery: version {}, {} entries", list.version, list.read);
@@ -303,7 +303,7 @@
     }
 
     async fn wait(&mut self, delay: Duration) {
-        if self.connection.address_changes_within(delay).await {
+        if self.connection.wait_for_address_change(delay).await {
             self.reset();
         }
     }
--- a/crates/sailcart-sender/src/polling.rs
+++ b/crates/sailcart-sender/src/polling.rs
@@ -49,7 +49,7 @@
     /// For lists that are too large. Separate from `failure_delays`, since calls that bring updates succeed
     /// meanwhile.
     too_large_delays: Backoff,
-    /// Whether the next watch asks for an answer at once.
+    /// Whether the next watch has only the shortest hold, so that it is answered at once.
     skip_hold: bool,
 }
 
