--- a/crates/sailcart-lab/src/capacity/processes/mod.rs
+++ b/crates/sailcart-lab/src/capacity/processes/mod.rs
@@ -15,7 +15,7 @@
 use super::sizes::Sizes;
 use crate::experiment::LabError;
 
-/// Takes all measurements that need sender processes, one process at a time.
+/// Performs all measurements that need sender processes, one process at a time.
 pub fn measure(program: &Path, sizes: &Sizes, measurements: &mut Measurements) -> Result<(), LabError> {
     for destinations in &sizes.destinations {
         list::measure(program, *destinations, sizes, measurements)?;
--- a/crates/sailcart-lab/src/capacity/processes/sender_process.rs
+++ b/crates/sailcart-lab/src/capacity/processes/sender_process.rs
@@ -16,14 +16,14 @@
 use crate::experiment::LabError;
 
 /// `limits.memory_mb` of every measurement. This limit and the next two are far above the defaults, so that
-/// the sender meets none of them.
+/// the sender reaches none of them.
 pub const MEMORY_LIMIT_MB: u64 = 4096;
 const DISK_LIMIT_MB: u64 = 1024;
 const SOCKET_LIMIT: u64 = 16_000;
 /// Number of senders that the settings state.
 const FLEET_SENDERS: u64 = 2600;
-/// Subcommand with which the lab starts itself as the supervisor of a sender.
-const KEEP_COMMAND: &str = "keep";
+/// Subcommand with which the lab starts itself as a child process that then executes the sender.
+const EXEC_SENDER_SUBCOMMAND: &str = "keep";
 const READY_TIMEOUT: Duration = Duration::from_secs(60);
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 /// The only category of every measurement; its packets wait for a day.
@@ -186,13 +186,14 @@
     }
 }
 
-/// Starts the sender through this program as its supervisor, so that it ends when this program ends.
+/// Starts this program as a child that executes the sender, so that the kernel kills the sender when this
+/// program ends.
 fn spawn(program: &Path, config: &Path) -> Result<Child, LabError> {
     let lab = std::env::current_exe().map_err(io_error("keep"))?;
     let log = config.with_extension("log");
     let log = std::fs::OpenOptions::new().create(true).append(true).open(log).map_err(io_error("log"))?;
     let child = Command::new(lab)
-        .arg(KEEP_COMMAND)
+        .arg(EXEC_SENDER_SUBCOMMAND)
         .arg(std::process::id().to_string())
         .arg(program)
         .args(["serve".as_ref(), "--config".as_ref(), config.as_os_str()])
--- a/crates/sailcart-lab/src/capacity/scaling.rs
+++ b/crates/sailcart-lab/src/capacity/scaling.rs
@@ -2,7 +2,7 @@
 //!
 //! A change and a round must cost the same however many destinations are listed, and a listed destination
 //! must stay within a fixed number of bytes. The check is generic over [`CountsVisits`], so that tests can
-//! show that it detects subjects that are wrong on purpose.
+//! show that it detects deliberately faulty subjects.
 
 use std::fmt;
 
@@ -42,7 +42,7 @@
 
 /// Destinations with a packet in a busy round.
 const BUSY_DESTINATIONS: u64 = 10;
-/// Changes and rounds over which work is averaged.
+/// Number of changes and of rounds over which work is averaged.
 const REPETITIONS: u64 = 16;
 /// Maximum ratio of the work at the larger size to that at the smaller one.
 const MAX_GROWTH_FACTOR: u64 = 2;
--- a/crates/sailcart-lab/src/capacity/series.rs
+++ b/crates/sailcart-lab/src/capacity/series.rs
@@ -189,7 +189,7 @@
     Computed,
     /// Extrapolated along the fitted line beyond the largest measured size.
     Extrapolated,
-    /// Computed from an input that nobody measured.
+    /// Computed from an assumed input, one that was not measured.
     Assumed,
     /// Not measured, and no value is assumed in its place.
     NotMeasured,
--- a/crates/sailcart-lab/src/experiment/mod.rs
+++ b/crates/sailcart-lab/src/experiment/mod.rs
@@ -368,7 +368,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    /// Time after a sender learnt that an endpoint drains from which it must send no new calls to it.
+    /// How long a sender may send new calls to an endpoint after it learned that the endpoint is draining.
     #[serde(with = "humantime_serde")]
     pub drain_grace: Duration,
     /// Share of its capacity that a destination has right after an outage.
@@ -376,9 +376,10 @@
     /// Time that a destination takes to reach its full capacity after an outage.
     #[serde(with = "humantime_serde")]
     pub cold: Duration,
-    /// A destination fails under overload if it receives more than this multiple of its present capacity
+    /// A recovering destination fails if the calls that it receives within `fall` exceed this multiple of its
+    /// present capacity.
     pub fall_multiple: f64,
-    /// for this long.
+    /// Period over which calls are counted for `fall_multiple`.
     #[serde(with = "humantime_serde")]
     pub fall: Duration,
     /// How long a key is blocked after a dispatch that may still be executed.
@@ -470,7 +471,7 @@
     ListSilent,
     /// Senders die without warning.
     Kill,
-    /// Senders are stopped in an orderly way and restarted, one wave after the other.
+    /// Senders are stopped gracefully and restarted, one wave after the other.
     Roll,
     /// Senders reload their configuration (sockets mode only).
     Reload,
@@ -546,8 +547,8 @@
 }
 
 impl MalformedAnswer {
-    /// Whether a sender may regard the packets of a call as delivered. It may if the answer is complete apart
-    /// from what surrounds it, or if its status is readable and the call carried a single packet.
+    /// Whether a sender may regard the packets of a call as delivered: if the answer contains a complete
+    /// valid response, or if its status is readable and the call carried a single packet.
     pub fn counts_as_delivered(self, has_several_packets: bool) -> bool {
         match self {
             MalformedAnswer::Noise => false,
--- a/crates/sailcart-lab/src/lib.rs
+++ b/crates/sailcart-lab/src/lib.rs
@@ -1,9 +1,9 @@
-//! The laboratory: measures the sender and checks that it keeps its rules.
+//! The laboratory: measures the sender and checks that it follows its rules.
 //!
 //! An experiment (`experiment`) is turned into a plan (`plan`) and run either with the `sailcart` crate in
 //! simulated time (`simulated`) or with sender processes (`sockets`). Both modes use the same receivers
 //! (`receivers`) and the same watcher (`watcher`), which detects violations of the rules; `results` evaluates
-//! a run. `capacity` measures what a sender costs by size. `soak` overlaps troubles of peers, processes,
+//! a run. `capacity` measures how a sender's costs grow. `soak` overlaps troubles of peers, processes,
 //! machines and links. The sender does not depend on this crate.
 
 pub mod capacity;
--- a/crates/sailcart-lab/src/plan.rs
+++ b/crates/sailcart-lab/src/plan.rs
@@ -78,22 +78,22 @@
 }
 
 impl ScheduledTrouble {
-    /// When senders die of the trouble, which ones, and for how long. With `every`, each sender dies once per
-    /// interval, spread evenly over it, until the trouble ends.
-    pub fn sender_deaths(&self, restart: Duration) -> Vec<(Duration, SenderId, Duration)> {
+    /// When the trouble kills senders, which ones, and for how long they are down. With `every`, each sender
+    /// is killed once per interval until the trouble ends; the kills are spread evenly over the interval.
+    pub fn sender_kills(&self, restart: Duration) -> Vec<(Duration, SenderId, Duration)> {
         let Some(every) = self.trouble.every else {
             let downtime = (self.until - self.from).max(restart);
             return self.senders.iter().map(|sender| (self.from, *sender, downtime)).collect();
         };
-        let mut deaths = Vec::new();
+        let mut kills = Vec::new();
         let (mut interval_start, count) = (self.from, self.senders.len() as u32);
         while interval_start < self.until {
             for (index, sender) in self.senders.iter().enumerate() {
-                deaths.push((interval_start + every * index as u32 / count, *sender, restart));
+                kills.push((interval_start + every * index as u32 / count, *sender, restart));
             }
             interval_start += every;
         }
-        deaths
+        kills
     }
 
     /// Whether the trouble is active.
@@ -133,8 +133,8 @@
     pub planned_packets: Vec<PlannedPacket>,
 }
 
-/// An independent random stream for each use, so that a change of one use leaves the draws of the others as
-/// they were.
+/// Creates the random number generator of one use. Each use has an independent stream, so that a change in
+/// one does not affect the random values of the others.
 pub fn seeded_rng(seed: u64, stream: u64) -> ChaCha8Rng {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     rng.set_stream(stream);
@@ -232,7 +232,7 @@
         live.into_iter().map(|(endpoint, live)| self.list_entry(endpoint, live)).collect()
     }
 
-    /// When a sender learns of a change: after a random delay, and not while its discovery is silent.
+    /// When a sender learns of a change: after a random delay, and not while its discovery is unresponsive.
     pub fn list_change_received_at(&self, change: &ListChange, sender: SenderId) -> Duration {
         let stream = (sender.0 as u64) << 32 | u64::from(change.endpoint.0) << 2 | change.state as u64;
         let delay_share = seeded_rng(self.seed ^ 0x115f, stream).random::<f64>();
@@ -247,8 +247,8 @@
         at
     }
 
-    /// Until when a client resubmits a packet: while it is wanted and, if its destination recognises repeats,
-    /// while it does so.
+    /// Until when a client resubmits a packet: within the patience and, if its destination recognises
+    /// repeats, while it does so.
     pub fn resubmission_deadline(&self, planned_packet: PlannedPacketId) -> Duration {
         let planned = &self.planned_packets[planned_packet.0];
         let category = self.category(planned.category);
--- a/crates/sailcart-lab/src/policies/baseline.rs
+++ b/crates/sailcart-lab/src/policies/baseline.rs
@@ -1,4 +1,4 @@
-//! The baselines that the `sailcart` crate is measured against. A baseline tracks no Retry-After waits
+//! The baselines that the `sailcart` crate is compared with. A baseline tracks no Retry-After waits
 //! (except for the oracle), does not protect recovering destinations and does not learn limits. It does what
 //! every careful client does: one completion per packet, no second copy in flight, nothing to endpoints that
 //! are not listed.
@@ -22,7 +22,7 @@
 const RECONSIDER_INTERVAL: Duration = Duration::from_millis(20);
 /// Multiple of the expected answer time after which the oracle regards an answer as lost.
 const ORACLE_TIMEOUT_FACTOR: u32 = 8;
-/// No dispatch is started in the last part of the patience: one part in this many.
+/// No dispatch is started when less than the patience divided by this number remains.
 const FINAL_PATIENCE_DIVISOR: u32 = 40;
 
 #[derive(Clone, Copy, PartialEq)]
@@ -71,8 +71,8 @@
     queue: VecDeque<PacketId>,
     endpoints: BTreeMap<EndpointId, EndpointState>,
     endpoints_by_destination: BTreeMap<DestinationId, Vec<EndpointId>>,
-    /// Until when each destination asked for no calls. Only the oracle obeys it: it would otherwise come out
-    /// best by breaking a rule.
+    /// End of the Retry-After wait of each destination. Only the oracle observes it: otherwise it would get
+    /// the best results by violating a rule.
     retry_after_until: BTreeMap<DestinationId, Duration>,
     /// The packets of each key in their order, and until when the key is blocked.
     key_queues: BTreeMap<sailcart::KeyId, (VecDeque<PacketId>, Duration)>,
@@ -278,7 +278,7 @@
         }
         let deduplicated_until = packet
             .possibly_executed_at
-            .map(|doubt| doubt.saturating_add(deduplication_window(category.repeat)));
+            .map(|executed_at| executed_at.saturating_add(deduplication_window(category.repeat)));
         let id = packet.id;
         self.packets.insert(
             id,
--- a/crates/sailcart-lab/src/receivers/limit.rs
+++ b/crates/sailcart-lab/src/receivers/limit.rs
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Calls that a full burst or a whole span grants.
+    /// Maximum number of calls in a burst (even rate) or in a span (count per span).
     fn max_calls(&self) -> f64 {
         match self.limit.by {
             LimitBy::Rate => (self.limit.rate * BURST_SECONDS).max(1.0),
@@ -75,7 +75,7 @@
         }
         let remaining = self.calls_left(now);
         let accepted = remaining >= 1.0;
-        // Counted refusals reduce the calls left by at most one burst below zero.
+        // Counted rejections reduce the calls left by at most one burst below zero.
         let min_remaining = if self.limit.by == LimitBy::Rate { -self.max_calls() } else { 0.0 };
         let used = if accepted || self.limit.refused_count { 1.0 } else { 0.0 };
         let remaining = (remaining - used).max(min_remaining);
--- a/crates/sailcart-lab/src/receivers/mod.rs
+++ b/crates/sailcart-lab/src/receivers/mod.rs
@@ -24,7 +24,7 @@
 /// Result of a connection attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ConnectResult {
-    /// Nobody listens there, or the connection limit is reached.
+    /// No socket listens at the address, or the connection limit is reached.
     Refused,
     /// The attempt is neither accepted nor refused.
     Unanswered,
@@ -46,14 +46,14 @@
 }
 
 impl CallPacket {
-    /// The view that the receiver has of a planned packet.
+    /// A planned packet as its receiver sees it.
     pub fn new(plan: &Plan, planned_packet: PlannedPacketId) -> Self {
         let category = plan.category(plan.planned_packets[planned_packet.0].category);
         CallPacket { planned_packet, repeat: category.repeat, memory: category.memory.unwrap_or_default() }
     }
 }
 
-/// The answer to a call, as a whole or per packet.
+/// The answer to a call: one for all packets, or one per packet.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
     /// All packets took effect.
@@ -124,8 +124,8 @@
     }
 }
 
-/// What the senders share: the limit and the recovery of a destination or, where routes have their own
-/// limits, of one endpoint.
+/// The limit and the recovery of a destination or, where routes have their own limits, of one endpoint. All
+/// senders share them.
 struct Upstream {
     limiter: RateLimiter,
     recovery: Recovery,
@@ -266,7 +266,8 @@
             let reports_wait = self.occurs(group.limit.tells);
             return Reception::rejected(now, packets.len(), reports_wait.then_some(wait), report);
         }
-        let is_new: Vec<bool> = packets.iter().map(|packet| self.is_fresh(now, endpoint, packet)).collect();
+        let is_new: Vec<bool> =
+            packets.iter().map(|packet| self.would_take_effect(now, endpoint, packet)).collect();
         if self.occurs(conditions.errors) {
             return self.fail(now, endpoint, packets, is_new, report);
         }
@@ -332,7 +333,7 @@
         }
         let down = self.troubles.next_refusal(now, endpoint).filter(|down| *down < finish);
         let answer = match down {
-            // The endpoint dies while it works on the call.
+            // The endpoint becomes unreachable before it has completed the call.
             Some(down) => Some((down, Answer::Reset)),
             None => answer.map(|answer| (finish, answer)),
         };
@@ -376,7 +377,7 @@
     }
 
     /// Whether a packet would take effect; a repeat that the receiver recognises does not.
-    fn is_fresh(&self, now: Duration, endpoint: EndpointId, packet: &CallPacket) -> bool {
+    fn would_take_effect(&self, now: Duration, endpoint: EndpointId, packet: &CallPacket) -> bool {
         let key = (self.endpoints[endpoint.0 as usize].destination, packet.planned_packet);
         packet.repeat != Repeat::Deduplicated || self.remembered.get(&key).is_none_or(|until| *until < now)
     }
--- a/crates/sailcart-lab/src/receivers/recovery.rs
+++ b/crates/sailcart-lab/src/receivers/recovery.rs
@@ -40,7 +40,7 @@
         })
     }
 
-    /// Calls within `rules.fall` that the destination bears while it warms up.
+    /// Maximum number of calls within `rules.fall` that the destination withstands while it warms up.
     fn max_recent_calls(&self, now: Duration) -> f64 {
         let calls = self.rules.fall_multiple
             * self.capacity_share(now)
--- a/crates/sailcart-lab/src/results/assemble.rs
+++ b/crates/sailcart-lab/src/results/assemble.rs
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The times from the intended moment to delivery, in microseconds.
+    /// The times from the planned time to delivery, in microseconds.
     fn delivery_histogram(&self) -> Histogram<u64> {
         let mut delivery_times = microsecond_histogram();
         for delay in self.delivery_delays.iter().flatten() {
@@ -134,7 +134,7 @@
     lines.collect()
 }
 
-/// Evaluates the bounds of an experiment against the figures. A bound that cannot be parsed is left out.
+/// Evaluates the bounds of an experiment against the figures. A bound that cannot be parsed is skipped.
 fn bound_lines(bounds: &[String], figures: &BTreeMap<String, f64>) -> Vec<BoundLine> {
     let lines = bounds.iter().filter_map(|text| {
         let bound = Bound::parse(text).ok()?;
@@ -170,7 +170,7 @@
     text
 }
 
-/// Counts up to each of about 13 logarithmic steps a decade, in milliseconds; empty steps are left out.
+/// Counts up to each of about 13 logarithmic steps a decade, in milliseconds; empty steps are omitted.
 fn histogram_buckets(histogram: &Histogram<u64>) -> Vec<(f64, u64)> {
     let mut buckets = Vec::new();
     for bucket in histogram.iter_log(100, 1.2).filter(|bucket| bucket.count_since_last_iteration() > 0) {
--- a/crates/sailcart-lab/src/results/credit.rs
+++ b/crates/sailcart-lab/src/results/credit.rs
@@ -35,7 +35,7 @@
         if wanted == 0.0 { 1.0 } else { earned / wanted }
     }
 
-    /// The credit of the whole run.
+    /// The credit of the entire run.
     pub fn overall(&self) -> f64 {
         Self::ratio(self.seconds_by_category.iter().flatten().copied())
     }
--- a/crates/sailcart-lab/src/results/mod.rs
+++ b/crates/sailcart-lab/src/results/mod.rs
@@ -1,5 +1,5 @@
-//! The result of a run: counting while it goes on ([`tally`]), its figures, time series, rules and bounds
-//! ([`Outcome`]), and its output as `result.json` and `report.html`.
+//! The result of a run: counting while it is in progress ([`tally`]), its figures, time series, rules and
+//! bounds ([`Outcome`]), and its output as `result.json` and `report.html`.
 
 mod assemble;
 pub mod bounds;
--- a/crates/sailcart-lab/src/results/outcome.rs
+++ b/crates/sailcart-lab/src/results/outcome.rs
@@ -37,7 +37,7 @@
     pub troubles: Vec<TroubleLine>,
     /// Values over time, one a second.
     pub series: Vec<Series>,
-    /// Histogram of the times from the intended moment to delivery: upper limit in milliseconds, and count.
+    /// Histogram of the times from the planned time to delivery: upper limit in milliseconds, and count.
     pub delivery_ms: Vec<(f64, u64)>,
     /// Histogram of the times to the client's answer, in the same form.
     pub answer_ms: Vec<(f64, u64)>,
@@ -65,7 +65,7 @@
     pub held: bool,
 }
 
-/// A trouble, with its begin and end in seconds since the start of the run.
+/// A trouble, with its start and end in seconds since the start of the run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TroubleLine {
     #[serde(rename = "what")]
--- a/crates/sailcart-lab/src/results/report.rs
+++ b/crates/sailcart-lab/src/results/report.rs
@@ -10,7 +10,7 @@
 
 /// Size of each chart in pixels.
 const CHART_SIZE: (u32, u32) = (900, 260);
-/// Colour of the periods in which a trouble lasts.
+/// Colour of the periods in which a trouble is active.
 const TROUBLE_COLOUR: RGBColor = RGBColor(220, 60, 60);
 
 const STYLE: &str = "body{font:15px/1.4 system-ui,sans-serif;max-width:60em;margin:2em auto;padding:0 1em}\
--- a/crates/sailcart-lab/src/results/tally.rs
+++ b/crates/sailcart-lab/src/results/tally.rs
@@ -8,7 +8,7 @@
 
 use crate::plan::{Plan, PlannedPacketId};
 
-/// Destinations that get a series of their own in the charts; all others share one.
+/// Maximum number of destinations with a series of their own in the charts; all others share one.
 const MAX_PLOTTED_DESTINATIONS: usize = 6;
 
 /// A counter of a run; its value is a figure of the result.
@@ -34,7 +34,7 @@
     NotConnected,
     /// Connections that were opened.
     Connections,
-    /// Sender processes that ended although nobody stopped them.
+    /// Sender processes that exited without being stopped by the lab.
     Crashes,
     /// Calls with a packet that no client submitted.
     UnmatchedCalls,
@@ -67,7 +67,7 @@
 /// The counts of a run in progress; [`Tally::into_outcome`] turns them into its result.
 pub struct Tally {
     pub(super) counts: BTreeMap<Counter, u64>,
-    /// For each planned packet, the time from its intended moment to its delivery.
+    /// For each planned packet, the time from its planned time to its delivery.
     pub(super) delivery_delays: Vec<Option<Duration>>,
     /// The times that clients waited for their answers, in microseconds.
     pub(super) answer_delays: Histogram<u64>,
@@ -142,18 +142,18 @@
         let _ = self.answer_delays.record(delay.as_micros().max(1) as u64);
     }
 
-    /// A planned packet was executed, this long after its intended moment. The shortest time is retained.
+    /// A planned packet was executed, this long after its planned time. The shortest time is retained.
     pub fn record_delivery(&mut self, planned_packet: PlannedPacketId, delay: Duration) {
         let shortest = &mut self.delivery_delays[planned_packet.0];
         *shortest = Some(shortest.map_or(delay, |previous| previous.min(delay)));
     }
 
-    /// A sender holds one packet more for the destination, or one less.
+    /// Increments the number of packets held for the destination if `more`, otherwise decrements it.
     pub fn adjust_held(&mut self, destination: DestinationId, more: bool) {
         self.held_now[self.series_of_destination[destination.0 as usize]] += if more { 1.0 } else { -1.0 };
     }
 
-    /// One call more to the destination is in flight, or one less.
+    /// Increments the number of calls in flight to the destination if `more`, otherwise decrements it.
     pub fn adjust_calls_in_flight(&mut self, destination: DestinationId, more: bool) {
         self.in_flight_now[self.series_of_destination[destination.0 as usize]] +=
             if more { 1.0 } else { -1.0 };
--- a/crates/sailcart-lab/src/simulated/clients.rs
+++ b/crates/sailcart-lab/src/simulated/clients.rs
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Schedules a resubmission after a dismissal, up to the configured number and while the packet is still
-    /// wanted.
+    /// Schedules a resubmission after a dismissal, up to the configured number and until the resubmission
+    /// deadline of the packet.
     fn schedule_resubmission(&mut self, packet: PacketId, retry_after: Option<Duration>) {
         let submission = &self.submissions[packet.0 as usize];
         let load = &self.plan.experiment.load;
--- a/crates/sailcart-lab/src/simulated/connections.rs
+++ b/crates/sailcart-lab/src/simulated/connections.rs
@@ -14,7 +14,7 @@
 }
 
 impl World<'_> {
-    /// Takes the most recently used idle connection to an endpoint. Returns whether there was one and it is
+    /// Removes the most recently used idle connection to an endpoint. Returns whether there was one and it is
     /// still usable; an unusable one is closed.
     pub fn reuse_idle(&mut self, sender: SenderId, endpoint: EndpointId) -> bool {
         let Some(idle_since) = self.senders[sender.0].idle_connections.entry(endpoint).or_default().pop()
--- a/crates/sailcart-lab/src/simulated/outcomes.rs
+++ b/crates/sailcart-lab/src/simulated/outcomes.rs
@@ -8,7 +8,7 @@
 use crate::results::tally::Counter;
 use crate::watcher::{CallId, CallResult, CompletionKind, Observation};
 
-/// What a sender has learnt from an answer it received.
+/// What a sender learned from an answer it received.
 fn observed_result(outcomes: &[Outcome]) -> CallResult {
     let rejection = outcomes.iter().find_map(|outcome| match outcome {
         Outcome::Full(wait) => Some(CallResult::Rejected(*wait)),
--- a/crates/sailcart-lab/src/simulated/schedule.rs
+++ b/crates/sailcart-lab/src/simulated/schedule.rs
@@ -9,10 +9,10 @@
 use crate::plan::{Plan, PlannedPacketId, ScheduledTrouble, SenderId};
 use crate::receivers::TroubleSchedule;
 
-/// Time that a sender stopped in an orderly way has to complete its calls.
-const STOP_TIME: Duration = Duration::from_secs(3);
-/// Time from the end of a sender process until its successor is ready.
-const RESTART_TIME: Duration = Duration::from_millis(600);
+/// Time that a sender has to complete its calls when it is stopped gracefully.
+const STOP_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time from the end of a sender process until the next process of the sender is ready.
+const RESTART_DELAY: Duration = Duration::from_millis(600);
 
 impl World<'_> {
     /// Adds all events that are known in advance to the queue.
@@ -68,15 +68,15 @@
     }
 }
 
-/// Adds the deaths of senders and their restarts.
+/// Adds the kills of senders and their restarts.
 fn schedule_kills(scheduled: &ScheduledTrouble, queue: &mut Queue<Event>) {
-    for (at, sender, downtime) in scheduled.sender_deaths(RESTART_TIME) {
+    for (at, sender, downtime) in scheduled.sender_kills(RESTART_DELAY) {
         queue.push(at, Event::Kill(sender));
         queue.push(at + downtime, Event::Start(sender));
     }
 }
 
-/// Adds orderly stops and restarts of senders, in waves of `count` senders.
+/// Adds graceful stops and restarts of senders, in waves of `count` senders.
 fn schedule_rolling_restart(scheduled: &ScheduledTrouble, queue: &mut Queue<Event>) {
     let wave_size = scheduled.trouble.count.unwrap_or(1).max(1);
     let waves = scheduled.senders.len().div_ceil(wave_size) as u32;
@@ -84,8 +84,8 @@
         let starts_at = scheduled.from + (scheduled.until - scheduled.from) * wave_index as u32 / waves;
         for sender in senders {
             queue.push(starts_at, Event::StopAccepting(*sender));
-            queue.push(starts_at + STOP_TIME, Event::Kill(*sender));
-            queue.push(starts_at + STOP_TIME + RESTART_TIME, Event::Start(*sender));
+            queue.push(starts_at + STOP_TIMEOUT, Event::Kill(*sender));
+            queue.push(starts_at + STOP_TIMEOUT + RESTART_DELAY, Event::Start(*sender));
         }
     }
 }
--- a/crates/sailcart-lab/src/simulated/sender.rs
+++ b/crates/sailcart-lab/src/simulated/sender.rs
@@ -115,7 +115,7 @@
         self.idle_closes.push(endpoint);
     }
 
-    /// The simulation sends lists without being asked.
+    /// Does nothing: the simulation sends lists without a request.
     fn request_list(&mut self) {}
 
     fn wake(&mut self, after: Duration) {
--- a/crates/sailcart-lab/src/simulated/world.rs
+++ b/crates/sailcart-lab/src/simulated/world.rs
@@ -83,7 +83,7 @@
         &mut self.submissions[packet.0 as usize]
     }
 
-    /// The planned packet that a submitted packet stands for.
+    /// The planned packet of which a packet is a submission.
     pub fn planned(&self, packet: PacketId) -> &'a PlannedPacket {
         &self.plan.planned_packets[self.submission(packet).planned_packet.0]
     }
--- a/crates/sailcart-lab/src/soak/kinds.rs
+++ b/crates/sailcart-lab/src/soak/kinds.rs
@@ -32,7 +32,7 @@
     /// Reads and writes on sockets are short, waits are interrupted, and broken connections return other
     /// error numbers.
     ShortCalls,
-    /// accept, socket and connect fail temporarily with local errors.
+    /// `accept`, `socket` and `connect` fail temporarily with local errors.
     LocalErrors,
     /// The wall clock is stepped, and back at the end.
     Clock,
--- a/crates/sailcart-lab/src/soak/machine.rs
+++ b/crates/sailcart-lab/src/soak/machine.rs
@@ -15,7 +15,7 @@
 
 /// The stream of random numbers for these draws.
 const RNG_STREAM: u64 = 21;
-/// A trouble leaves out each sender with a probability of one in this number.
+/// Each trouble skips each sender with a probability of one in this number.
 const UNAFFECTED_ONE_IN: u32 = 4;
 
 /// One trouble of one sender, with its period.
--- a/crates/sailcart-lab/src/soak/proxy.rs
+++ b/crates/sailcart-lab/src/soak/proxy.rs
@@ -21,7 +21,7 @@
 /// On a link that cuts, resets or half-closes, a chunk is affected with a probability of one in this number.
 const FAULT_ONE_IN: u32 = 12;
 
-/// A fault of a link.
+/// A fault that a proxy injects into a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkFault {
     /// Each chunk is delayed by up to 30 ms.
--- a/crates/sailcart-lab/src/soak/schedule.rs
+++ b/crates/sailcart-lab/src/soak/schedule.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// Two kinds of trouble, the lesser first.
+/// Two kinds of trouble, in ascending order.
 pub type KindPair = (SoakKind, SoakKind);
 
 fn pair(a: SoakKind, b: SoakKind) -> KindPair {
--- a/crates/sailcart-lab/src/soak/verdict.rs
+++ b/crates/sailcart-lab/src/soak/verdict.rs
@@ -12,7 +12,7 @@
 pub struct Verdict {
     /// The rules that were broken, each followed by the number of its violations.
     pub broken_rules: Vec<String>,
-    /// Sender processes that ended although nobody stopped them.
+    /// Sender processes that exited without being stopped by the lab.
     pub crashes: u64,
     /// Clients with malformed input that got no reply in time.
     pub ignored: u64,
@@ -41,7 +41,8 @@
         }
     }
 
-    /// Whether the run passed: no rule broken, no crash, no client ignored, no violation logged.
+    /// Whether the run passed: no rule broken, no crash, every client answered, no violation
+    /// logged.
     pub fn passed(&self) -> bool {
         self.broken_rules.is_empty() && self.crashes == 0 && self.ignored == 0 && self.logged_violations == 0
     }
--- a/crates/sailcart-lab/src/sockets/discovery.rs
+++ b/crates/sailcart-lab/src/sockets/discovery.rs
@@ -130,7 +130,7 @@
         self.changes.iter().take_while(|(at, _)| *at <= now).count()
     }
 
-    /// Waits while a trouble keeps discovery silent for this sender.
+    /// Waits while a trouble makes discovery unresponsive for this sender.
     async fn wait_while_silent(&self) {
         let outage = self.shared.plan.scheduled_troubles.iter().find(|scheduled| {
             let affects_sender =
--- a/crates/sailcart-lab/src/sockets/endpoints.rs
+++ b/crates/sailcart-lab/src/sockets/endpoints.rs
@@ -151,7 +151,7 @@
             .min()
     }
 
-    /// Follows the state of the address for the whole run.
+    /// Opens and closes the listening socket as the state of the address changes, until the run ends.
     async fn serve(self: Rc<Self>, initial_listener: TcpListener) {
         let mut open_listener = Some(initial_listener);
         loop {
@@ -209,7 +209,7 @@
         None
     }
 
-    /// Fills the accept queue; the connections must be kept while the black hole lasts.
+    /// Fills the accept queue. The caller must hold the returned connections while the black hole lasts.
     async fn fill_accept_queue(&self) -> Vec<TcpStream> {
         let mut fillers = Vec::new();
         for _ in 0..QUEUE_FILLERS {
@@ -468,8 +468,7 @@
                 accepted.map(|(packet, _)| packet).for_each(complete);
                 wait.map_or(CallResult::Done, |wait| CallResult::Rejected(Some(wait)))
             }
-            // A malformed response is a response all the same: the call is no longer in progress at the
-            // endpoint.
+            // A malformed response also completes the call: it is no longer in progress at the endpoint.
             Answer::Error | Answer::Malformed(_) => {
                 increment(Counter::Errors);
                 CallResult::Error
--- a/crates/sailcart-lab/src/sockets/machine_troubles.rs
+++ b/crates/sailcart-lab/src/sockets/machine_troubles.rs
@@ -1,6 +1,6 @@
 //! Applies the troubles of a soak that affect a sender's machine or its links, each at its scheduled time.
-//! Links are disturbed by their proxies, the machine by the control page of the shim and by stopping the
-//! process.
+//! The proxies inject the troubles of links. The shim, through its control page, and pauses of the process
+//! inject those of the machine.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -38,7 +38,7 @@
 pub struct TroubleTargets {
     pub shared: Rc<SharedState>,
     pub processes: Rc<SenderProcesses>,
-    /// By sender; empty if no trouble affects a link.
+    /// Indexed by sender; empty if no trouble affects a link.
     pub links: Vec<Links>,
 }
 
--- a/crates/sailcart-lab/src/sockets/mod.rs
+++ b/crates/sailcart-lab/src/sockets/mod.rs
@@ -219,7 +219,7 @@
     for scheduled in
         shared.plan.scheduled_troubles.iter().filter(|scheduled| scheduled.trouble.kind == TroubleKind::Kill)
     {
-        for (at, sender, downtime) in scheduled.sender_deaths(RESTART_DELAY) {
+        for (at, sender, downtime) in scheduled.sender_kills(RESTART_DELAY) {
             let (processes, start_at) = (processes.clone(), shared.instant(at));
             spawn_local(async move {
                 sleep_until(start_at).await;
--- a/crates/sailcart-lab/src/sockets/process.rs
+++ b/crates/sailcart-lab/src/sockets/process.rs
@@ -27,8 +27,8 @@
 use crate::results::tally::Counter;
 use crate::watcher::Observation;
 
-/// The subcommand with which the lab starts itself to become a sender.
-pub const KEEP_COMMAND: &str = "keep";
+/// Subcommand with which the lab starts itself as a child process that then executes the sender.
+pub const EXEC_SENDER_SUBCOMMAND: &str = "keep";
 /// Interval at which the lab checks whether a process has exited or answers `PING`.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// A sender that is killed during its start is killed after a multiple of this time.
@@ -201,7 +201,7 @@
         self.processes[sender.0].control_page.as_ref()
     }
 
-    /// Stops or continues a sender by signal.
+    /// Pauses a sender with `SIGSTOP` or resumes it with `SIGCONT`.
     pub fn set_paused(&self, sender: SenderId, paused: bool) {
         if let Some(pid) = self.pid(sender) {
             let _ = kill(pid, if paused { Signal::SIGSTOP } else { Signal::SIGCONT });
@@ -225,7 +225,7 @@
         let log = log.map_err(super::error_context("folder"))?;
         let mut command = Command::new(lab_program);
         command
-            .arg(KEEP_COMMAND)
+            .arg(EXEC_SENDER_SUBCOMMAND)
             .arg(std::process::id().to_string())
             .arg(&self.program)
             .args(["serve".as_ref(), "--config".as_ref(), process.config_path.as_os_str()])
@@ -319,9 +319,9 @@
         }
     }
 
-    /// In a soak every third process that follows a kill is killed again during its start, each time
-    /// [`START_KILL_STEP`] later into the start than the time before; after [`START_KILL_STEPS`] of them from
-    /// the beginning again.
+    /// In a soak, every third process that follows a kill is killed again during its start. The delay from
+    /// start to kill increases by [`START_KILL_STEP`] each time and returns to zero after
+    /// [`START_KILL_STEPS`] times.
     async fn kill_during_start(&self, sender: SenderId) {
         let count = self.starts_after_kill.replace(self.starts_after_kill.get() + 1);
         if !count.is_multiple_of(3) || self.start(sender).await.is_err() {
--- a/crates/sailcart-lab/src/watcher/backpressure.rs
+++ b/crates/sailcart-lab/src/watcher/backpressure.rs
@@ -13,6 +13,7 @@
 /// seen the outage.
 const MIN_INFORMED_SHARE: f64 = 2.0 / 3.0;
 
+/// The state of the checks of rules 3, 4 and 6.
 #[derive(Default)]
 pub struct BackpressureCheck {
     /// When discovery first reported to a sender that an endpoint drains.
@@ -27,14 +28,17 @@
 }
 
 impl BackpressureCheck {
+    /// Discovery reported to a sender that an endpoint drains; the first report counts.
     pub fn endpoint_draining(&mut self, state: &RunState, sender: SenderId, endpoint: EndpointId) {
         self.drains.entry((sender, endpoint)).or_insert(state.now);
     }
 
+    /// Discovery reported to a sender that an endpoint is ready, which ends its drain.
     pub fn endpoint_ready(&mut self, sender: SenderId, endpoint: EndpointId) {
         self.drains.remove(&(sender, endpoint));
     }
 
+    /// An outage began; no sender has seen it yet.
     pub fn outage_started(&mut self, upstream: UpstreamId) {
         self.informed_senders.insert(upstream, BTreeSet::new());
     }
@@ -55,6 +59,8 @@
         }
     }
 
+    /// Checks a received call against the drains and requested waits that its sender knows of, and records it
+    /// for [`BackpressureCheck::upstream_collapsed`].
     pub fn call_received(&mut self, state: &mut RunState, call: &ObservedCall) {
         let (now, grace, crossing) = (state.now, state.rules.drain_grace, state.rules.crossing);
         if let Some(reported_at) = self.drains.get(&(call.sender, call.endpoint)).copied()
@@ -90,6 +96,7 @@
         recent.push_back((now, call.sender));
     }
 
+    /// A call has completed: records its failure and the wait that its answer requests, if any.
     pub fn call_completed(&mut self, state: &RunState, call: &ObservedCall, result: CallResult) {
         if result != CallResult::Done {
             self.call_failed(call.sender, call.upstream);
--- a/crates/sailcart-lab/src/watcher/exactly_once.rs
+++ b/crates/sailcart-lab/src/watcher/exactly_once.rs
@@ -13,6 +13,7 @@
 /// Extra time for overdue completions of a restarted sender, from the moment it is ready.
 const RESTART_GRACE: Duration = Duration::from_millis(1500);
 
+/// The state of the checks of rules 1 and 2.
 #[derive(Default)]
 pub struct ExactlyOnceCheck {
     /// Accepted packets that are not completed, by the time at which their completion is overdue.
@@ -30,6 +31,7 @@
 }
 
 impl ExactlyOnceCheck {
+    /// A packet was accepted: its completion is due by the deadline.
     pub fn packet_accepted(&mut self, state: &mut RunState, packet: PacketId) {
         let (now, slack) = (state.now, state.rules.slack);
         let Some(tracked) = state.packets.get_mut(&packet) else { return };
@@ -39,6 +41,7 @@
         }
     }
 
+    /// A client abandoned a submission: no completion is due, and its effects are no longer checked.
     pub fn packet_abandoned(&mut self, state: &mut RunState, packet: PacketId) {
         let Some(tracked) = state.packets.get_mut(&packet) else { return };
         tracked.abandoned = true;
@@ -48,6 +51,8 @@
         }
     }
 
+    /// Checks a reported completion: it must not contradict an earlier one, and an unrepeatable packet that
+    /// took effect must not be dismissed.
     pub fn packet_completed(&mut self, state: &mut RunState, packet: PacketId, completion: CompletionKind) {
         let (now, crossing) = (state.now, state.rules.crossing);
         let Some(tracked) = state.packets.get_mut(&packet) else { return };
@@ -95,6 +100,7 @@
         }
     }
 
+    /// Checks that no packet of a received call is completed or in another call in flight.
     pub fn call_received(&mut self, state: &mut RunState, id: CallId, call: &ObservedCall) {
         for packet in &call.packets {
             let (now, crossing) = (state.now, state.rules.crossing);
@@ -128,6 +134,7 @@
         }
     }
 
+    /// Checks that no packet of a call takes effect a second time.
     pub fn packets_executed(&mut self, state: &mut RunState, id: CallId, effects: &[bool]) {
         let Some(call) = state.calls.get(&id).cloned() else { return };
         for (packet, _) in call.packets.iter().zip(effects).filter(|(_, effect)| **effect) {
@@ -156,6 +163,7 @@
         }
     }
 
+    /// A call has completed: its packets are no longer in flight.
     pub fn call_completed(&mut self, state: &mut RunState, id: CallId, call: &ObservedCall) {
         for packet in &call.packets {
             if let Some(tracked) =
--- a/crates/sailcart-lab/src/watcher/key_order.rs
+++ b/crates/sailcart-lab/src/watcher/key_order.rs
@@ -9,6 +9,7 @@
 use super::{CallResult, ObservedCall, Rule, RunState, SubmittedPacket, format_ms};
 use crate::plan::SenderId;
 
+/// The packets of one key at one sender.
 #[derive(Default)]
 struct KeyQueue {
     /// Submitted packets that are not completed, in order of submission.
@@ -19,6 +20,7 @@
     possibly_executing: Option<PacketId>,
 }
 
+/// The state of the check of rule 5.
 #[derive(Default)]
 pub struct KeyOrderCheck {
     queues: HashMap<(SenderId, KeyId), KeyQueue>,
@@ -26,6 +28,7 @@
 }
 
 impl KeyOrderCheck {
+    /// Appends a submitted packet to the queue of its key, if its category requires order.
     pub fn packet_submitted(&mut self, state: &RunState, submission: &SubmittedPacket) {
         let Some(key) = submission.key.filter(|_| submission.in_order) else { return };
         let queue = self.queues.entry((submission.sender, key)).or_default();
@@ -39,12 +42,14 @@
         self.queue_of_packet.insert(submission.packet, (submission.sender, key));
     }
 
+    /// Removes a completed or abandoned packet from the queue of its key.
     pub fn packet_completed(&mut self, packet: PacketId) {
         if let Some(queue) = self.queue_of_packet.get(&packet).and_then(|id| self.queues.get_mut(id)) {
             queue.packets.retain(|other| *other != packet);
         }
     }
 
+    /// Checks that no earlier packet of the same key is incomplete or may still be executed.
     pub fn call_received(&mut self, state: &mut RunState, call: &ObservedCall) {
         for packet in &call.packets {
             // The client of an abandoned packet got no reply, so its position in the order is unknown outside
@@ -83,6 +88,7 @@
         }
     }
 
+    /// A call has completed: if it may still be executed, the keys of its packets are blocked for a time.
     pub fn call_completed(&mut self, state: &RunState, call: &ObservedCall, result: CallResult) {
         if result != CallResult::PossiblyExecuted {
             return;
--- a/crates/sailcart-lab/src/watcher/mod.rs
+++ b/crates/sailcart-lab/src/watcher/mod.rs
@@ -130,7 +130,7 @@
     CallCompleted { call: CallId, result: CallResult },
     /// A sender could not establish a connection.
     ConnectionFailed { sender: SenderId, upstream: UpstreamId },
-    /// Discovery reported to a sender that an endpoint drains or is gone.
+    /// Discovery reported to a sender that an endpoint is draining or was removed.
     EndpointDraining(SenderId, EndpointId),
     /// Discovery listed the endpoint as ready to a sender.
     EndpointReady(SenderId, EndpointId),
@@ -181,6 +181,7 @@
     pub violation_counts: BTreeMap<Rule, u64>,
 }
 
+/// A submission and what has been observed of it.
 pub(crate) struct TrackedPacket {
     pub submission: SubmittedPacket,
     pub accepted_at: Option<Duration>,
@@ -204,6 +205,7 @@
     }
 }
 
+/// A call in flight, as its receiver observed it.
 #[derive(Clone)]
 pub(crate) struct ObservedCall {
     pub received_at: Duration,
@@ -213,10 +215,12 @@
     pub packets: Vec<PacketId>,
 }
 
-/// Violations of one rule that are reported with their events; further ones are only counted.
+/// Maximum number of violations of one rule that are reported with their events; further ones are only
+/// counted.
 const MAX_REPORTED_VIOLATIONS_PER_RULE: u64 = 20;
 
 impl RunState {
+    /// Counts a violation, and stores it unless its rule has reached the maximum.
     pub fn record_violation(&mut self, rule: Rule, packet: Option<PacketId>, events: Vec<String>) {
         let count = self.violation_counts.entry(rule).or_default();
         *count += 1;
@@ -227,6 +231,7 @@
     }
 }
 
+/// Formats a time in milliseconds with one decimal.
 pub(crate) fn format_ms(at: Duration) -> String {
     format!("{:.1} ms", at.as_micros() as f64 / 1000.0)
 }
@@ -342,7 +347,7 @@
         &self.state.violations
     }
 
-    /// How often a rule was broken, violations that are not reported included.
+    /// Number of violations of a rule, including those that are not reported with their events.
     pub fn count(&self, rule: Rule) -> u64 {
         self.state.violation_counts.get(&rule).copied().unwrap_or(0)
     }
--- a/crates/sailcart-lab/tests/capacity.rs
+++ b/crates/sailcart-lab/tests/capacity.rs
@@ -26,8 +26,8 @@
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// Held by the tests that measure allocations and by those that allocate much beside them, because the
-/// allocator counts for the whole process.
+/// Held by the tests that measure allocations and by those that allocate much in parallel, because the
+/// allocator counts for the entire process.
 static ALLOCATOR_LOCK: Mutex<()> = Mutex::new(());
 
 fn lock_allocator() -> MutexGuard<'static, ()> {
@@ -92,7 +92,7 @@
     }
 }
 
-/// Wrong on purpose: applies the full list at every change.
+/// Deliberately faulty: applies the full list at every change.
 struct FullListAtEachChange<D>(D, u64);
 
 impl<D: ScalingSubject> ScalingSubject for FullListAtEachChange<D> {
@@ -117,7 +117,7 @@
     }
 }
 
-/// Wrong on purpose: visits every destination in every round.
+/// Deliberately faulty: visits every destination in every round.
 struct AllDestinationsAtEachRound<D>(D, u64);
 
 impl<D: ScalingSubject> ScalingSubject for AllDestinationsAtEachRound<D> {
@@ -144,7 +144,7 @@
     }
 }
 
-/// Wrong on purpose: allocates a large record for each destination, as if each had traffic.
+/// Deliberately faulty: allocates a large record for each destination, as if each had traffic.
 struct LargeEntries<D>(D, Vec<[u8; 2048]>);
 
 impl<D: ScalingSubject> ScalingSubject for LargeEntries<D> {
--- a/crates/sailcart-shim-preload/src/calls.rs
+++ b/crates/sailcart-shim-preload/src/calls.rs
@@ -35,6 +35,7 @@
     }};
 }
 
+/// Sets the error number of the calling thread and returns -1.
 fn fail(errno: i64) -> c_int {
     // SAFETY: points to the calling thread's error number.
     unsafe { *libc::__errno_location() = errno as c_int };
@@ -42,7 +43,7 @@
 }
 
 fn errno() -> c_int {
-    // SAFETY: as above.
+    // SAFETY: points to the calling thread's error number.
     unsafe { *libc::__errno_location() }
 }
 
--- a/crates/sailcart-shim-preload/src/lib.rs
+++ b/crates/sailcart-shim-preload/src/lib.rs
@@ -1,5 +1,5 @@
 //! Preload library of the fault-injecting shim. It interposes the functions of the C library that a sender
-//! calls, and makes them fail as the control page of `sailcart-shim` asks. This is the only crate of the
+//! calls, and makes them fail as set on the control page of `sailcart-shim`. This is the only crate of the
 //! project that uses `unsafe`; it is loaded only into processes under test.
 //!
 //! It injects only what the man page of each call documents. A short read or write is a result that the
--- a/crates/sailcart-shim-preload/src/page.rs
+++ b/crates/sailcart-shim-preload/src/page.rs
@@ -10,7 +10,7 @@
 type MappedPage = [AtomicU64; PAGE_WORDS];
 
 static MAPPED_PAGE: AtomicPtr<MappedPage> = AtomicPtr::new(null_mut());
-/// Stands in for the control page in a process without one; all settings are 0.
+/// Used in a process without a control page; all settings are 0.
 static EMPTY_PAGE: MappedPage = [const { AtomicU64::new(0) }; PAGE_WORDS];
 static RANDOM_STEP: AtomicU64 = AtomicU64::new(0);
 
--- a/crates/sailcart-shim/src/lib.rs
+++ b/crates/sailcart-shim/src/lib.rs
@@ -39,8 +39,8 @@
     FileTruncateErrno = 4,
     /// Error number with which creating, renaming and removing files fails.
     DirectoryUpdateErrno = 5,
-    /// Milliseconds from the start of one window of file faults to the next; 0 for file faults without a
-    /// pause.
+    /// Milliseconds from the start of one window of file faults to the next; 0 for file faults without
+    /// interruption.
     FileFaultPeriodMs = 6,
     /// Milliseconds in each period during which file calls fail.
     FileFaultWindowMs = 7,
@@ -70,7 +70,7 @@
     WallClockStepMs = 19,
     /// Share of writes to TCP sockets that are delayed.
     WriteDelayPerMille = 20,
-    /// Milliseconds by which a delayed write is held.
+    /// Length of such a delay in milliseconds.
     WriteDelayMs = 21,
 }
 
@@ -78,8 +78,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(usize)]
 pub enum FaultCounter {
+    /// Writes to regular files that failed or were shortened.
     FileWrite = FIRST_COUNTER_INDEX,
+    /// Failed `fsync` and `fdatasync` calls.
     FileSync,
+    /// Failed `ftruncate` calls.
     FileTruncate,
     /// Files that were not created, renamed or removed.
     DirectoryUpdate,
@@ -87,12 +90,17 @@
     ShortRead,
     /// Short writes to TCP sockets.
     ShortWrite,
+    /// Failed `accept4` calls.
     Accept,
+    /// Failed `socket` calls.
     Socket,
+    /// Failed `connect` calls.
     Connect,
+    /// Interrupted `epoll_wait` calls.
     WaitInterrupted,
     /// Calls that returned another error number in place of `ECONNRESET`.
     ConnectionReset,
+    /// Delayed writes to TCP sockets.
     WriteDelay,
 }
 
