--- a/crates/sailcart-lab/src/experiment/mod.rs
+++ b/crates/sailcart-lab/src/experiment/mod.rs
@@ -89,7 +89,7 @@
     /// Timeout of a connection attempt.
     #[serde(default = "one_second", with = "humantime_serde")]
     pub connect_time_out: Duration,
-    /// Longest wait that clients can be asked for; absent if they are asked for none.
+    /// Maximum wait that a sender requests of clients before they resubmit; absent if it requests none.
     #[serde(default, with = "humantime_serde::option", skip_serializing_if = "Option::is_none")]
     pub retry_after: Option<Duration>,
     /// Whether the destination list states the rate of each destination.
--- a/crates/sailcart-lab/src/simulated/clients.rs
+++ b/crates/sailcart-lab/src/simulated/clients.rs
@@ -116,9 +116,10 @@
     /// The sender of a packet died before its client had an answer: the client submits the packet again after
     /// its timeout, possibly to another sender.
     pub fn abandon(&mut self, packet: PacketId) {
-        let was_open = self.submission_mut(packet).completion.replace(CompletionKind::Dismissed).is_none();
+        let is_first_completion =
+            self.submission_mut(packet).completion.replace(CompletionKind::Dismissed).is_none();
         self.observe(Observation::Abandoned(packet));
-        if was_open {
+        if is_first_completion {
             self.release(packet);
         }
         let submission = self.submission(packet);
--- a/crates/sailcart-lab/src/simulated/sender.rs
+++ b/crates/sailcart-lab/src/simulated/sender.rs
@@ -61,7 +61,7 @@
         self.wake_at = self.wake_at.filter(|at| *at > now);
     }
 
-    /// Requests a wake-up at `at`. An earlier request stays in effect, whatever rounds happen in between.
+    /// Requests a wake-up at `at`. An earlier request stays in effect even if rounds run in between.
     pub fn wake_by(&mut self, at: Duration) {
         self.wake_at = Some(self.wake_at.map_or(at, |earlier| earlier.min(at)));
     }
--- a/crates/sailcart-lab/src/sockets/clients.rs
+++ b/crates/sailcart-lab/src/sockets/clients.rs
@@ -1,4 +1,4 @@
-//! The clients: each packet is submitted at its scheduled time, no matter whether earlier ones have been
+//! The clients: each packet is submitted at its scheduled time, whether or not earlier ones have been
 //! answered, and the latency of its reply is measured from that time.
 
 use std::cell::RefCell;
@@ -79,14 +79,14 @@
             sleep(Duration::from_millis(20)).await;
             let now = self.shared.now();
             let due = {
-                let mut resubmissions = self.shared.resubmissions.borrow_mut();
+                let mut pending_resubmissions = self.shared.pending_resubmissions.borrow_mut();
                 let (due, later): (Vec<_>, Vec<_>) =
-                    resubmissions.drain(..).partition(|(_, _, at)| *at <= now);
-                *resubmissions = later;
+                    pending_resubmissions.drain(..).partition(|(_, _, at)| *at <= now);
+                *pending_resubmissions = later;
                 due
             };
-            for (planned_packet, attempt, at) in due {
-                spawn_local(self.clone().submit(planned_packet, attempt, at));
+            for (planned_packet, resubmissions, at) in due {
+                spawn_local(self.clone().submit(planned_packet, resubmissions, at));
             }
         }
     }
@@ -103,7 +103,12 @@
 
     /// Submits a packet until a sender replies or its deadline has passed. `scheduled_at` is the start of the
     /// latency.
-    async fn submit(self: Rc<Self>, planned_packet: PlannedPacketId, attempt: u32, scheduled_at: Duration) {
+    async fn submit(
+        self: Rc<Self>,
+        planned_packet: PlannedPacketId,
+        resubmissions: u32,
+        scheduled_at: Duration,
+    ) {
         let plan = &self.shared.plan;
         let planned = &plan.planned_packets[planned_packet.0];
         let deadline = planned.at + plan.category(planned.category).patience;
@@ -120,7 +125,7 @@
                 sleep(RETRY_DELAY).await;
                 continue;
             };
-            let packet = self.shared.record_submission(planned_packet, sender, attempt);
+            let packet = self.shared.record_submission(planned_packet, sender, resubmissions);
             let command = submit_command(plan, planned_packet, packet.0, deadline - now);
             let reply = match send_command(&mut stream, &command).await {
                 Err(_) if !is_new => self.resend(sender, &mut stream, &command).await,
@@ -131,7 +136,7 @@
                 sleep(RETRY_DELAY).await;
                 continue;
             };
-            let measured_from = if attempt == 0 { planned.at } else { scheduled_at };
+            let measured_from = if resubmissions == 0 { planned.at } else { scheduled_at };
             self.shared.tally.borrow_mut().record_answer(self.shared.now().saturating_sub(measured_from));
             self.handle_reply(packet, reply);
             self.idle_connections.borrow_mut().entry(sender).or_default().push(stream);
--- a/crates/sailcart-lab/src/sockets/machine_troubles.rs
+++ b/crates/sailcart-lab/src/sockets/machine_troubles.rs
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Pauses a sender again and again until the trouble ends.
+    /// Pauses a sender repeatedly until the trouble ends.
     async fn pause_repeatedly(&self, trouble: MachineTrouble, pause: Duration) {
         while self.shared.now() < trouble.until {
             self.processes.set_paused(trouble.sender, true);
--- a/crates/sailcart-lab/src/sockets/shared_state.rs
+++ b/crates/sailcart-lab/src/sockets/shared_state.rs
@@ -23,7 +23,7 @@
     pub planned_packet: PlannedPacketId,
     pub sender: SenderId,
     /// How often the packet had been resubmitted after a dismissal; 0 until the first dismissal.
-    pub attempt: u32,
+    pub resubmissions: u32,
     pub accepted: bool,
     pub completion: Option<CompletionKind>,
 }
@@ -44,9 +44,9 @@
     /// identified by its idempotency key or id alone, and gets the number of a planned packet here when it is
     /// first seen.
     external_packets: Option<RefCell<HashMap<String, PlannedPacketId>>>,
-    /// Dismissed packets that the clients are to submit again: planned packet, the new value of `attempt`,
-    /// and the time since the start of the experiment.
-    pub resubmissions: RefCell<Vec<(PlannedPacketId, u32, Duration)>>,
+    /// Dismissed packets that the clients are to submit again: planned packet, the new value of
+    /// `resubmissions`, and the time since the start of the experiment.
+    pub pending_resubmissions: RefCell<Vec<(PlannedPacketId, u32, Duration)>>,
 }
 
 impl SharedState {
@@ -76,7 +76,7 @@
             next_call: Cell::new(0),
             incomplete: Cell::new(0),
             external_packets,
-            resubmissions: RefCell::default(),
+            pending_resubmissions: RefCell::default(),
         }
     }
 
@@ -118,11 +118,17 @@
         &self,
         planned_packet: PlannedPacketId,
         sender: SenderId,
-        attempt: u32,
+        resubmissions: u32,
     ) -> PacketId {
         let mut submissions = self.submissions.borrow_mut();
         let packet = PacketId(submissions.len() as u64);
-        submissions.push(Submission { planned_packet, sender, attempt, accepted: false, completion: None });
+        submissions.push(Submission {
+            planned_packet,
+            sender,
+            resubmissions,
+            accepted: false,
+            completion: None,
+        });
         drop(submissions);
         let planned = &self.plan.planned_packets[planned_packet.0];
         self.tally.borrow_mut().increment(Counter::Submitted);
@@ -177,9 +183,9 @@
         }
         let first = self.mark_completed(packet, completion);
         self.observe(Observation::Completed(packet, completion));
-        let (planned_packet, attempt) = {
+        let (planned_packet, resubmissions) = {
             let submissions = self.submissions.borrow();
-            (submissions[packet.0 as usize].planned_packet, submissions[packet.0 as usize].attempt)
+            (submissions[packet.0 as usize].planned_packet, submissions[packet.0 as usize].resubmissions)
         };
         match completion {
             CompletionKind::Done => {
@@ -190,11 +196,11 @@
             CompletionKind::Scrapped => self.tally.borrow_mut().increment(Counter::Scrapped),
         }
         let load = &self.plan.experiment.load;
-        if completion == CompletionKind::Dismissed && first && attempt < load.again {
+        if completion == CompletionKind::Dismissed && first && resubmissions < load.again {
             let delay = load.pause.mul_f64(1.0 + (packet.0 % 50) as f64 / 100.0).max(wait);
             let at = self.now() + delay;
             if at < self.plan.resubmission_deadline(planned_packet) {
-                self.resubmissions.borrow_mut().push((planned_packet, attempt + 1, at));
+                self.pending_resubmissions.borrow_mut().push((planned_packet, resubmissions + 1, at));
             }
         }
     }
@@ -254,7 +260,7 @@
 
     /// Whether every submission has completed and none is to be repeated.
     pub fn is_settled(&self) -> bool {
-        self.incomplete.get() == 0 && self.resubmissions.borrow().is_empty()
+        self.incomplete.get() == 0 && self.pending_resubmissions.borrow().is_empty()
     }
 
     /// The counts so far as one line of text.
--- a/crates/sailcart-lab/src/watcher/exactly_once.rs
+++ b/crates/sailcart-lab/src/watcher/exactly_once.rs
@@ -57,8 +57,8 @@
         let (now, crossing) = (state.now, state.rules.crossing);
         let Some(tracked) = state.packets.get_mut(&packet) else { return };
         let submission = tracked.submission;
-        // A repeated report of a dismissal is not a new one, whatever its client has done since the first
-        // report.
+        // A repeated report of a dismissal is not a new dismissal, even if its client has resubmitted the
+        // packet since the first report.
         let repeated = matches!(tracked.completion, Some((_, previous)) if previous == completion);
         match tracked.completion {
             None => {
--- a/crates/sailcart-lab/tests/edge_cases.rs
+++ b/crates/sailcart-lab/tests/edge_cases.rs
@@ -65,13 +65,13 @@
     let reset_call = receivers.receive_call(&plan, seconds(2.0), ENDPOINT, &[call_packet(1)]);
     assert_eq!(reset_call.answer.map(|(_, answer)| answer), Some(Answer::Reset));
     assert_eq!(reset_call.effects, vec![true]);
-    // The receiver recognizes the repeated call and does not execute it again,
+    // The receiver recognises the repeated call and does not execute it again.
     let repeated_call = receivers.receive_call(&plan, seconds(6.5), ENDPOINT, &[call_packet(1)]);
     assert_eq!(
         (repeated_call.answer.map(|(_, answer)| answer), repeated_call.effects),
         (Some(Answer::Done), vec![false])
     );
-    // until its deduplication memory of 5 s has passed.
+    // Its deduplication memory of 5 s has passed: it executes the call again.
     assert_eq!(receivers.receive_call(&plan, seconds(7.1), ENDPOINT, &[call_packet(1)]).effects, vec![true]);
 }
 
--- a/crates/sailcart-lab/tests/rule_violations.rs
+++ b/crates/sailcart-lab/tests/rule_violations.rs
@@ -105,7 +105,8 @@
             RecordingHost { host, completed: vec![], last_endpoint: &mut self.last_endpoint };
         self.module.decide(now, &mut recording_host);
         let completed = recording_host.completed;
-        // They are dispatched in the next round, so the calls do not merely cross the completions.
+        // They are dispatched in the next round, so the calls and the completions do not just cross in
+        // transit.
         if self.repeats_after_completion && !completed.is_empty() {
             self.completed.extend(completed);
         }
--- a/crates/sailcart-shim-preload/src/calls.rs
+++ b/crates/sailcart-shim-preload/src/calls.rs
@@ -226,7 +226,7 @@
         increment(FaultCounter::WriteDelay);
         let delay = setting(Setting::WriteDelayMs);
         let delay = timespec { tv_sec: delay / 1000, tv_nsec: delay % 1000 * 1_000_000 };
-        // SAFETY: `delay` is valid for reads; the remaining time is not asked for.
+        // SAFETY: `delay` is valid for reads; the remaining time is not requested.
         unsafe { libc::nanosleep(&delay, std::ptr::null_mut()) };
     }
     if length > 1 && is_selected(Setting::ShortWritePerMille) && is_tcp(fd) {
