--- a/crates/sailcart-lab/src/simulated/clients.rs
+++ b/crates/sailcart-lab/src/simulated/clients.rs
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Schedules a resubmission after a dismissal, up to the configured number and while the packet is still
-    /// wanted.
+    /// Schedules a resubmission after a dismissal, up to the configured number and until the resubmission
+    /// deadline of the packet.
     fn schedule_resubmission(&mut self, packet: PacketId, retry_after: Option<Duration>) {
         let submission = &self.submissions[packet.0 as usize];
         let load = &self.plan.experiment.load;
@@ -116,9 +116,10 @@
     /// The sender of a packet died before its client had an answer: the client submits the packet again after
     /// its timeout, possibly to another sender.
     pub fn abandon(&mut self, packet: PacketId) {
-        let was_open = self.submission_mut(packet).completion.replace(CompletionKind::Dismissed).is_none();
+        let is_first_completion =
+            self.submission_mut(packet).completion.replace(CompletionKind::Dismissed).is_none();
         self.observe(Observation::Abandoned(packet));
-        if was_open {
+        if is_first_completion {
             self.release(packet);
         }
         let submission = self.submission(packet);
--- a/crates/sailcart-lab/src/simulated/sender.rs
+++ b/crates/sailcart-lab/src/simulated/sender.rs
@@ -61,7 +61,7 @@
         self.wake_at = self.wake_at.filter(|at| *at > now);
     }
 
-    /// Requests a wake-up at `at`. An earlier request stays in effect, whatever rounds happen in between.
+    /// Requests a wake-up at `at`. An earlier request stays in effect even if rounds run in between.
     pub fn wake_by(&mut self, at: Duration) {
         self.wake_at = Some(self.wake_at.map_or(at, |earlier| earlier.min(at)));
     }
@@ -115,7 +115,7 @@
         self.idle_closes.push(endpoint);
     }
 
-    /// The simulation sends lists without being asked.
+    /// Does nothing: the simulation sends lists without a request.
     fn request_list(&mut self) {}
 
     fn wake(&mut self, after: Duration) {
--- a/crates/sailcart-shim-preload/src/calls.rs
+++ b/crates/sailcart-shim-preload/src/calls.rs
@@ -35,6 +35,7 @@
     }};
 }
 
+/// Sets the error number of the calling thread and returns -1.
 fn fail(errno: i64) -> c_int {
     // SAFETY: points to the calling thread's error number.
     unsafe { *libc::__errno_location() = errno as c_int };
@@ -42,7 +43,7 @@
 }
 
 fn errno() -> c_int {
-    // SAFETY: as above.
+    // SAFETY: points to the calling thread's error number.
     unsafe { *libc::__errno_location() }
 }
 
@@ -225,7 +226,7 @@
         increment(FaultCounter::WriteDelay);
         let delay = setting(Setting::WriteDelayMs);
         let delay = timespec { tv_sec: delay / 1000, tv_nsec: delay % 1000 * 1_000_000 };
-        // SAFETY: `delay` is valid for reads; the remaining time is not asked for.
+        // SAFETY: `delay` is valid for reads; the remaining time is not requested.
         unsafe { libc::nanosleep(&delay, std::ptr::null_mut()) };
     }
     if length > 1 && is_selected(Setting::ShortWritePerMille) && is_tcp(fd) {
