--- a/crates/sailcart-sender/tests/client_disconnects.rs
+++ b/crates/sailcart-sender/tests/client_disconnects.rs
@@ -29,7 +29,7 @@
     harness.config = harness.config.replace(SLOW_ROUNDS.1, SLOW_ROUNDS.0);
 }
 
-/// The patience of a packet; the short one is over before the next round under [`SLOW_ROUNDS`].
+/// The patience of a packet; the short one has passed before the next round under [`SLOW_ROUNDS`].
 const USUAL_PATIENCE_MS: u32 = 8000;
 const SHORT_PATIENCE_MS: u32 = 400;
 
--- a/crates/sailcart-sender/tests/clock_steps.rs
+++ b/crates/sailcart-sender/tests/clock_steps.rs
@@ -13,14 +13,14 @@
 use sailcart_shim::{ControlPage, Setting};
 
 /// Steps of the wall clock, in seconds.
-const STEPS: [i64; 7] = [-3600, -40, -4, -1, 4, 40, 3600];
+const STEPS_SECONDS: [i64; 7] = [-3600, -40, -4, -1, 4, 40, 3600];
 /// The deduplication window in the example configuration.
 const WINDOW: &str = r#""dedup_window_ms": 25000"#;
 /// A window that ends within a test.
 const SHORT_WINDOW: &str = r#""dedup_window_ms": 1000"#;
 
-fn submit_with_deadline(world: &Harness, id: &str, deadline_ms: u32) -> String {
-    submit(world.listen_address, id, &format!("c=notice,t=acme,d={deadline_ms},k={id},dest=7"), "hello")
+fn submit_with_deadline(harness: &Harness, id: &str, deadline_ms: u32) -> String {
+    submit(harness.listen_address, id, &format!("c=notice,t=acme,d={deadline_ms},k={id},dest=7"), "hello")
         .expect("an answer")
 }
 
@@ -40,7 +40,7 @@
     run: impl Fn(&str, &dyn Fn(&ControlPage, bool)) + Send + Sync,
 ) {
     thread::scope(|scope| {
-        for seconds in STEPS {
+        for seconds in STEPS_SECONDS {
             let run = &run;
             scope.spawn(move || {
                 // The scenario calls this before and after the process ends; one of the calls steps.
@@ -62,19 +62,20 @@
 fn nothing_is_repeated_after_the_deduplication_window() {
     for while_running in [false, true] {
         for_each_step("window-over", while_running, |scenario, step| {
-            let (mut world, page) = Harness::with_fault_injection(scenario, first_call_hangs);
-            world.restart_with(&[(WINDOW, SHORT_WINDOW)]);
-            assert_eq!(submit_with_deadline(&world, "a1", 20_000), "+OK");
-            world.wait_until("the call", |world| world.received_ids() == ["a1"]);
+            let (mut harness, page) = Harness::with_fault_injection(scenario, first_call_hangs);
+            harness.restart_with(&[(WINDOW, SHORT_WINDOW)]);
+            assert_eq!(submit_with_deadline(&harness, "a1", 20_000), "+OK");
+            harness.wait_until("the call", |harness| harness.received_ids() == ["a1"]);
             step(&page, true);
-            world.kill();
+            harness.kill();
             sleep(Duration::from_millis(1300));
             step(&page, false);
-            world.start();
-            world
-                .wait_until("the completion", |world| world.notices().iter().any(|line| line.contains("a1")));
+            harness.start();
+            harness.wait_until("the completion", |harness| {
+                harness.notices().iter().any(|line| line.contains("a1"))
+            });
             sleep(Duration::from_millis(500));
-            assert_eq!(world.received_ids(), ["a1"], "{scenario}: executed twice");
+            assert_eq!(harness.received_ids(), ["a1"], "{scenario}: executed twice");
         });
     }
 }
@@ -84,16 +85,16 @@
 fn packets_are_repeated_within_the_deduplication_window() {
     for while_running in [false, true] {
         for_each_step("window-open", while_running, |scenario, step| {
-            let (mut world, page) = Harness::with_fault_injection(scenario, first_call_hangs);
-            assert_eq!(submit_with_deadline(&world, "a1", 20_000), "+OK");
-            world.wait_until("the call", |world| world.received_ids() == ["a1"]);
+            let (mut harness, page) = Harness::with_fault_injection(scenario, first_call_hangs);
+            assert_eq!(submit_with_deadline(&harness, "a1", 20_000), "+OK");
+            harness.wait_until("the call", |harness| harness.received_ids() == ["a1"]);
             step(&page, true);
-            world.kill();
+            harness.kill();
             sleep(Duration::from_millis(300));
             step(&page, false);
-            world.start();
-            world.wait_until("the repeated call", |world| world.received_ids() == ["a1", "a1"]);
-            assert_eq!(world.notices(), [""; 0], "{scenario}: abandoned early");
+            harness.start();
+            harness.wait_until("the repeated call", |harness| harness.received_ids() == ["a1", "a1"]);
+            assert_eq!(harness.notices(), [""; 0], "{scenario}: abandoned early");
         });
     }
 }
@@ -102,24 +103,24 @@
 /// since the wait ends with the restart.
 fn undispatched_packets_are_sent_after_a_step() {
     for_each_step("untried", false, |scenario, step| {
-        let (mut world, page) = Harness::with_fault_injection(scenario, |number, _| match number {
+        let (mut harness, page) = Harness::with_fault_injection(scenario, |number, _| match number {
             0 => http_response("429 Too Many Requests", "Retry-After: 2.0\r\n", ""),
             _ => http_response("200 OK", "", ""),
         });
-        assert_eq!(submit_with_deadline(&world, "a1", 20_000), "+OK");
-        world.wait_until("the Retry-After wait", |world| world.log().contains("packet a1 from"));
+        assert_eq!(submit_with_deadline(&harness, "a1", 20_000), "+OK");
+        harness.wait_until("the Retry-After wait", |harness| harness.log().contains("packet a1 from"));
         assert_eq!(
-            (submit_with_deadline(&world, "b2", 20_000), submit_with_deadline(&world, "c3", 20_000)),
+            (submit_with_deadline(&harness, "b2", 20_000), submit_with_deadline(&harness, "c3", 20_000)),
             ("+OK".into(), "+OK".into())
         );
-        world.kill();
+        harness.kill();
         sleep(Duration::from_millis(300));
         step(&page, false);
-        world.start();
-        world.wait_until("both calls", |world| {
-            ["b2", "c3"].iter().all(|id| world.received_ids().contains(&(*id).to_owned()))
+        harness.start();
+        harness.wait_until("both calls", |harness| {
+            ["b2", "c3"].iter().all(|id| harness.received_ids().contains(&(*id).to_owned()))
         });
-        assert_eq!(world.notices(), [""; 0], "{scenario}: abandoned early");
+        assert_eq!(harness.notices(), [""; 0], "{scenario}: abandoned early");
     });
 }
 
@@ -127,19 +128,20 @@
 fn deadline_is_measured_in_real_time() {
     for while_running in [false, true] {
         for_each_step("deadline", while_running, |scenario, step| {
-            let (mut world, page) = Harness::with_fault_injection(scenario, |_, _| {
+            let (mut harness, page) = Harness::with_fault_injection(scenario, |_, _| {
                 http_response("429 Too Many Requests", "Retry-After: 1.9\r\n", "")
             });
             let start = Instant::now();
-            assert_eq!(submit_with_deadline(&world, "a1", 5000), "+OK");
-            world.wait_until("the Retry-After wait", |world| world.log().contains("packet a1 from"));
+            assert_eq!(submit_with_deadline(&harness, "a1", 5000), "+OK");
+            harness.wait_until("the Retry-After wait", |harness| harness.log().contains("packet a1 from"));
             step(&page, true);
-            world.kill();
+            harness.kill();
             sleep(Duration::from_millis(300));
             step(&page, false);
-            world.start();
-            world
-                .wait_until("the completion", |world| world.notices().iter().any(|line| line.contains("a1")));
+            harness.start();
+            harness.wait_until("the completion", |harness| {
+                harness.notices().iter().any(|line| line.contains("a1"))
+            });
             let elapsed = start.elapsed();
             assert!(
                 elapsed > Duration::from_millis(3500),
@@ -165,15 +167,15 @@
 #[test]
 fn retry_after_wait_is_measured_in_real_time() {
     for_each_step("wait", true, |scenario, step| {
-        let (world, page) = Harness::with_fault_injection(scenario, |number, _| match number {
+        let (harness, page) = Harness::with_fault_injection(scenario, |number, _| match number {
             0 => http_response("429 Too Many Requests", "Retry-After: 2.0\r\n", ""),
             _ => http_response("200 OK", "", ""),
         });
-        assert_eq!(submit_with_deadline(&world, "a1", 20_000), "+OK");
-        world.wait_until("the Retry-After wait", |world| world.log().contains("packet a1 from"));
+        assert_eq!(submit_with_deadline(&harness, "a1", 20_000), "+OK");
+        harness.wait_until("the Retry-After wait", |harness| harness.log().contains("packet a1 from"));
         let wait_started_at = Instant::now();
         step(&page, true);
-        world.wait_until("the next call", |world| world.received_ids().len() == 2);
+        harness.wait_until("the next call", |harness| harness.received_ids().len() == 2);
         let waited = wait_started_at.elapsed();
         assert!(waited > Duration::from_millis(1850), "{scenario}: called after {waited:?}");
         assert!(waited < Duration::from_millis(3000), "{scenario}: called after {waited:?}");
@@ -185,15 +187,17 @@
 #[test]
 fn completed_id_is_remembered_after_a_step() {
     for_each_step("ids", false, |scenario, step| {
-        let (mut world, page) =
+        let (mut harness, page) =
             Harness::with_fault_injection(scenario, |_, _| http_response("200 OK", "", ""));
-        assert_eq!(submit_with_deadline(&world, "a1", 20_000), "+OK");
-        world.wait_until("the completion", |world| world.store_summary().contains("0 packets not completed"));
-        world.kill();
+        assert_eq!(submit_with_deadline(&harness, "a1", 20_000), "+OK");
+        harness.wait_until("the completion", |harness| {
+            harness.store_summary().contains("0 packets not completed")
+        });
+        harness.kill();
         step(&page, false);
-        world.start();
-        assert_eq!(submit_with_deadline(&world, "a1", 20_000), "+OK");
+        harness.start();
+        assert_eq!(submit_with_deadline(&harness, "a1", 20_000), "+OK");
         sleep(Duration::from_millis(500));
-        assert_eq!(world.received_ids(), ["a1"], "{scenario}: called a second time");
+        assert_eq!(harness.received_ids(), ["a1"], "{scenario}: called a second time");
     });
 }
--- a/crates/sailcart-sender/tests/end_to_end.rs
+++ b/crates/sailcart-sender/tests/end_to_end.rs
@@ -22,7 +22,7 @@
 /// An accepted packet is dispatched in one call, with its id and body, and causes no notice.
 #[test]
 fn accepted_packet_is_delivered_once() {
-    let world = Harness::new("delivered", |_, call| {
+    let harness = Harness::new("delivered", |_, call| {
         let expected = call.start == "POST /receive HTTP/1.1" && call.header("Idempotency-Key") == "a1";
         if expected && call.body == b"hello" {
             http_response("200 OK", "", "ok")
@@ -30,27 +30,27 @@
             http_response("400 Bad", "", "")
         }
     });
-    assert_eq!(world.submit("a1"), "+OK");
-    world.wait_until("the call", |world| world.received_ids() == ["a1"]);
+    assert_eq!(harness.submit("a1"), "+OK");
+    harness.wait_until("the call", |harness| harness.received_ids() == ["a1"]);
     sleep(Duration::from_millis(300));
-    assert_eq!((world.received_ids().len(), world.notices().len()), (1, 0));
+    assert_eq!((harness.received_ids().len(), harness.notices().len()), (1, 0));
 }
 
 /// A packet is dispatched again after a 429 with Retry-After, not before that wait has passed, and after its
 /// connection was closed without an answer.
 #[test]
 fn packet_is_repeated_after_retry_after_and_after_a_reset() {
-    let world = Harness::new("again", |number, _| match number {
+    let harness = Harness::new("again", |number, _| match number {
         0 => http_response("429 Too Many Requests", "Retry-After: 0.4\r\n", ""),
         1 => None,
         _ => http_response("200 OK", "", ""),
     });
     let start = Instant::now();
-    assert_eq!(world.submit("a1"), "+OK");
-    world.wait_until("the second call", |world| world.received_ids().len() >= 2);
+    assert_eq!(harness.submit("a1"), "+OK");
+    harness.wait_until("the second call", |harness| harness.received_ids().len() >= 2);
     assert!(start.elapsed() >= Duration::from_millis(400));
-    world.wait_until("the third call", |world| world.received_ids().len() == 3);
-    assert!(world.log().contains("code=peer_closed"));
+    harness.wait_until("the third call", |harness| harness.received_ids().len() == 3);
+    assert!(harness.log().contains("code=peer_closed"));
 }
 
 /// Malformed answers must not keep a call open until it times out. A status line with 200 completes a single
@@ -58,7 +58,7 @@
 /// executed. The connection of such an answer is not used again.
 #[test]
 fn malformed_answers_end_their_call_at_once() {
-    let world = Harness::new("malformed", |number, _| {
+    let harness = Harness::new("malformed", |number, _| {
         Some(match number {
             0 => "HTTP/1.1 200 OK\r\n\u{1}\u{2} no head".to_owned(),
             1 => "\0\0 noise".to_owned(),
@@ -71,31 +71,31 @@
         })
     });
     let start = Instant::now();
-    assert_eq!(world.submit("a1"), "+OK");
-    world.wait_until("the completion", |world| world.log().contains("packet a1 from"));
-    assert_eq!(world.submit("b2"), "+OK");
+    assert_eq!(harness.submit("a1"), "+OK");
+    harness.wait_until("the completion", |harness| harness.log().contains("packet a1 from"));
+    assert_eq!(harness.submit("b2"), "+OK");
     let calls = ["a1", "b2", "b2", "b2", "b2", "b2"];
-    world.wait_until("the calls", |world| world.received_ids() == calls);
+    harness.wait_until("the calls", |harness| harness.received_ids() == calls);
     assert!(start.elapsed() < Duration::from_secs(6), "{:?}", start.elapsed());
-    world.wait_until("the answer", |world| {
-        world.log().contains("packet b2 from") && world.log().contains("Done")
+    harness.wait_until("the answer", |harness| {
+        harness.log().contains("packet b2 from") && harness.log().contains("Done")
     });
-    assert_eq!(world.submit("c3"), "+OK");
-    world.wait_until("the completion", |world| world.log().contains("packet c3 from"));
+    assert_eq!(harness.submit("c3"), "+OK");
+    harness.wait_until("the completion", |harness| harness.log().contains("packet c3 from"));
     sleep(Duration::from_millis(600));
     assert_eq!(
-        world.received_ids().len(),
+        harness.received_ids().len(),
         calls.len() + 1,
         "a packet that was answered 200 was dispatched again"
     );
-    assert!(world.log().contains("code=malformed"));
+    assert!(harness.log().contains("code=malformed"));
 }
 
 /// An endpoint that gets the address of a removed one is called on new connections: an idle connection may
 /// still lead to the old one.
 #[test]
 fn endpoint_at_a_reused_address_gets_new_connections() {
-    let world = Harness::new("replaced", |_, _| None);
+    let harness = Harness::new("replaced", |_, _| None);
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free address");
     let address = listener.local_addr().expect("an address");
     let (call_sender, calls) = std::sync::mpsc::channel();
@@ -115,12 +115,12 @@
         }
     });
     for (version, name, connection) in [(2, "f", 0), (3, "f", 0), (4, "g", 1), (5, "g", 1)] {
-        world.platform.set_list(&[list_entry(name, address, 7, "Ready")]);
-        world.wait_until("the list update", |world| {
-            world.log().contains(&format!("discovery: version {version}"))
+        harness.platform.set_list(&[list_entry(name, address, 7, "Ready")]);
+        harness.wait_until("the list update", |harness| {
+            harness.log().contains(&format!("discovery: version {version}"))
         });
         sleep(Duration::from_millis(500)); // calls in flight to a removed endpoint have completed
-        assert_eq!(world.submit(&format!("a{version}")), "+OK");
+        assert_eq!(harness.submit(&format!("a{version}")), "+OK");
         assert_eq!(calls.recv_timeout(Duration::from_secs(5)), Ok(connection), "version {version}");
     }
 }
@@ -129,9 +129,9 @@
 /// closed already, since it would be lost.
 #[test]
 fn no_call_is_sent_on_a_connection_closed_by_its_peer() {
-    let world = Harness::new("closed", |_, _| None);
+    let harness = Harness::new("closed", |_, _| None);
     let endpoint = TcpListener::bind("127.0.0.1:0").expect("a free address");
-    world.platform.set_list(&[list_entry("f", endpoint.local_addr().expect("an address"), 7, "Ready")]);
+    harness.platform.set_list(&[list_entry("f", endpoint.local_addr().expect("an address"), 7, "Ready")]);
     let calls = std::thread::spawn(move || {
         for _ in 0..3 {
             let (mut stream, _) = endpoint.accept().expect("a connection");
@@ -140,42 +140,43 @@
             stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").expect("an answer");
         }
     });
-    world.wait_until("the list update", |world| world.log().contains("discovery: version 2"));
+    harness.wait_until("the list update", |harness| harness.log().contains("discovery: version 2"));
     for id in ["a1", "a2", "a3"] {
-        assert_eq!(world.submit(id), "+OK");
+        assert_eq!(harness.submit(id), "+OK");
         sleep(Duration::from_millis(100));
     }
-    world.wait_until("all calls", |_| calls.is_finished());
-    assert!(!world.log().contains("Reset after"), "{}", world.log());
+    harness.wait_until("all calls", |_| calls.is_finished());
+    assert!(!harness.log().contains("Reset after"), "{}", harness.log());
 }
 
 /// A packet is in the journal before `+OK` is sent: after SIGKILL the next process delivers it, once, and the
 /// process after that finds an empty journal.
 #[test]
 fn accepted_packet_survives_sigkill() {
-    let mut world = Harness::new("killed", |number, _| {
+    let mut harness = Harness::new("killed", |number, _| {
         if number == 0 {
             sleep(Duration::from_secs(20));
         }
         http_response("200 OK", "", "")
     });
-    assert_eq!(world.submit("a1"), "+OK");
-    world.wait_until("the first call", |world| world.received_ids().len() == 1);
-    world.kill();
-    world.start();
-    world.wait_until("the call of the second process", |world| world.received_ids() == ["a1", "a1"]);
-    world.wait_until("the recovery", |world| world.log().contains("recovery: 1 packets"));
+    assert_eq!(harness.submit("a1"), "+OK");
+    harness.wait_until("the first call", |harness| harness.received_ids().len() == 1);
+    harness.kill();
+    harness.start();
+    harness.wait_until("the call of the second process", |harness| harness.received_ids() == ["a1", "a1"]);
+    harness.wait_until("the recovery", |harness| harness.log().contains("recovery: 1 packets"));
     sleep(Duration::from_millis(100));
-    world.kill();
-    world.start();
-    world.wait_until("an empty journal", |world| world.log().contains("recovery: 0 packets, 0 notices"));
-    assert_eq!((world.received_ids().len(), world.notices().len()), (2, 0));
+    harness.kill();
+    harness.start();
+    harness
+        .wait_until("an empty journal", |harness| harness.log().contains("recovery: 0 packets, 0 notices"));
+    assert_eq!((harness.received_ids().len(), harness.notices().len()), (2, 0));
 }
 
 /// No accepted packet is lost, whenever SIGKILL arrives.
 #[test]
 fn all_accepted_packets_survive_repeated_sigkill() {
-    let mut world = Harness::new("kills", |_, _| {
+    let mut harness = Harness::new("kills", |_, _| {
         sleep(Duration::from_millis(30));
         http_response("200 OK", "", "")
     });
@@ -183,18 +184,18 @@
     for (process_number, delay_ms) in [1, 12, 25, 45].into_iter().enumerate() {
         for number in 0..6 {
             let id = format!("{process_number}-{number}");
-            assert_eq!(world.submit(&id), "+OK");
+            assert_eq!(harness.submit(&id), "+OK");
             accepted_ids.push(id);
         }
         sleep(Duration::from_millis(delay_ms));
-        world.kill();
-        world.start();
+        harness.kill();
+        harness.start();
     }
-    world.wait_until("a call for each", |world| {
-        accepted_ids.iter().all(|id| world.received_ids().contains(id))
+    harness.wait_until("a call for each", |harness| {
+        accepted_ids.iter().all(|id| harness.received_ids().contains(id))
     });
-    world.wait_until("an empty journal", |world| world.received_ids().len() >= accepted_ids.len());
-    assert_eq!(world.notices().len(), 0);
+    harness.wait_until("an empty journal", |harness| harness.received_ids().len() >= accepted_ids.len());
+    assert_eq!(harness.notices().len(), 0);
 }
 
 /// The wall clock may have been set back between two processes. A call with a time in the future was sent at
@@ -202,11 +203,11 @@
 /// hour.
 #[test]
 fn call_with_a_future_time_is_not_repeated() {
-    let mut world = Harness::new("clock", |_, _| http_response("200 OK", "", ""));
-    world.kill();
+    let mut harness = Harness::new("clock", |_, _| http_response("200 OK", "", ""));
+    harness.kill();
     let future = SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock") + Duration::from_secs(3600);
     let mut ledger =
-        Ledger::open(&world.folder, 3_000_000, 100, sailcart_store::SyncPolicy::None).expect("a journal");
+        Ledger::open(&harness.folder, 3_000_000, 100, sailcart_store::SyncPolicy::None).expect("a journal");
     let number = ledger.next_number();
     let packet = Packet {
         number,
@@ -222,143 +223,146 @@
     ledger.accept(packet).expect("capacity");
     ledger.record_dispatch(&[number], Moment::by_wall_clock(future)).expect("capacity");
     drop(ledger);
-    world.start();
-    world.wait_until("the notice", |world| !world.notices().is_empty());
-    assert!(world.notices()[0].contains("handed_back"), "{:?}", world.notices());
-    assert_eq!(world.received_ids(), [""; 0], "it was dispatched again");
+    harness.start();
+    harness.wait_until("the notice", |harness| !harness.notices().is_empty());
+    assert!(harness.notices()[0].contains("handed_back"), "{:?}", harness.notices());
+    assert_eq!(harness.received_ids(), [""; 0], "it was dispatched again");
 }
 
 /// An unrepeatable packet that may have been executed is scrapped, and the platform is notified, by a later
 /// process if it does not accept the notice before.
 #[test]
 fn unrepeatable_packet_is_scrapped_after_sigkill() {
-    let mut world = Harness::new("scrapped", |_, _| {
+    let mut harness = Harness::new("scrapped", |_, _| {
         sleep(Duration::from_secs(20));
         None
     });
-    world.kill();
-    world.config = world.config.replace(r#""repeat": "dedup""#, r#""repeat": "fragile""#);
-    world.start();
-    assert_eq!(world.submit("a1"), "+OK");
-    world.wait_until("the call", |world| world.received_ids().len() == 1);
-    world.kill();
-    world.platform.reject_notices.store(true, Ordering::Relaxed);
-    world.start();
-    world.wait_until("the notice", |world| world.log().contains("notices: code=not_told"));
-    world.kill();
-    world.platform.reject_notices.store(false, Ordering::Relaxed);
-    world.start();
-    world.wait_until("the notice", |world| !world.notices().is_empty());
-    assert_eq!(world.notices(), [r#"{"message":"a1","outcome":"given_up"}"#]);
-    assert_eq!(world.received_ids().len(), 1);
+    harness.kill();
+    harness.config = harness.config.replace(r#""repeat": "dedup""#, r#""repeat": "fragile""#);
+    harness.start();
+    assert_eq!(harness.submit("a1"), "+OK");
+    harness.wait_until("the call", |harness| harness.received_ids().len() == 1);
+    harness.kill();
+    harness.platform.reject_notices.store(true, Ordering::Relaxed);
+    harness.start();
+    harness.wait_until("the notice", |harness| harness.log().contains("notices: code=not_told"));
+    harness.kill();
+    harness.platform.reject_notices.store(false, Ordering::Relaxed);
+    harness.start();
+    harness.wait_until("the notice", |harness| !harness.notices().is_empty());
+    assert_eq!(harness.notices(), [r#"{"message":"a1","outcome":"given_up"}"#]);
+    assert_eq!(harness.received_ids().len(), 1);
 }
 
 /// On SIGTERM, calls in flight complete, new packets are rejected, and the process ends by itself.
 #[test]
 fn stop_completes_calls_in_flight() {
-    let mut world = Harness::new("stopped", |_, _| {
+    let mut harness = Harness::new("stopped", |_, _| {
         sleep(Duration::from_millis(900));
         http_response("200 OK", "", "")
     });
-    assert_eq!(world.submit("a1"), "+OK");
-    world.wait_until("the call", |world| world.received_ids().len() == 1);
-    let pid = world.sender.as_ref().expect("a sender").id().to_string();
+    assert_eq!(harness.submit("a1"), "+OK");
+    harness.wait_until("the call", |harness| harness.received_ids().len() == 1);
+    let pid = harness.sender.as_ref().expect("a sender").id().to_string();
     assert!(Command::new("kill").arg(pid).status().expect("a signal").success());
-    world.wait_until("the stop", |world| world.log().contains("code=sigterm"));
-    assert_eq!(world.submit("b2"), "-BUSY 2000");
+    harness.wait_until("the stop", |harness| harness.log().contains("code=sigterm"));
+    assert_eq!(harness.submit("b2"), "-BUSY 2000");
     let elapsed = {
-        let mut sender = world.sender.take().expect("a sender");
+        let mut sender = harness.sender.take().expect("a sender");
         let start = Instant::now();
         assert!(sender.wait().expect("an exit status").success());
         start.elapsed()
     };
     assert!(elapsed < Duration::from_secs(3), "{elapsed:?}");
-    world.start();
-    world.wait_until("an empty journal", |world| world.log().matches("recovery: 0 packets").count() == 2);
-    assert_eq!(world.received_ids(), ["a1"]);
+    harness.start();
+    harness
+        .wait_until("an empty journal", |harness| harness.log().matches("recovery: 0 packets").count() == 2);
+    assert_eq!(harness.received_ids(), ["a1"]);
 }
 
 /// A sender without calls in flight has nothing to wait for on SIGTERM.
 #[test]
 fn idle_sender_stops_at_once() {
-    let mut world = Harness::new("idle", |_, _| http_response("200 OK", "", ""));
-    assert!(world.terminate() < Duration::from_secs(2));
+    let mut harness = Harness::new("idle", |_, _| http_response("200 OK", "", ""));
+    assert!(harness.terminate() < Duration::from_secs(2));
 }
 
 /// No packet is dispatched to an endpoint that drains or has left the list.
 #[test]
 fn draining_endpoint_gets_no_packets() {
-    let world = Harness::new("drained", |_, _| http_response("200 OK", "", ""));
-    world.platform.set_list(&[list_entry("e", world.endpoint_address, 7, "Terminating")]);
-    world.wait_until("the list update", |world| world.log().contains("discovery: version 2"));
-    assert_eq!(world.submit("a1"), "+OK");
+    let harness = Harness::new("drained", |_, _| http_response("200 OK", "", ""));
+    harness.platform.set_list(&[list_entry("e", harness.endpoint_address, 7, "Terminating")]);
+    harness.wait_until("the list update", |harness| harness.log().contains("discovery: version 2"));
+    assert_eq!(harness.submit("a1"), "+OK");
     sleep(Duration::from_millis(300));
-    assert_eq!(world.received_ids().len(), 0);
-    world.platform.set_list(&[list_entry("f", world.endpoint_address, 7, "Ready")]);
-    world.wait_until("the call", |world| world.received_ids() == ["a1"]);
+    assert_eq!(harness.received_ids().len(), 0);
+    harness.platform.set_list(&[list_entry("f", harness.endpoint_address, 7, "Ready")]);
+    harness.wait_until("the call", |harness| harness.received_ids() == ["a1"]);
 }
 
 /// A destination whose only endpoint was draining when it was first listed is known. Its clients once got
 /// "unknown destination".
 #[test]
 fn destination_with_only_draining_endpoints_is_known() {
-    let world = Harness::new("drains", |_, _| http_response("200 OK", "", ""));
-    world.platform.set_list(&[list_entry("g", world.endpoint_address, 9, "Terminating")]);
-    world.wait_until("the list update", |world| world.log().contains("discovery: version 2"));
+    let harness = Harness::new("drains", |_, _| http_response("200 OK", "", ""));
+    harness.platform.set_list(&[list_entry("g", harness.endpoint_address, 9, "Terminating")]);
+    harness.wait_until("the list update", |harness| harness.log().contains("discovery: version 2"));
     let fields = "c=notice,t=acme,d=8000,k=a1,dest=9";
-    assert_eq!(submit(world.listen_address, "a1", fields, "hello").as_deref().ok(), Some("+OK"));
+    assert_eq!(submit(harness.listen_address, "a1", fields, "hello").as_deref().ok(), Some("+OK"));
 }
 
 /// On SIGHUP, an invalid file changes nothing. A new address of discovery is used at once, even while a watch
 /// is held at the old address, and notices are sent to the new one.
 #[test]
 fn reload_moves_discovery() {
-    let mut world = Harness::new("moved", |_, _| None);
+    let mut harness = Harness::new("moved", |_, _| None);
     let (new_discovery, platform) = Platform::start("127.0.0.1:0");
-    (0..2).for_each(|_| platform.set_list(&[list_entry("f", world.endpoint_address, 8, "Ready")]));
-    world.reload(&world.config.replace(r#""call_slots": 8"#, r#""call_slots": 0"#));
+    (0..2).for_each(|_| platform.set_list(&[list_entry("f", harness.endpoint_address, 8, "Ready")]));
+    harness.reload(&harness.config.replace(r#""call_slots": 8"#, r#""call_slots": 0"#));
     let rejected =
         "the old configuration stays in force, code=faulty settings: expected more than 0 in call_slots";
-    world.wait_until("the rejected reload", |world| world.log().contains(rejected));
-    world.config = world.config.replace(&world.discovery_address.to_string(), &new_discovery.to_string());
-    world.platform.reject_notices.store(true, Ordering::Relaxed);
+    harness.wait_until("the rejected reload", |harness| harness.log().contains(rejected));
+    harness.config =
+        harness.config.replace(&harness.discovery_address.to_string(), &new_discovery.to_string());
+    harness.platform.reject_notices.store(true, Ordering::Relaxed);
     let start = Instant::now();
-    world.reload(&world.config);
-    world.wait_until("the new list", |world| world.log().contains("discovery: version 2, 1 entries"));
+    harness.reload(&harness.config);
+    harness.wait_until("the new list", |harness| harness.log().contains("discovery: version 2, 1 entries"));
     assert!(
         start.elapsed() < Duration::from_secs(1),
         "the sender waited for the watch held at the old address"
     );
     let fields = "c=notice,t=acme,d=700,dest=8";
-    assert_eq!(submit(world.listen_address, "a1", fields, "").expect("an answer"), "+OK");
-    world.wait_until("the notice", |_| !platform.notices.lock().expect("no panic").is_empty());
-    assert_eq!(world.notices().len(), 0);
+    assert_eq!(submit(harness.listen_address, "a1", fields, "").expect("an answer"), "+OK");
+    harness.wait_until("the notice", |_| !platform.notices.lock().expect("no panic").is_empty());
+    assert_eq!(harness.notices().len(), 0);
 }
 
 /// Discovery that answers 503 is not called again at once, the list stays in force, and one log line reports
 /// the failure. A change of its address takes effect during the backoff delay.
 #[test]
 fn overloaded_discovery_is_called_less_often() {
-    let mut world = Harness::new("overloaded-discovery", |_, _| http_response("200 OK", "", ""));
-    world.platform.overloaded.store(true, Ordering::Relaxed);
-    world.platform.set_list(&[list_entry("e", world.endpoint_address, 7, "Ready")]);
-    let rejected_calls = |world: &Harness| world.platform.rejected_list_requests.load(Ordering::Relaxed);
-    world.wait_until("the first rejected call", |world| rejected_calls(world) > 0);
+    let mut harness = Harness::new("overloaded-discovery", |_, _| http_response("200 OK", "", ""));
+    harness.platform.overloaded.store(true, Ordering::Relaxed);
+    harness.platform.set_list(&[list_entry("e", harness.endpoint_address, 7, "Ready")]);
+    let rejected_calls = |harness: &Harness| harness.platform.rejected_list_requests.load(Ordering::Relaxed);
+    harness.wait_until("the first rejected call", |harness| rejected_calls(harness) > 0);
     sleep(Duration::from_secs(2));
     assert!(
-        rejected_calls(&world) <= 3,
+        rejected_calls(&harness) <= 3,
         "discovery was called {} times in two seconds",
-        rejected_calls(&world)
+        rejected_calls(&harness)
     );
-    assert_eq!(world.log().matches("code=no_list").count(), 1);
-    assert_eq!(world.submit("a1"), "+OK");
-    world.wait_until("the call", |world| world.received_ids() == ["a1"]);
+    assert_eq!(harness.log().matches("code=no_list").count(), 1);
+    assert_eq!(harness.submit("a1"), "+OK");
+    harness.wait_until("the call", |harness| harness.received_ids() == ["a1"]);
     let (new_discovery, platform) = Platform::start("127.0.0.1:0");
-    (0..3).for_each(|_| platform.set_list(&[list_entry("e", world.endpoint_address, 7, "Ready")]));
-    world.config = world.config.replace(&world.discovery_address.to_string(), &new_discovery.to_string());
-    world.reload(&world.config);
+    (0..3).for_each(|_| platform.set_list(&[list_entry("e", harness.endpoint_address, 7, "Ready")]));
+    harness.config =
+        harness.config.replace(&harness.discovery_address.to_string(), &new_discovery.to_string());
+    harness.reload(&harness.config);
     let start = Instant::now();
-    world.wait_until("the new list", |world| world.log().contains("discovery: version 3, 1 entries"));
+    harness.wait_until("the new list", |harness| harness.log().contains("discovery: version 3, 1 entries"));
     assert!(start.elapsed() < Duration::from_secs(1), "the sender waited for the backoff delay");
 }
 
@@ -366,43 +370,43 @@
 /// in one line, and the full list is requested.
 #[test]
 fn invalid_lists_are_rejected() {
-    let world = Harness::new("invalid-lists", |_, _| http_response("200 OK", "", ""));
+    let harness = Harness::new("invalid-lists", |_, _| http_response("200 OK", "", ""));
     let invalid_lists =
         [r#"{"generation":0,"reset":true,"instances":[]}"#, r#"{"generation":9,"reset":true,"inst"#];
     for (index, invalid_list) in invalid_lists.into_iter().enumerate() {
         let version = format!("discovery: version {}, 1 entries", index + 2);
-        world.platform.set_list_and_next_response(
-            &[list_entry("e", world.endpoint_address, 7, "Ready")],
+        harness.platform.set_list_and_next_response(
+            &[list_entry("e", harness.endpoint_address, 7, "Ready")],
             invalid_list.to_owned(),
         );
-        world.wait_until("the full list again", |world| world.log().matches(&version).count() == 2);
-        assert_eq!(world.log().matches("code=no_list").count(), index + 1);
+        harness.wait_until("the full list again", |harness| harness.log().matches(&version).count() == 2);
+        assert_eq!(harness.log().matches("code=no_list").count(), index + 1);
     }
-    assert!(!world.log().contains("discovery: version 0"));
-    assert_eq!(world.submit("a1"), "+OK");
-    world.wait_until("the call", |world| world.received_ids() == ["a1"]);
+    assert!(!harness.log().contains("discovery: version 0"));
+    assert_eq!(harness.submit("a1"), "+OK");
+    harness.wait_until("the call", |harness| harness.received_ids() == ["a1"]);
 }
 
 /// All senders may start at once while discovery is unreachable: a sender uses the last known list from its
 /// configuration and logs one line.
 #[test]
 fn sender_starts_while_discovery_is_unreachable() {
-    let mut world = Harness::new("discovery-unreachable", |_, _| http_response("200 OK", "", ""));
-    world.kill();
+    let mut harness = Harness::new("discovery-unreachable", |_, _| http_response("200 OK", "", ""));
+    harness.kill();
     let known_list = format!(
         r#""generation": 5, "reset": true, "instances": [{}]"#,
-        list_entry("e", world.endpoint_address, 7, "Ready")
+        list_entry("e", harness.endpoint_address, 7, "Ready")
     );
     let unreachable =
         TcpListener::bind("127.83.2.1:0").and_then(|socket| socket.local_addr()).expect("an address");
-    let config = world.config.replace(r#""generation": 0, "reset": true, "instances": []"#, &known_list);
-    world.config = config.replace(&world.discovery_address.to_string(), &unreachable.to_string());
-    fs::write(world.folder.join("log"), "").expect("an empty log");
-    world.start();
-    assert_eq!(world.submit("a1"), "+OK");
-    world.wait_until("the call", |world| world.received_ids() == ["a1"]);
+    let config = harness.config.replace(r#""generation": 0, "reset": true, "instances": []"#, &known_list);
+    harness.config = config.replace(&harness.discovery_address.to_string(), &unreachable.to_string());
+    fs::write(harness.folder.join("log"), "").expect("an empty log");
+    harness.start();
+    assert_eq!(harness.submit("a1"), "+OK");
+    harness.wait_until("the call", |harness| harness.received_ids() == ["a1"]);
     sleep(Duration::from_secs(1));
-    assert_eq!(world.log().matches("code=no_list").count(), 1);
+    assert_eq!(harness.log().matches("code=no_list").count(), 1);
 }
 
 /// A limit reported in answers has to reach the decision module. One of a hundred senders starts at one call
@@ -410,15 +414,15 @@
 #[test]
 fn limits_reported_in_answers_are_applied() {
     let report = |number: usize| format!("X-Load-Report: x0=0.{},x1=100\r\n", 99 - number);
-    let mut world =
+    let mut harness =
         Harness::new("reported-limit", move |number, _| http_response("200 OK", &report(number), ""));
-    world.kill();
+    harness.kill();
     let hundred_senders = r#""balancers": 100, "report": { "how": "answers", "columns": ["x0", "x1"] },"#;
-    world.config = world.config.replace(r#""balancers": 1,"#, hundred_senders);
-    world.start();
+    harness.config = harness.config.replace(r#""balancers": 1,"#, hundred_senders);
+    harness.start();
     let start = Instant::now();
-    (0..6).for_each(|number| assert_eq!(world.submit(&format!("a{number}")), "+OK"));
-    world.wait_until("all calls", |world| world.received_ids().len() == 6);
+    (0..6).for_each(|number| assert_eq!(harness.submit(&format!("a{number}")), "+OK"));
+    harness.wait_until("all calls", |harness| harness.received_ids().len() == 6);
     assert!(
         start.elapsed() < Duration::from_secs(3),
         "without the reported limit it takes more than four seconds"
@@ -429,12 +433,12 @@
 /// packet is completed already.
 #[test]
 fn duplicate_submission_does_not_affect_its_packet() {
-    let world = Harness::new("duplicate", |_, _| http_response("200 OK", "", ""));
+    let harness = Harness::new("duplicate", |_, _| http_response("200 OK", "", ""));
     let arguments = ["MSG.PUT", "0", "a1", "c=notice,t=acme,d=8000,dest=7", ""];
     let bulk = |argument: &str| format!("${}\r\n{argument}\r\n", argument.len());
     let command = format!("*5\r\n{}", arguments.map(bulk).concat());
     let mut clients: Vec<_> =
-        (0..4).map(|_| TcpStream::connect(world.listen_address).expect("a connection")).collect();
+        (0..4).map(|_| TcpStream::connect(harness.listen_address).expect("a connection")).collect();
     clients
         .iter_mut()
         .for_each(|client| client.write_all(command.as_bytes()).expect("the command is written"));
@@ -443,35 +447,35 @@
         client.read_exact(&mut reply).expect("an answer");
         assert_eq!(&reply, b"+OK\r\n");
     }
-    world.wait_until("the call", |world| world.received_ids() == ["a1"]);
+    harness.wait_until("the call", |harness| harness.received_ids() == ["a1"]);
     sleep(Duration::from_millis(100));
-    assert_eq!(world.submit("a1"), "+OK", "a duplicate of a completed packet");
+    assert_eq!(harness.submit("a1"), "+OK", "a duplicate of a completed packet");
     sleep(Duration::from_millis(100));
-    assert_eq!(world.received_ids(), ["a1"]);
+    assert_eq!(harness.received_ids(), ["a1"]);
 }
 
 /// Malformed, oversized, slow and unknown commands each get an error reply, are logged at a bounded rate, and
 /// do not affect other clients.
 #[test]
 fn invalid_input_gets_an_error_reply() {
-    let world = Harness::new("bad", |_, _| http_response("200 OK", "", ""));
+    let harness = Harness::new("bad", |_, _| http_response("200 OK", "", ""));
     assert_eq!(
-        send_command(world.listen_address, "GET / HTTP/1.1\r\n\r\n").expect("a reply"),
+        send_command(harness.listen_address, "GET / HTTP/1.1\r\n\r\n").expect("a reply"),
         "-ERR expected an array of bulk strings"
     );
-    assert_eq!(send_command(world.listen_address, "*1\r\n$999999\r\n").expect("a reply"), "-ERR too large");
-    assert_eq!(send_command(world.listen_address, "*1\r\n$4\r\nPI").expect("a reply"), "-ERR slow");
+    assert_eq!(send_command(harness.listen_address, "*1\r\n$999999\r\n").expect("a reply"), "-ERR too large");
+    assert_eq!(send_command(harness.listen_address, "*1\r\n$4\r\nPI").expect("a reply"), "-ERR slow");
     assert_eq!(
-        send_command(world.listen_address, "*1\r\n$5\r\nHELLO\r\n").expect("a reply"),
+        send_command(harness.listen_address, "*1\r\n$5\r\nHELLO\r\n").expect("a reply"),
         "-ERR unknown command"
     );
-    let mut malformed_client = TcpStream::connect(world.listen_address).expect("a connection");
+    let mut malformed_client = TcpStream::connect(harness.listen_address).expect("a connection");
     malformed_client.set_read_timeout(Some(Duration::from_secs(5))).expect("a time-out");
     malformed_client.write_all(b"*2\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n").expect("the command is written");
     let mut reply = String::new();
     malformed_client.read_to_string(&mut reply).expect("the end of the connection");
     assert_eq!(reply, "-ERR wrong number of arguments\r\n");
-    let mut slow_client = TcpStream::connect(world.listen_address).expect("a connection");
+    let mut slow_client = TcpStream::connect(harness.listen_address).expect("a connection");
     let start = Instant::now();
     slow_client.write_all(b"*1\r\n$600\r\n").expect("the command is written");
     while slow_client.write_all(b"x").is_ok() && start.elapsed() < Duration::from_secs(5) {
@@ -482,35 +486,36 @@
         "a client that sends single bytes keeps its connection"
     );
     let unknown_category =
-        submit(world.listen_address, "a1", "c=other,t=acme,d=8000,dest=7", "").expect("a reply");
+        submit(harness.listen_address, "a1", "c=other,t=acme,d=8000,dest=7", "").expect("a reply");
     assert_eq!(unknown_category, "-ERR unknown category");
     let unknown_destination =
-        submit(world.listen_address, "a1", "c=notice,t=acme,d=8000,dest=70000", "").expect("a reply");
+        submit(harness.listen_address, "a1", "c=notice,t=acme,d=8000,dest=70000", "").expect("a reply");
     assert_eq!(unknown_destination, "-ERR unknown destination");
-    let mut persistent_client = TcpStream::connect(world.listen_address).expect("a connection");
+    let mut persistent_client = TcpStream::connect(harness.listen_address).expect("a connection");
     persistent_client
         .write_all("*1\r\n$5\r\nHELLO\r\n".repeat(300).as_bytes())
         .expect("the command is written");
     persistent_client.shutdown(std::net::Shutdown::Write).expect("a half-closed connection");
     persistent_client.read_to_string(&mut String::new()).expect("the end of the connection");
-    world
-        .wait_until("the counts of the replies", |world| world.log().contains("answers=300 turned_away=300"));
-    assert!(world.log().matches("code=unknown_command").count() < 5);
-    world.wait_until("a log line for each error", |world| {
-        ["code=malformed", "code=oversized", "code=slow"].iter().all(|code| world.log().contains(code))
+    harness.wait_until("the counts of the replies", |harness| {
+        harness.log().contains("answers=300 turned_away=300")
     });
-    assert_eq!(world.submit("a1"), "+OK");
+    assert!(harness.log().matches("code=unknown_command").count() < 5);
+    harness.wait_until("a log line for each error", |harness| {
+        ["code=malformed", "code=oversized", "code=slow"].iter().all(|code| harness.log().contains(code))
+    });
+    assert_eq!(harness.submit("a1"), "+OK");
 }
 
 /// Hundreds of pipelined commands are answered in order, without a round of waiting for each, also when the
 /// client has shut down its sending side. Malformed input after them gets an error reply.
 #[test]
 fn pipelined_commands_are_answered_in_order() {
-    let mut world = Harness::new("together", |_, _| http_response("200 OK", "", ""));
-    world.kill();
-    world.config = world.config.replace(r#""period_ms": 5"#, r#""period_ms": 50"#);
-    world.start();
-    let mut client = TcpStream::connect(world.listen_address).expect("a connection");
+    let mut harness = Harness::new("together", |_, _| http_response("200 OK", "", ""));
+    harness.kill();
+    harness.config = harness.config.replace(r#""period_ms": 5"#, r#""period_ms": 50"#);
+    harness.start();
+    let mut client = TcpStream::connect(harness.listen_address).expect("a connection");
     let submission = |number: usize| {
         let (id, fields) = (format!("a{number}"), "c=notice,t=acme,d=8000,dest=7");
         let bulk = |argument: &str| format!("${}\r\n{argument}\r\n", argument.len());
@@ -532,67 +537,67 @@
 /// start.
 #[test]
 fn second_sender_on_a_folder_fails_to_start() {
-    let world = Harness::new("shared", |_, _| http_response("200 OK", "", ""));
+    let harness = Harness::new("shared", |_, _| http_response("200 OK", "", ""));
     let mut second = Command::new(env!("CARGO_BIN_EXE_sailcart"));
-    let second = second.arg("serve").arg("--config").arg(world.folder.join("config.json")).output();
+    let second = second.arg("serve").arg("--config").arg(harness.folder.join("config.json")).output();
     let second = second.expect("a run");
     let stderr = String::from_utf8_lossy(&second.stderr).into_owned();
     assert!(!second.status.success() && stderr.contains("is in use by another sender"), "{stderr}");
-    assert_eq!(world.submit("a1"), "+OK");
+    assert_eq!(harness.submit("a1"), "+OK");
 }
 
-/// A packet that does not fit into the state folder is rejected, and its client is told when to submit it
-/// again.
+/// A packet that does not fit into the state folder is rejected, and the reply to its client requests a
+/// delay before it is submitted again.
 #[test]
 fn packet_beyond_the_folder_capacity_is_dismissed() {
-    let mut world = Harness::new("folder-capacity", |_, _| http_response("200 OK", "", ""));
-    world.kill();
-    world.config = world.config.replace(r#""disk_mb": 3"#, r#""disk_mb": 0.02"#);
-    world.start();
+    let mut harness = Harness::new("folder-capacity", |_, _| http_response("200 OK", "", ""));
+    harness.kill();
+    harness.config = harness.config.replace(r#""disk_mb": 3"#, r#""disk_mb": 0.02"#);
+    harness.start();
     let fields = "c=notice,t=acme,d=8000,dest=7";
     assert_eq!(
-        submit(world.listen_address, "a1", fields, &"x".repeat(6000)).expect("an answer"),
+        submit(harness.listen_address, "a1", fields, &"x".repeat(6000)).expect("an answer"),
         "-BUSY 2000"
     );
-    assert_eq!(submit(world.listen_address, "a2", fields, &"x".repeat(600)).expect("an answer"), "+OK");
-    world.wait_until("the call", |world| world.received_ids() == ["a2"]);
+    assert_eq!(submit(harness.listen_address, "a2", fields, &"x".repeat(600)).expect("an answer"), "+OK");
+    harness.wait_until("the call", |harness| harness.received_ids() == ["a2"]);
 }
 
 /// When the limit of open sockets is reached, a new client is accepted and the connection that was idle for
 /// longest is closed.
 #[test]
 fn client_connections_are_bounded() {
-    let mut world = Harness::new("bounded", |_, _| http_response("200 OK", "", ""));
-    world.kill();
-    world.config = world.config.replace(r#""sockets": 1024"#, r#""sockets": 56"#);
-    world.start();
-    let sockets = format!("/proc/{}/fd", world.sender.as_ref().expect("a sender").id());
+    let mut harness = Harness::new("bounded", |_, _| http_response("200 OK", "", ""));
+    harness.kill();
+    harness.config = harness.config.replace(r#""sockets": 1024"#, r#""sockets": 56"#);
+    harness.start();
+    let sockets = format!("/proc/{}/fd", harness.sender.as_ref().expect("a sender").id());
     let count_open = || fs::read_dir(&sockets).expect("its descriptors").count();
     let mut idle_clients: Vec<TcpStream> = Vec::new();
     let mut max_open = 0;
     for _ in 0..200 {
-        idle_clients.push(TcpStream::connect(world.listen_address).expect("a connection"));
+        idle_clients.push(TcpStream::connect(harness.listen_address).expect("a connection"));
         max_open = max_open.max(count_open());
     }
-    assert_eq!(world.submit("a1"), "+OK");
+    assert_eq!(harness.submit("a1"), "+OK");
     assert!(max_open <= 56, "{max_open} descriptors are open");
-    assert!(world.log().contains("code=evicted"));
+    assert!(harness.log().contains("code=evicted"));
 }
 
 /// A connection whose first command is on its way must not be evicted while there is one that has been
-/// answered. This comes from the recorded day curridabat-nuevo, on which very many clients connected.
+/// answered. Found on the recorded day curridabat-nuevo, on which very many clients connected.
 #[test]
 fn connection_with_a_pending_first_command_is_not_evicted() {
-    let mut world = Harness::new("eviction", |_, _| http_response("200 OK", "", ""));
-    world.kill();
-    world.config = world.config.replace(r#""sockets": 1024"#, r#""sockets": 56"#);
-    world.start();
+    let mut harness = Harness::new("eviction", |_, _| http_response("200 OK", "", ""));
+    harness.kill();
+    harness.config = harness.config.replace(r#""sockets": 1024"#, r#""sockets": 56"#);
+    harness.start();
     let ping = "*1\r\n$4\r\nPING\r\n";
-    let mut unanswered = TcpStream::connect(world.listen_address).expect("a connection");
+    let mut unanswered = TcpStream::connect(harness.listen_address).expect("a connection");
     sleep(Duration::from_millis(2500));
     let answered: Vec<TcpStream> = (0..40)
         .map(|_| {
-            let mut stream = TcpStream::connect(world.listen_address).expect("a connection");
+            let mut stream = TcpStream::connect(harness.listen_address).expect("a connection");
             stream
                 .write_all(ping.as_bytes())
                 .and_then(|()| stream.read_exact(&mut [0; 7]))
@@ -604,7 +609,7 @@
     let mut reply = [0; 7];
     unanswered.read_exact(&mut reply).expect("an answer");
     assert_eq!((&reply, answered.len()), (b"+PONG\r\n", 40));
-    assert!(world.log().contains("code=evicted answers=1"));
+    assert!(harness.log().contains("code=evicted answers=1"));
 }
 
 /// An invalid configuration is reported in one line that names the key.
--- a/crates/sailcart-sender/tests/endpoint_races.rs
+++ b/crates/sailcart-sender/tests/endpoint_races.rs
@@ -130,7 +130,7 @@
 }
 
 /// A response requests a wait (Retry-After) while the connection of another call is being established: that
-/// connection carries no call before the wait is over.
+/// connection carries no call before the wait has passed.
 #[test]
 fn a_connection_established_during_a_retry_after_wait_carries_no_call() {
     const RETRY_AFTER: Duration = Duration::from_millis(2500);
--- a/crates/sailcart-sender/tests/failing_state_folder.rs
+++ b/crates/sailcart-sender/tests/failing_state_folder.rs
@@ -1,6 +1,6 @@
 //! A state folder whose writes, truncations and syncs fail for a while (ENOSPC, EIO, partial writes), and a
-//! sender that is killed meanwhile. Accepted packets stay uncompleted until their end is recorded, completed
-//! ones stay completed, and every start succeeds.
+//! sender that is killed meanwhile. Accepted packets stay uncompleted until their completion is recorded,
+//! completed ones stay completed, and every start succeeds.
 
 use std::sync::Arc;
 use std::thread::sleep;
@@ -18,19 +18,19 @@
     name: &str,
     reply: impl Fn(usize, &Call) -> HttpReply + Send + Sync + 'static,
 ) -> (Harness, Arc<ControlPage>) {
-    let mut world = Harness::new(name, reply);
-    let page = world.attach_control_page();
-    world.restart_with(&[(r#""aim_ms": 3000"#, r#""aim_ms": 1000"#)]);
-    (world, page)
+    let mut harness = Harness::new(name, reply);
+    let page = harness.attach_control_page();
+    harness.restart_with(&[(r#""aim_ms": 3000"#, r#""aim_ms": 1000"#)]);
+    (harness, page)
 }
 
-fn submit_with_deadline(world: &Harness, id: &str, deadline_ms: u32) -> String {
-    submit(world.listen_address, id, &format!("c=notice,t=acme,d={deadline_ms},k={id},dest=7"), "hello")
+fn submit_with_deadline(harness: &Harness, id: &str, deadline_ms: u32) -> String {
+    submit(harness.listen_address, id, &format!("c=notice,t=acme,d={deadline_ms},k={id},dest=7"), "hello")
         .expect("an answer")
 }
 
-fn notices_of(world: &Harness, id: &str) -> usize {
-    world.notices().iter().filter(|line| line.contains(id)).count()
+fn notices_of(harness: &Harness, id: &str) -> usize {
+    harness.notices().iter().filter(|line| line.contains(id)).count()
 }
 
 /// The completion is decided while the folder fails, so the next process finds the packet as uncompleted and
@@ -38,31 +38,35 @@
 #[test]
 fn no_call_after_an_acknowledged_but_unrecorded_completion() {
     for errno in [ENOSPC, EIO] {
-        let (mut world, page) =
+        let (mut harness, page) =
             start_sender(&format!("end-unrecorded-{errno}"), |_, _| http_response("200 OK", "", ""));
         // Its only endpoint drains: the packet is dismissed after the soft limit, long before its deadline.
-        world.platform.set_list(&[list_entry("e", world.endpoint_address, 7, "Terminating")]);
-        world.wait_until("the draining endpoint", |world| world.log().contains("discovery: version 2"));
-        assert_eq!(submit_with_deadline(&world, "a1", 20_000), "+OK");
+        harness.platform.set_list(&[list_entry("e", harness.endpoint_address, 7, "Terminating")]);
+        harness.wait_until("the draining endpoint", |harness| harness.log().contains("discovery: version 2"));
+        assert_eq!(submit_with_deadline(&harness, "a1", 20_000), "+OK");
         page.fail_files(errno).expect("the control page");
-        world.wait_until("the completion", |world| world.log().contains("ends Dismissed"));
+        harness.wait_until("the completion", |harness| harness.log().contains("ends Dismissed"));
         sleep(Duration::from_millis(400)); // time for a notice to be sent
         assert!(page.count(FaultCounter::FileWrite) > 0, "no write failed");
-        let notices_before_kill = notices_of(&world, "a1");
-        world.kill();
+        let notices_before_kill = notices_of(&harness, "a1");
+        harness.kill();
         page.clear().expect("the control page");
-        world.platform.set_list(&[list_entry("f", world.endpoint_address, 7, "Ready")]);
-        world.start();
-        world.wait_until("the completion", |world| {
-            notices_of(world, "a1") > 0 || !world.received_ids().is_empty()
+        harness.platform.set_list(&[list_entry("f", harness.endpoint_address, 7, "Ready")]);
+        harness.start();
+        harness.wait_until("the completion", |harness| {
+            notices_of(harness, "a1") > 0 || !harness.received_ids().is_empty()
         });
         sleep(Duration::from_millis(500));
         assert!(
-            notices_before_kill == 0 || world.received_ids().is_empty(),
+            notices_before_kill == 0 || harness.received_ids().is_empty(),
             "called after its acknowledged completion: {}",
-            world.log()
+            harness.log()
+        );
+        assert!(
+            notices_before_kill > 0 || harness.received_ids() == ["a1"],
+            "not delivered: {}",
+            harness.log()
         );
-        assert!(notices_before_kill > 0 || world.received_ids() == ["a1"], "not delivered: {}", world.log());
     }
 }
 
@@ -71,18 +75,18 @@
 #[test]
 fn sender_starts_while_the_folder_fails() {
     for packet_stored in [false, true] {
-        let (mut world, page) =
+        let (mut harness, page) =
             start_sender(&format!("failing-start-{packet_stored}"), |number, _| match number {
                 0 => http_response("503 Service Unavailable", "Retry-After: 0.5\r\n", ""),
                 _ => http_response("200 OK", "", ""),
             });
         if packet_stored {
-            assert_eq!(submit_with_deadline(&world, "a1", 20_000), "+OK");
-            world.wait_until("the call", |world| world.received_ids() == ["a1"]);
+            assert_eq!(submit_with_deadline(&harness, "a1", 20_000), "+OK");
+            harness.wait_until("the call", |harness| harness.received_ids() == ["a1"]);
         }
-        world.kill();
+        harness.kill();
         if !packet_stored {
-            for file in std::fs::read_dir(&world.folder).expect("a folder").flatten() {
+            for file in std::fs::read_dir(&harness.folder).expect("a folder").flatten() {
                 let name = file.file_name().to_string_lossy().into_owned();
                 if name == "lock" || name.starts_with("manifest") || name.starts_with("segment") {
                     std::fs::remove_file(file.path()).expect("a file");
@@ -91,22 +95,23 @@
         }
         page.fail_files(ENOSPC).expect("the control page");
         let start = Instant::now();
-        world.start();
+        harness.start();
         assert!(start.elapsed() < Duration::from_secs(3), "ready after {:?}", start.elapsed());
         assert!(
-            submit_with_deadline(&world, "b2", 20_000).starts_with("-BUSY"),
+            submit_with_deadline(&harness, "b2", 20_000).starts_with("-BUSY"),
             "a packet was accepted that cannot be recorded"
         );
         sleep(Duration::from_millis(700));
         page.clear().expect("the control page");
-        world.wait_until("an accepted packet", |world| submit_with_deadline(world, "c3", 20_000) == "+OK");
-        world.wait_until("the call", |world| world.received_ids().contains(&"c3".to_owned()));
+        harness
+            .wait_until("an accepted packet", |harness| submit_with_deadline(harness, "c3", 20_000) == "+OK");
+        harness.wait_until("the call", |harness| harness.received_ids().contains(&"c3".to_owned()));
         if packet_stored {
-            world.wait_until("the repeat", |world| {
-                world.received_ids().iter().filter(|id| *id == "a1").count() == 2
+            harness.wait_until("the repeat", |harness| {
+                harness.received_ids().iter().filter(|id| *id == "a1").count() == 2
             });
         }
-        assert!(!world.received_ids().contains(&"b2".to_owned()), "a rejected packet was dispatched");
+        assert!(!harness.received_ids().contains(&"b2".to_owned()), "a rejected packet was dispatched");
     }
 }
 
@@ -116,38 +121,38 @@
 #[test]
 fn unwritten_records_are_bounded_and_reported_later() {
     const STORED_PACKETS: usize = 40;
-    let (mut world, page) = start_sender("ten-seconds", |_, _| http_response("200 OK", "", ""));
-    world.platform.set_list(&[list_entry("e", world.endpoint_address, 7, "Terminating")]);
-    world.wait_until("the draining endpoint", |world| world.log().contains("discovery: version 2"));
+    let (mut harness, page) = start_sender("ten-seconds", |_, _| http_response("200 OK", "", ""));
+    harness.platform.set_list(&[list_entry("e", harness.endpoint_address, 7, "Terminating")]);
+    harness.wait_until("the draining endpoint", |harness| harness.log().contains("discovery: version 2"));
     for number in 0..STORED_PACKETS {
-        assert_eq!(submit_with_deadline(&world, &format!("kept-{number}-"), 20_000), "+OK");
+        assert_eq!(submit_with_deadline(&harness, &format!("kept-{number}-"), 20_000), "+OK");
     }
     page.fail_files(ENOSPC).expect("the control page");
     let start = Instant::now();
     let mut rejected = 0;
     while start.elapsed() < Duration::from_secs(10) {
-        assert!(submit_with_deadline(&world, &format!("new-{rejected}-"), 20_000).starts_with("-BUSY"));
+        assert!(submit_with_deadline(&harness, &format!("new-{rejected}-"), 20_000).starts_with("-BUSY"));
         rejected += 1;
     }
     assert!(rejected > 500, "only {rejected} submissions were answered");
-    assert_eq!(world.notices().len(), 0, "a notice was sent for an unrecorded completion");
+    assert_eq!(harness.notices().len(), 0, "a notice was sent for an unrecorded completion");
     page.clear().expect("the control page");
-    world.wait_until("writes succeed again", |world| world.log().contains("code=written_again"));
-    let log = world.log();
+    harness.wait_until("writes succeed again", |harness| harness.log().contains("code=written_again"));
+    let log = harness.log();
     let waiting = log
         .split("code=written_again waiting=")
         .nth(1)
         .and_then(|log_after| log_after.split_whitespace().next());
     let waiting: usize = waiting.and_then(|word| word.parse().ok()).expect("a number");
     assert!(waiting <= 3 * STORED_PACKETS, "{waiting} groups waited");
-    world.wait_until("all notices", |world| {
-        (0..STORED_PACKETS).all(|number| notices_of(world, &format!("kept-{number}-")) == 1)
+    harness.wait_until("all notices", |harness| {
+        (0..STORED_PACKETS).all(|number| notices_of(harness, &format!("kept-{number}-")) == 1)
     });
-    world.wait_until_store_shows("0 packets not completed, 0 pending notices");
+    harness.wait_until_store_shows("0 packets not completed, 0 pending notices");
     assert_eq!(log.matches("code=disk_full").count(), 1, "expected one log line per outage");
-    world.kill();
-    world.start();
-    assert_eq!(world.log().matches("recovery: 0 packets, 0 notices").count(), 3);
+    harness.kill();
+    harness.start();
+    assert_eq!(harness.log().matches("recovery: 0 packets, 0 notices").count(), 3);
 }
 
 /// A packet is accepted and dismissed within one round, and the folder fails between the two records. The
@@ -156,13 +161,13 @@
 #[test]
 fn busy_is_not_sent_for_a_packet_stored_as_accepted() {
     const LONG_PERIOD: (&str, &str) = (r#""period_ms": 5,"#, r#""period_ms": 1500,"#);
-    let (mut world, page) = start_sender("busy-unrecorded", |_, _| {
+    let (mut harness, page) = start_sender("busy-unrecorded", |_, _| {
         http_response("429 Too Many Requests", "Retry-After: 9\r\n", "")
     });
-    world.restart_with(&[LONG_PERIOD, (r#""max_open": 100"#, r#""max_open": 2"#)]);
-    assert_eq!(submit_with_deadline(&world, "a1", 20_000), "+OK");
-    world.wait_until("the outcome", |world| world.log().contains("packet a1 from"));
-    let listen = world.listen_address;
+    harness.restart_with(&[LONG_PERIOD, (r#""max_open": 100"#, r#""max_open": 2"#)]);
+    assert_eq!(submit_with_deadline(&harness, "a1", 20_000), "+OK");
+    harness.wait_until("the outcome", |harness| harness.log().contains("packet a1 from"));
+    let listen = harness.listen_address;
     let clients: Vec<_> = (0..6)
         .map(|number| {
             let id = format!("b{number}");
@@ -172,46 +177,46 @@
             })
         })
         .collect();
-    world.wait_until("the last record", |world| world.store_summary().matches("packet b").count() >= 6);
+    harness.wait_until("the last record", |harness| harness.store_summary().matches("packet b").count() >= 6);
     page.fail_files(ENOSPC).expect("the control page");
     let replies: Vec<(String, String)> =
         clients.into_iter().map(|client| client.join().expect("no panic")).collect();
-    assert!(page.count(FaultCounter::FileWrite) > 0, "no write failed: {}", world.log());
+    assert!(page.count(FaultCounter::FileWrite) > 0, "no write failed: {}", harness.log());
     assert!(
-        world.log().contains("code=not_recorded"),
+        harness.log().contains("code=not_recorded"),
         "no dismissal became a notice in place of -BUSY: {}",
-        world.log()
+        harness.log()
     );
-    world.kill();
+    harness.kill();
     page.clear().expect("the control page");
     for (id, answer) in replies.iter().filter(|(_, answer)| answer.starts_with("-BUSY")) {
         assert!(
-            !world.store_summary().contains(&format!("packet {id}: ")),
+            !harness.store_summary().contains(&format!("packet {id}: ")),
             "{id} got {answer} and is stored as accepted"
         );
     }
 }
 
-/// With the sync policies `round` and `each`, syncs fail for 1.5 s. The process goes on, no client gets `+OK`
-/// for an unsynced packet, and each accepted packet is delivered once the device works again, by the next
-/// process if need be.
+/// With the sync policies `round` and `each`, syncs fail for 1.5 s. The process keeps running, no client
+/// gets `+OK` for an unsynced packet, and each accepted packet is delivered once the device works again, by
+/// the next process if necessary.
 #[test]
 fn failing_syncs_do_not_end_the_process() {
     for sync in ["round", "each"] {
-        let (mut world, page) =
+        let (mut harness, page) =
             start_sender(&format!("failing-sync-{sync}"), |_, _| http_response("200 OK", "", ""));
-        world.restart_with(&[(r#""disk_mb": 3 "#, &format!(r#""disk_mb": 3, "sync": "{sync}" "#))]);
-        assert_eq!(submit_with_deadline(&world, "a1", 20_000), "+OK");
-        world.wait_until("the call", |world| world.received_ids() == ["a1"]);
+        harness.restart_with(&[(r#""disk_mb": 3 "#, &format!(r#""disk_mb": 3, "sync": "{sync}" "#))]);
+        assert_eq!(submit_with_deadline(&harness, "a1", 20_000), "+OK");
+        harness.wait_until("the call", |harness| harness.received_ids() == ["a1"]);
         page.set(Setting::FileSyncErrno, EIO.into()).expect("the control page");
-        let listen = world.listen_address;
+        let listen = harness.listen_address;
         let client = std::thread::spawn(move || {
             submit(listen, "b2", "c=notice,t=acme,d=20000,k=b2,dest=7", "hello").unwrap_or_default()
         });
         sleep(Duration::from_millis(1500));
         assert!(page.count(FaultCounter::FileSync) > 0, "no sync failed");
         assert!(
-            !world.received_ids().contains(&"b2".to_owned()),
+            !harness.received_ids().contains(&"b2".to_owned()),
             "a call was sent before its record was synced"
         );
         let answered_early = client.is_finished();
@@ -219,34 +224,39 @@
         let reply = client.join().expect("no panic");
         assert!(!answered_early || reply.starts_with("-BUSY"), "+OK for an unsynced packet");
         assert!(reply == "+OK" || reply.starts_with("-BUSY"), "{reply}");
-        world.wait_until("an accepted packet", |world| submit_with_deadline(world, "c3", 20_000) == "+OK");
-        world.wait_until("the call", |world| world.received_ids().contains(&"c3".to_owned()));
-        world.wait_until("b2", |world| reply != "+OK" || world.received_ids().contains(&"b2".to_owned()));
-        assert!(!world.log().contains("the sender ends"), "{}", world.log());
-        world.wait_until_store_shows("0 packets not completed, 0 pending notices");
-        world.kill();
-        world.start();
-        assert_eq!(world.received_ids().iter().filter(|id| *id == "b2").count(), usize::from(reply == "+OK"));
+        harness
+            .wait_until("an accepted packet", |harness| submit_with_deadline(harness, "c3", 20_000) == "+OK");
+        harness.wait_until("the call", |harness| harness.received_ids().contains(&"c3".to_owned()));
+        harness
+            .wait_until("b2", |harness| reply != "+OK" || harness.received_ids().contains(&"b2".to_owned()));
+        assert!(!harness.log().contains("the sender ends"), "{}", harness.log());
+        harness.wait_until_store_shows("0 packets not completed, 0 pending notices");
+        harness.kill();
+        harness.start();
+        assert_eq!(
+            harness.received_ids().iter().filter(|id| *id == "b2").count(),
+            usize::from(reply == "+OK")
+        );
     }
 }
 
-/// Syncs fail during the whole of a stop. A client whose command was read gets an answer all the same, and
+/// Syncs fail throughout a stop. A client whose command was read still gets a reply, and
 /// the next process dispatches the stored packet.
 #[test]
 fn stop_during_failing_syncs_answers_clients() {
-    let (mut world, page) = start_sender("failing-sync-stop", |_, _| http_response("200 OK", "", ""));
-    world.restart_with(&[(r#""disk_mb": 3 "#, r#""disk_mb": 3, "sync": "round" "#)]);
+    let (mut harness, page) = start_sender("failing-sync-stop", |_, _| http_response("200 OK", "", ""));
+    harness.restart_with(&[(r#""disk_mb": 3 "#, r#""disk_mb": 3, "sync": "round" "#)]);
     page.set(Setting::FileSyncErrno, EIO.into()).expect("the control page");
-    let listen = world.listen_address;
+    let listen = harness.listen_address;
     let client = std::thread::spawn(move || {
         submit(listen, "a1", "c=notice,t=acme,d=20000,k=a1,dest=7", "hello").unwrap_or_default()
     });
-    world.wait_until_store_shows("packet a1: ");
-    assert!(world.terminate() < Duration::from_millis(3700), "the stop took too long");
-    assert_eq!(client.join().expect("no panic"), "+OK", "{}", world.log());
+    harness.wait_until_store_shows("packet a1: ");
+    assert!(harness.terminate() < Duration::from_millis(3700), "the stop took too long");
+    assert_eq!(client.join().expect("no panic"), "+OK", "{}", harness.log());
     page.clear().expect("the control page");
-    world.start();
-    world.wait_until("the call", |world| world.received_ids() == ["a1"]);
+    harness.start();
+    harness.wait_until("the call", |harness| harness.received_ids() == ["a1"]);
 }
 
 /// With the sync policy `each`, the completion of a dismissed packet is written and its sync fails, so the
@@ -256,12 +266,12 @@
 fn ok_means_stored_though_the_completion_may_be_unsynced() {
     const LONG_PERIOD: (&str, &str) = (r#""period_ms": 5,"#, r#""period_ms": 1500,"#);
     const SYNC_EACH: (&str, &str) = (r#""disk_mb": 3 "#, r#""disk_mb": 3, "sync": "each" "#);
-    let (mut world, page) = start_sender("ok-unsynced", |_, _| http_response("200 OK", "", ""));
-    world.restart_with(&[LONG_PERIOD, SYNC_EACH, (r#""max_open": 100"#, r#""max_open": 2"#)]);
-    assert_eq!(submit_with_deadline(&world, "a1", 20_000), "+OK");
+    let (mut harness, page) = start_sender("ok-unsynced", |_, _| http_response("200 OK", "", ""));
+    harness.restart_with(&[LONG_PERIOD, SYNC_EACH, (r#""max_open": 100"#, r#""max_open": 2"#)]);
+    assert_eq!(submit_with_deadline(&harness, "a1", 20_000), "+OK");
     // A round has just run once the packet is delivered.
-    world.wait_until("the delivery", |world| world.store_summary().contains("0 packets not completed"));
-    let listen = world.listen_address;
+    harness.wait_until("the delivery", |harness| harness.store_summary().contains("0 packets not completed"));
+    let listen = harness.listen_address;
     let clients: Vec<_> = (0..6)
         .map(|number| {
             let id = format!("b{number}");
@@ -271,20 +281,20 @@
             })
         })
         .collect();
-    world.wait_until("the last record", |world| world.store_summary().matches("packet b").count() >= 6);
+    harness.wait_until("the last record", |harness| harness.store_summary().matches("packet b").count() >= 6);
     page.set(Setting::FileSyncErrno, EIO.into()).expect("the control page");
-    world.wait_until("a completion that may be on disk", |world| {
-        page.count(FaultCounter::FileSync) > 0 && world.log().contains("ends Dismissed")
+    harness.wait_until("a completion that may be on disk", |harness| {
+        page.count(FaultCounter::FileSync) > 0 && harness.log().contains("ends Dismissed")
     });
     sleep(Duration::from_millis(200));
-    world.kill();
+    harness.kill();
     page.clear().expect("the control page");
-    world.start();
+    harness.start();
     let replies: Vec<(String, String)> =
         clients.into_iter().map(|client| client.join().expect("no panic")).collect();
     for (id, _) in replies.iter().filter(|(_, answer)| answer == "+OK") {
-        world.wait_until("the completion", |world| {
-            world.received_ids().contains(id) || notices_of(world, id) > 0
+        harness.wait_until("the completion", |harness| {
+            harness.received_ids().contains(id) || notices_of(harness, id) > 0
         });
     }
 }
@@ -293,23 +303,23 @@
 /// client must not get `-BUSY`.
 #[test]
 fn busy_is_not_sent_for_a_packet_that_may_be_stored() {
-    let (mut world, page) = start_sender("busy-unsynced", |_, _| http_response("200 OK", "", ""));
-    world.restart_with(&[(r#""disk_mb": 3 "#, r#""disk_mb": 3, "sync": "each" "#)]);
+    let (mut harness, page) = start_sender("busy-unsynced", |_, _| http_response("200 OK", "", ""));
+    harness.restart_with(&[(r#""disk_mb": 3 "#, r#""disk_mb": 3, "sync": "each" "#)]);
     page.set(Setting::FileSyncErrno, EIO.into()).expect("the control page");
-    let listen = world.listen_address;
+    let listen = harness.listen_address;
     let client = std::thread::spawn(move || {
         submit(listen, "a1", "c=notice,t=acme,d=20000,k=a1,dest=7", "hello").unwrap_or_default()
     });
-    world.wait_until("a failed sync", |_| page.count(FaultCounter::FileSync) > 0);
+    harness.wait_until("a failed sync", |_| page.count(FaultCounter::FileSync) > 0);
     sleep(Duration::from_millis(300));
-    world.kill();
+    harness.kill();
     let reply = client.join().expect("no panic");
     page.clear().expect("the control page");
-    world.start();
+    harness.start();
     sleep(Duration::from_millis(800));
     assert!(
-        !reply.starts_with("-BUSY") || world.received_ids().is_empty(),
+        !reply.starts_with("-BUSY") || harness.received_ids().is_empty(),
         "got {reply}, and the packet was dispatched: {}",
-        world.log()
+        harness.log()
     );
 }
--- a/crates/sailcart-sender/tests/journal.rs
+++ b/crates/sailcart-sender/tests/journal.rs
@@ -54,7 +54,7 @@
 /// twice, dispatched and known not to have been executed, delivered, and completed with a pending notice.
 #[test]
 fn uncompleted_state_survives_a_restart() {
-    let folder = folder("owed");
+    let folder = folder("uncompleted");
     let mut ledger = open(&folder);
     let [a, b, c, d, e] = ["a", "b", "c", "d", "e"].map(|id| accept(&mut ledger, id));
     let at = |ms| Moment::by_wall_clock(Duration::from_millis(ms));
@@ -93,10 +93,11 @@
 }
 
 /// A call that was in flight when a process ended may have been executed, whatever the outcome of later
-/// calls: the deduplication window counts from that call. A second restart once lost its time.
+/// calls: the deduplication window counts from that call. Guards against losing the time of that call
+/// at a second restart.
 #[test]
 fn possible_execution_is_remembered_over_two_restarts() {
-    let folder = folder("doubt");
+    let folder = folder("possible-execution");
     let mut ledger = open(&folder);
     let id = accept(&mut ledger, "a");
     ledger.record_dispatch(&[id], Moment::by_wall_clock(Duration::from_secs(5))).expect("capacity");
@@ -113,7 +114,7 @@
 }
 
 /// Bytes that the files of the folder occupy on disk, in blocks of 512 bytes.
-fn size(folder: &Path) -> u64 {
+fn disk_usage_bytes(folder: &Path) -> u64 {
     let files = fs::read_dir(folder).expect("a folder").flatten();
     files.map(|file| file.metadata().expect("a file").len().div_ceil(512) * 512).sum()
 }
@@ -122,7 +123,7 @@
 /// while a corrupted byte elsewhere, which no crash causes, is reported with its segment and position.
 #[test]
 fn torn_write_at_the_end_is_dropped() {
-    let folder = folder("torn");
+    let folder = folder("torn-write");
     let mut ledger = open(&folder);
     accept(&mut ledger, "a");
     accept(&mut ledger, "b");
@@ -226,7 +227,7 @@
 /// capacity, while a pending notice and an uncompleted packet are retained.
 #[test]
 fn folder_stays_within_its_capacity() {
-    let folder = folder("room");
+    let folder = folder("capacity");
     let mut ledger = open(&folder);
     let with_notice = accept(&mut ledger, "kept");
     ledger.complete_with_notice(with_notice, Notice::Scrapped);
@@ -235,7 +236,7 @@
         let id = accept(&mut ledger, &format!("{n}"));
         ledger.record_dispatch(&[id], Moment::by_wall_clock(Duration::from_secs(n))).expect("capacity");
         ledger.complete(id);
-        let bytes = size(&folder);
+        let bytes = disk_usage_bytes(&folder);
         assert!(bytes <= CAPACITY_BYTES, "{bytes} bytes");
     }
     drop(ledger);
--- a/crates/sailcart-sender/tests/partial_io.rs
+++ b/crates/sailcart-sender/tests/partial_io.rs
@@ -12,8 +12,8 @@
 use common::{http_response, submit_command};
 use sailcart_shim::{FaultCounter, Setting};
 
-/// 20 % of the reads return at most 40 bytes, 20 % of the writes are cut at a random length, and 10 % of the
-/// waits are interrupted.
+/// 20 % of the reads return at most 40 bytes, 20 % of the writes are shortened to a random length, and 10 %
+/// of the waits are interrupted.
 #[test]
 fn partial_reads_and_writes_cause_no_stalls() {
     const PACKETS: usize = 200;
--- a/crates/sailcart-sender/tests/races.rs
+++ b/crates/sailcart-sender/tests/races.rs
@@ -165,7 +165,7 @@
 /// Guards against leaving a pending notice to the next process although the stop has time to send it.
 #[test]
 fn a_stop_sends_pending_notices() {
-    let mut harness = Harness::new("owed", |_, _| None);
+    let mut harness = Harness::new("pending-notice", |_, _| None);
     restart(&mut harness, &[(r#""repeat": "dedup""#, r#""repeat": "fragile""#)]);
     harness.platform.reject_notices.store(true, Ordering::SeqCst);
     assert_eq!(harness.submit("a1"), "+OK");
@@ -196,9 +196,9 @@
     assert!(harness.log().contains("0 packets still out"));
 }
 
-/// A packet that may have executed waits for a connection until the deduplication window of its key is over:
-/// it is not repeated on that connection. Guards against checking only the list and Retry-After waits again
-/// once the connection is established, which let the repeat go out.
+/// A packet that may have executed waits for a connection until the deduplication window of its key has
+/// passed: it is not repeated on that connection. Guards against checking only the list and Retry-After
+/// waits again once the connection is established, which let the repeat be sent.
 #[test]
 fn a_connection_established_after_the_dedup_window_carries_no_repeat() {
     let mut harness = start_delivering("window");
--- a/crates/sailcart-sender/tests/reboot.rs
+++ b/crates/sailcart-sender/tests/reboot.rs
@@ -19,9 +19,9 @@
 /// have forgotten its idempotency key; a packet that was never dispatched is sent.
 #[test]
 fn after_a_reboot_only_undispatched_packets_are_sent() {
-    let mut world = Harness::new("other-boot", |_, _| http_response("200 OK", "", ""));
-    world.kill();
-    let mut ledger = Ledger::open(&world.folder, 1_000_000, 16, SyncPolicy::None).expect("a journal");
+    let mut harness = Harness::new("other-boot", |_, _| http_response("200 OK", "", ""));
+    harness.kill();
+    let mut ledger = Ledger::open(&harness.folder, 1_000_000, 16, SyncPolicy::None).expect("a journal");
     let in_another_boot = |moment: Moment| Moment {
         uptime: Some(Uptime {
             boot: BootId(!boot_id().map_or(0, |boot| boot.0)),
@@ -49,8 +49,8 @@
     let (dispatched, _undispatched) = (accept("called"), accept("untried"));
     ledger.record_dispatch(&[dispatched], in_another_boot(now)).expect("capacity");
     drop(ledger);
-    world.start();
-    world.wait_until("the call", |world| world.received_ids() == ["untried"]);
-    world.wait_until("the notice", |world| world.notices().iter().any(|line| line.contains("called")));
-    assert_eq!(world.received_ids(), ["untried"]);
+    harness.start();
+    harness.wait_until("the call", |harness| harness.received_ids() == ["untried"]);
+    harness.wait_until("the notice", |harness| harness.notices().iter().any(|line| line.contains("called")));
+    assert_eq!(harness.received_ids(), ["untried"]);
 }
--- a/crates/sailcart-sender/tests/reload.rs
+++ b/crates/sailcart-sender/tests/reload.rs
@@ -16,8 +16,8 @@
 /// would delay their answers. No PING may take longer than 200 ms.
 #[test]
 fn clients_are_answered_during_a_large_reload() {
-    let mut world = Harness::new("large-reload", |_, _| http_response("200 OK", "", ""));
-    let address = world.endpoint_address;
+    let mut harness = Harness::new("large-reload", |_, _| http_response("200 OK", "", ""));
+    let address = harness.endpoint_address;
     let mut instances = String::new();
     for number in 0..ENTRIES {
         let comma = if number > 0 { "," } else { "" };
@@ -27,16 +27,16 @@
             list_entry(&format!("k{number}"), address, 1000 + number as u64, "Ready")
         );
     }
-    let large = world.config.replace(r#""instances": []"#, &format!(r#""instances": [{instances}]"#));
-    let moved = large.replace(&world.discovery_address.to_string(), "127.0.0.1:9");
-    world.reload(&moved);
+    let large = harness.config.replace(r#""instances": []"#, &format!(r#""instances": [{instances}]"#));
+    let moved = large.replace(&harness.discovery_address.to_string(), "127.0.0.1:9");
+    harness.reload(&moved);
     let (start, mut longest) = (Instant::now(), Duration::ZERO);
-    while !world.log().contains("reload: discovery at 127.0.0.1:9, code=moved") {
+    while !harness.log().contains("reload: discovery at 127.0.0.1:9, code=moved") {
         let ping_sent_at = Instant::now();
-        assert_eq!(send_command(world.listen_address, "*1\r\n$4\r\nPING\r\n").expect("an answer"), "+PONG");
+        assert_eq!(send_command(harness.listen_address, "*1\r\n$4\r\nPING\r\n").expect("an answer"), "+PONG");
         longest = longest.max(ping_sent_at.elapsed());
         assert!(start.elapsed() < Duration::from_secs(60), "the configuration was not read within 60 s");
     }
     assert!(longest < Duration::from_millis(200), "a PING took {longest:?}");
-    world.kill();
+    harness.kill();
 }
--- a/crates/sailcart-sender/tests/scheduled_rounds.rs
+++ b/crates/sailcart-sender/tests/scheduled_rounds.rs
@@ -1,4 +1,4 @@
-//! The list of scheduled rounds: which time the sender sleeps until after a round has been due.
+//! The list of scheduled rounds: until which time the sender sleeps after a round was due.
 
 use std::time::{Duration, Instant};
 
@@ -7,7 +7,7 @@
 /// A round that was scheduled for a later time has to survive an earlier one. On the laboratory's fleet day
 /// herd+mass a round ran when the sender's timer was due but the clock had not yet reached that time, and
 /// scheduled another round. Only the earlier of the two times was stored. The sender then slept past a
-/// packet's deadline until a client connected, once for too long.
+/// packet's deadline until a client connected, in one case for too long.
 #[test]
 fn later_round_is_kept_when_an_earlier_one_is_scheduled() {
     let start = Instant::now();
--- a/crates/sailcart-sender/tests/wire.rs
+++ b/crates/sailcart-sender/tests/wire.rs
@@ -96,7 +96,7 @@
     }
 }
 
-/// Load reports are written by other people's programs and may come late. An implausible one is ignored.
+/// Load reports are written by third-party programs and may be delayed. An implausible one is ignored.
 #[test]
 fn truncated_or_out_of_range_load_reports_are_ignored() {
     let report_fields = ReportFields { unused_share: (0, "x0".to_owned()), limit: (1, "x1".to_owned()) };
--- a/crates/sailcart-store/examples/measure.rs
+++ b/crates/sailcart-store/examples/measure.rs
@@ -9,9 +9,9 @@
 use hdrhistogram::Histogram;
 use sailcart_store::{Change, Disk, Store, StoreOptions, SyncPolicy};
 
-/// Stored size of a packet.
+/// A value with the stored size of a packet.
 const PACKET_VALUE: [u8; 250] = [7; 250];
-/// Stored size of a packet's dispatch state.
+/// A value with the stored size of a packet's dispatch state.
 const DISPATCH_STATE_VALUE: [u8; 30] = [8; 30];
 
 /// A store under measurement. Each change takes effect at once.
--- a/crates/sailcart-store/src/compaction.rs
+++ b/crates/sailcart-store/src/compaction.rs
@@ -14,7 +14,8 @@
 
 /// Minimum number of bytes that a write spends on compaction when it is due.
 const MIN_STEP_BYTES: u64 = 4096;
-/// Passes over the whole log without any gain after which compaction cannot free more space.
+/// Number of consecutive passes over the log that free no space, after which a write fails because the store
+/// is full.
 const MAX_IDLE_PASSES: u64 = 4;
 /// Target of this module's log lines. It differs from the module path because operators filter by it.
 const LOG_TARGET: &str = "sailcart_store::store";
@@ -51,7 +52,7 @@
         self.step(log, step_bytes).map(|_| ())
     }
 
-    /// Keeps the folder within its capacity: compacts until a write of this size fits.
+    /// Compacts until a write of this size fits within the capacity of the folder.
     pub fn ensure_free_space<F: Files>(
         &mut self,
         log: &mut SegmentedLog<F>,
@@ -140,12 +141,12 @@
     ) -> Result<(), StoreError> {
         for (change_index, change) in frame::decode_changes(reader.body(frame_offset)).flatten().enumerate() {
             let Change::Put(key, _) = change else { continue };
-            let is_here = |location: &Location| {
+            let is_this_change = |location: &Location| {
                 location.segment == number
                     && location.offset == frame_offset
                     && location.change_index == change_index as u32
             };
-            if log.index.get(key).as_ref().is_some_and(is_here) {
+            if log.index.get(key).as_ref().is_some_and(is_this_change) {
                 let location = log.append(&[change])?;
                 log.index.relocate(key, location);
                 log.needs_sync |= log.options.is_durable();
@@ -155,7 +156,7 @@
         Ok(())
     }
 
-    /// Takes the oldest segment, which holds no live data any more, out of the manifest and removes its file.
+    /// Removes the oldest segment, which no longer holds live data, from the manifest and deletes its file.
     fn retire<F: Files>(&mut self, log: &mut SegmentedLog<F>, oldest: u64) -> Result<(), StoreError> {
         let durable = log.options.is_durable();
         if durable {
--- a/crates/sailcart-store/src/files.rs
+++ b/crates/sailcart-store/src/files.rs
@@ -34,7 +34,7 @@
     fn remove(&mut self, name: &str) -> io::Result<()>;
 }
 
-/// Appends all bytes, in as many calls as it takes.
+/// Appends all bytes, in several calls if necessary.
 pub(crate) fn append_all<F: Files>(files: &mut F, file: &mut F::File, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         match files.append(file, bytes) {
@@ -47,7 +47,7 @@
     Ok(())
 }
 
-/// Fills the buffer as far as the file reaches and returns the number of bytes read.
+/// Reads until the buffer is full or the file ends, and returns the number of bytes read.
 pub(crate) fn read_available<F: Files>(
     files: &mut F,
     file: &F::File,
--- a/crates/sailcart-store/src/frame.rs
+++ b/crates/sailcart-store/src/frame.rs
@@ -69,13 +69,13 @@
         }
     }
     let body = &buffer[start + HEADER_BYTES..];
-    let (length, body_sum) = ((body.len() as u32).to_be_bytes(), crc32fast::hash(body).to_be_bytes());
+    let (length, body_checksum) = ((body.len() as u32).to_be_bytes(), crc32fast::hash(body).to_be_bytes());
     let header = &mut buffer[start..start + HEADER_BYTES];
     header[..2].copy_from_slice(&MAGIC);
     header[2..6].copy_from_slice(&length);
-    let header_sum = header_checksum(&header[..6]);
-    header[6..8].copy_from_slice(&header_sum);
-    header[8..].copy_from_slice(&body_sum);
+    let header_checksum = header_checksum(&header[..6]);
+    header[6..8].copy_from_slice(&header_checksum);
+    header[8..].copy_from_slice(&body_checksum);
 }
 
 /// Appends the length of the bytes as a varint, then the bytes.
@@ -88,8 +88,8 @@
 
 /// Checksum of the first six bytes of a header: their CRC-32, folded to 16 bits.
 fn header_checksum(bytes: &[u8]) -> [u8; 2] {
-    let sum = crc32fast::hash(bytes).to_be_bytes();
-    [sum[0] ^ sum[2], sum[1] ^ sum[3]]
+    let crc = crc32fast::hash(bytes).to_be_bytes();
+    [crc[0] ^ crc[2], crc[1] ^ crc[3]]
 }
 
 /// Result of checking the bytes at a position of the log.
@@ -99,8 +99,8 @@
     Complete(usize),
     /// The bytes end within the frame, as after a crash.
     Incomplete,
-    /// The frame is invalid in a way that a crash of the process cannot cause; holds what was expected
-    /// instead.
+    /// The frame is invalid in a way that a crash of the process cannot cause. Contains a description of what
+    /// was expected.
     Damaged(&'static str),
 }
 
@@ -110,8 +110,8 @@
         Err(failure) => failure,
         Ok(length) if bytes.len() < HEADER_BYTES + length => FrameCheck::Incomplete,
         Ok(length) => {
-            let (sum, body) = (&bytes[8..HEADER_BYTES], &bytes[HEADER_BYTES..HEADER_BYTES + length]);
-            if crc32fast::hash(body).to_be_bytes() != sum {
+            let (checksum, body) = (&bytes[8..HEADER_BYTES], &bytes[HEADER_BYTES..HEADER_BYTES + length]);
+            if crc32fast::hash(body).to_be_bytes() != checksum {
                 return FrameCheck::Damaged("a frame that matches its checksum");
             }
             match decode_changes(body).all(|change| change.is_some()) {
--- a/crates/sailcart-store/src/index.rs
+++ b/crates/sailcart-store/src/index.rs
@@ -7,12 +7,17 @@
 /// Where a value is stored: the frame, and which of the frame's changes puts the value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Location {
+    /// Number of the segment.
     pub segment: u64,
+    /// Offset of the frame in the segment, in bytes.
     pub offset: u64,
+    /// Length of the frame in bytes, header included.
     pub length: u32,
+    /// Position of the change within the frame, from 0.
     pub change_index: u32,
 }
 
+/// Ordered map from keys to the locations of their values, with the size of the live data.
 #[derive(Default)]
 pub(crate) struct Index {
     /// Location of each value, and its size in bytes as a frame of its own.
@@ -47,6 +52,7 @@
         }
     }
 
+    /// Removes a key, if it has a value. `tombstone_size` must be the one that was passed to [`Index::put`].
     pub fn remove(&mut self, key: &[u8], tombstone_size: u64) {
         if let Some((_, value_size)) = self.entries.remove(key) {
             self.value_bytes -= u64::from(value_size);
@@ -63,7 +69,7 @@
         self.entries.get(key).map_or(0, |(_, value_size)| u64::from(*value_size))
     }
 
-    /// The keys from `from` (inclusive) to `until` (exclusive), in order.
+    /// The keys from `from` (inclusive) to `until` (exclusive), in ascending order.
     pub fn range<'a>(
         &'a self,
         from: &[u8],
--- a/crates/sailcart-store/src/manifest.rs
+++ b/crates/sailcart-store/src/manifest.rs
@@ -24,8 +24,8 @@
     if &bytes[..15] != MAGIC {
         return Err(damaged(0, "a manifest of this store"));
     }
-    let sum = crc32fast::hash(&bytes[..MANIFEST_BYTES - 4]).to_be_bytes();
-    if sum != bytes[MANIFEST_BYTES - 4..] {
+    let checksum = crc32fast::hash(&bytes[..MANIFEST_BYTES - 4]).to_be_bytes();
+    if checksum != bytes[MANIFEST_BYTES - 4..] {
         return Err(damaged(MANIFEST_BYTES as u64 - 4, "the checksum of the preceding bytes"));
     }
     let version = u32::from_be_bytes([bytes[15], bytes[16], bytes[17], bytes[18]]);
--- a/crates/sailcart-store/src/options.rs
+++ b/crates/sailcart-store/src/options.rs
@@ -63,7 +63,7 @@
     }
 }
 
-/// Bytes that a file of this length takes when rounded up to whole blocks.
+/// Rounds a file length in bytes up to whole blocks.
 pub(crate) fn round_up_to_blocks(length: u64) -> u64 {
     length.div_ceil(BLOCK_BYTES) * BLOCK_BYTES
 }
--- a/crates/sailcart-store/src/recovery.rs
+++ b/crates/sailcart-store/src/recovery.rs
@@ -33,7 +33,7 @@
 }
 
 /// Locks a folder, reads its log and repairs what a crash can cause. If nothing can be written at the moment,
-/// the log is read all the same, and the first write that succeeds repairs it.
+/// the log is read anyway, and the first write that succeeds repairs it.
 pub(crate) fn open<F: Files>(files: F, options: StoreOptions) -> Result<Recovered<F>, StoreError> {
     let mut recovery = Recovery::new(files, options, true);
     let locked = recovery.log.lock();
@@ -61,7 +61,8 @@
 /// Reads a folder without changing it and calls `visit` with each key and its value.
 ///
 /// # Errors
-/// As for [`Store::open`](crate::Store::open), except that a folder without a store is [`StoreError::MissingFile`].
+/// As for [`Store::open`](crate::Store::open), except that a folder without a store is
+/// [`StoreError::MissingFile`].
 pub fn check<F: Files>(files: F, visit: &mut dyn FnMut(&[u8], &[u8])) -> Result<RecoverySummary, StoreError> {
     let options = StoreOptions { capacity_bytes: u64::MAX / 2, sync: SyncPolicy::None };
     let Recovered { mut log, summary } = Recovery::new(files, options, false).read()?;
@@ -173,7 +174,8 @@
         context.is_last && context.previous_length.is_some() && (is_short || is_unreadable)
     }
 
-    /// Reads a segment's frames into the index, up to its end or a torn write. Returns the offset of that.
+    /// Reads a segment's frames into the index, up to its end or a torn write, and returns the offset at
+    /// which reading stopped.
     fn read_frames(
         &mut self,
         file: F::File,
--- a/crates/sailcart-store/src/salvage.rs
+++ b/crates/sailcart-store/src/salvage.rs
@@ -1,4 +1,4 @@
-//! Salvage, which an operator starts by hand after a folder was refused: copies the readable part of a
+//! Salvage, which an operator starts manually when a folder cannot be opened: copies the readable part of a
 //! damaged log into a new store and reports what could not be read. The damaged folder is not changed.
 
 use crate::error::StoreError;
--- a/crates/sailcart-store/src/segment.rs
+++ b/crates/sailcart-store/src/segment.rs
@@ -25,7 +25,7 @@
     pub length: u64,
 }
 
-/// The segments among the files of a folder, in order.
+/// The segments among the files of a folder, sorted by number.
 pub(crate) fn segment_files(listing: &[(String, u64)]) -> Vec<SegmentFile> {
     let mut segments: Vec<SegmentFile> = listing
         .iter()
@@ -47,8 +47,8 @@
     header[4..8].copy_from_slice(&FORMAT_VERSION.to_be_bytes());
     header[8..16].copy_from_slice(&number.to_be_bytes());
     header[16..24].copy_from_slice(&previous_length.to_be_bytes());
-    let sum = crc32fast::hash(&header[..24]);
-    header[24..].copy_from_slice(&sum.to_be_bytes());
+    let checksum = crc32fast::hash(&header[..24]);
+    header[24..].copy_from_slice(&checksum.to_be_bytes());
     header
 }
 
@@ -74,11 +74,13 @@
 
 /// Reads the frames of a segment one by one. Its buffer is little larger than the largest frame.
 pub(crate) struct FrameReader {
-    /// Bytes read from the file, and how many of them belong to frames already returned.
+    /// Bytes read from the file and not yet discarded.
     buffer: Vec<u8>,
+    /// Number of bytes at the start of `buffer` that belong to frames already returned.
     consumed: usize,
     /// Offset in the file at which the returned frames end.
     pub offset: u64,
+    /// Offset in the file at which reading stops.
     end: u64,
 }
 
@@ -86,12 +88,14 @@
 pub(crate) enum NextFrame {
     /// A valid frame, which begins at this offset.
     Frame(u64),
+    /// The end of the segment, at a frame boundary.
     End,
     /// No valid frame at the reader's `offset`; the reader cannot continue.
     Unreadable(FrameCheck),
 }
 
 impl FrameReader {
+    /// Reads the frames between two offsets in the file.
     pub fn new(start: u64, end: u64) -> Self {
         FrameReader { buffer: Vec::new(), consumed: 0, offset: start, end }
     }
@@ -129,7 +133,7 @@
             let read = read_available(files, file, read_offset, &mut self.buffer[buffered..])?;
             self.buffer.truncate(buffered + read);
             if read == 0 {
-                self.end = read_offset; // the file is shorter than it was listed
+                self.end = read_offset; // the file is shorter than in the listing
             }
         }
     }
@@ -141,7 +145,8 @@
     }
 }
 
-/// Searches for the next complete frame from an offset on, past bytes that are not a valid frame.
+/// Searches for the next complete frame from an offset on, skipping bytes that are not a valid frame. Returns
+/// its offset.
 pub(crate) fn find_next_frame<F: Files>(
     files: &mut F,
     file: &F::File,
--- a/crates/sailcart-store/src/segmented_log.rs
+++ b/crates/sailcart-store/src/segmented_log.rs
@@ -18,6 +18,7 @@
 /// An open segment file of the log.
 pub(crate) struct Segment<File> {
     pub file: File,
+    /// Length in bytes, without the bytes of a torn write.
     pub length: u64,
 }
 
@@ -43,8 +44,8 @@
     pub orphaned_segment: Option<u64>,
     /// Segments that are no longer in use, but whose files could not be removed yet.
     pub obsolete_segments: BTreeSet<u64>,
-    /// Last segment in use when a sync failed: its data and that of earlier segments may never reach the
-    /// disk.
+    /// Number of the last segment at the time of a failed sync: its data and that of earlier segments may
+    /// never reach the disk.
     last_unsynced_segment: Option<u64>,
     /// Whether the folder is locked against other processes.
     is_locked: bool,
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Bytes that the folder's files take, rounded up to blocks.
+    /// Total size of the folder's files in bytes, each rounded up to blocks.
     pub fn used_bytes(&self) -> u64 {
         let segments: u64 = self.segments.values().map(|segment| round_up_to_blocks(segment.length)).sum();
         segments + BLOCK_BYTES + self.obsolete_segments.len() as u64 * self.options.segment_bytes()
@@ -265,9 +266,9 @@
     /// Makes everything written so far durable.
     ///
     /// # Errors
-    /// [`StoreError::SyncFailed`] if a sync fails. The kernel may then consider the bytes written, so that a later
-    /// sync of the same file succeeds without them: they must be rewritten first, see
-    /// [`last_unsynced_segment`](Self::last_unsynced_segment).
+    /// [`StoreError::SyncFailed`] if a sync fails. The kernel may then consider the bytes written, so that a
+    /// later sync of the same file succeeds although they never reached the disk. They must be rewritten
+    /// first, see [`last_unsynced_segment`](Self::last_unsynced_segment).
     pub fn sync(&mut self) -> Result<(), StoreError> {
         self.sync_last_segment()?;
         self.needs_sync = false;
@@ -312,7 +313,7 @@
         self.remove_obsolete_segments();
     }
 
-    /// Removes the files of obsolete segments, as far as that succeeds.
+    /// Removes the files of obsolete segments. Those that cannot be removed stay in `obsolete_segments`.
     pub fn remove_obsolete_segments(&mut self) {
         let files = &mut self.files;
         self.obsolete_segments.retain(|number| {
--- a/crates/sailcart-store/src/store.rs
+++ b/crates/sailcart-store/src/store.rs
@@ -34,16 +34,17 @@
     /// Opens a folder, which may be empty, and recovers its contents.
     ///
     /// # Errors
-    /// [`StoreError::InUse`] if another process has the folder open. [`StoreError::Damaged`], [`StoreError::MissingFile`] and
-    /// [`StoreError::NewerVersion`] if the contents cannot be recovered; the folder is then unchanged.
-    /// [`StoreError::Io`] if a file operation fails.
+    /// - [`StoreError::InUse`] if another process has the folder open.
+    /// - [`StoreError::Damaged`], [`StoreError::MissingFile`] and [`StoreError::NewerVersion`] if the
+    ///   contents cannot be recovered; the folder is then unchanged.
+    /// - [`StoreError::Io`] if a file operation fails.
     pub fn open(files: F, options: StoreOptions) -> Result<(Self, RecoverySummary), StoreError> {
         let recovered = recovery::open(files, options)?;
         let store = Store { log: recovered.log, compaction: Compaction::default(), written_bytes: 0 };
         Ok((store, recovered.summary))
     }
 
-    /// Bytes that the folder's files take, rounded up to blocks.
+    /// Total size of the folder's files in bytes, each rounded up to blocks of 512 bytes.
     pub fn used_bytes(&self) -> u64 {
         self.log.used_bytes()
     }
@@ -53,7 +54,8 @@
         self.log.live_bytes()
     }
 
-    /// Bytes of [`StoreOptions::max_live_bytes`] that a value takes, with the tombstone that will delete it.
+    /// Bytes that a value uses of [`StoreOptions::max_live_bytes`], including the tombstone that will
+    /// delete it.
     pub fn live_size(key: &[u8], value: &[u8]) -> u64 {
         (frame::frame_size(&[Change::Put(key, value)]) + frame::frame_size(&[Change::Delete(key)])) as u64
     }
@@ -86,10 +88,14 @@
     /// Writes changes atomically. Deletions always fit, because space for the tombstones is reserved.
     ///
     /// # Errors
-    /// [`StoreError::Full`] and [`StoreError::TooLarge`] with nothing changed. [`StoreError::Io`] if the disk fails: none of
-    /// these changes takes effect, and the next write may succeed. [`StoreError::SyncFailed`] if a sync fails: these
-    /// changes may or may not have taken effect; if they have, the next successful write or sync makes them
-    /// durable.
+    /// - [`StoreError::Full`] and [`StoreError::TooLarge`] if the changes do not fit; none of them takes
+    ///   effect.
+    /// - [`StoreError::Io`] if the disk fails: none of the changes takes effect, and the next write may
+    ///   succeed.
+    /// - [`StoreError::SyncFailed`] if a sync fails: the changes may or may not have taken effect; if they
+    ///   have, the next successful write or sync makes them durable.
+    /// - [`StoreError::Damaged`] if compaction finds that the log has changed since it was read at the
+    ///   start; none of the changes takes effect.
     pub fn write(&mut self, changes: &[Change]) -> Result<(), StoreError> {
         self.check_sizes(changes)?;
         self.check_live_bytes(changes)?;
@@ -105,8 +111,8 @@
             SyncPolicy::Interval(_) => self.log.needs_sync = true,
             SyncPolicy::None => {}
         }
-        // The write has taken effect even if its compaction step fails. A lasting failure is reported by the
-        // first write that finds no free space.
+        // The write has taken effect even if its compaction step fails. If compaction keeps failing, the
+        // first write that finds no free space returns the error.
         if let Err(error) = self.compaction.step_after_write(&mut self.log, write_size) {
             log::warn!("store: code=compaction_put_off {error}");
         }
@@ -126,7 +132,8 @@
         Ok(())
     }
 
-    /// Checks that the live data after the changes, with its tombstones, fits [`StoreOptions::max_live_bytes`].
+    /// Checks that the live data after the changes, with its tombstones, does not exceed
+    /// [`StoreOptions::max_live_bytes`].
     fn check_live_bytes(&self, changes: &[Change]) -> Result<(), StoreError> {
         let growth: i64 = changes.iter().map(|change| self.live_growth(change)).sum();
         let (live_bytes, max_live_bytes) = (self.live_bytes(), self.log.options.max_live_bytes());
@@ -154,8 +161,8 @@
     /// Makes everything written so far durable.
     ///
     /// # Errors
-    /// [`StoreError::SyncFailed`] if a sync fails: the next call that writes or syncs first rewrites, to new files,
-    /// what was written since the last successful sync.
+    /// [`StoreError::SyncFailed`] if a sync fails. The next call that writes or syncs then begins by
+    /// rewriting, to new files, what was written since the last successful sync.
     pub fn sync(&mut self) -> Result<(), StoreError> {
         self.compaction.rewrite_unsynced(&mut self.log)?;
         self.log.sync()
@@ -169,12 +176,13 @@
     /// Reads the value of a key from the log and verifies it; `None` for an unknown key.
     ///
     /// # Errors
-    /// [`StoreError::Damaged`] if the log has changed since it was read at the start.
+    /// [`StoreError::Damaged`] if the log has changed since it was read at the start, [`StoreError::Io`] if a
+    /// file operation fails.
     pub fn get(&mut self, key: &[u8]) -> Result<Option<Vec<u8>>, StoreError> {
         self.log.get(key)
     }
 
-    /// The keys from `from` (inclusive) to `until` (exclusive), in order.
+    /// The keys from `from` (inclusive) to `until` (exclusive), in ascending order.
     pub fn keys<'a>(
         &'a self,
         from: &[u8],
