--- a/crates/sailcart-sender/tests/clock_steps.rs
+++ b/crates/sailcart-sender/tests/clock_steps.rs
@@ -24,7 +24,7 @@
         .expect("an answer")
 }
 
-/// An endpoint that reads its first call and does not answer it.
+/// An endpoint that reads its first call and does not respond to it.
 fn first_call_hangs(number: usize, _: &Call) -> HttpReply {
     if number == 0 {
         thread::park_timeout(Duration::from_secs(60));
@@ -55,7 +55,7 @@
     });
 }
 
-/// Guards against a second execution: a call is not answered, the process is killed, and the next process
+/// Guards against a second execution: a call gets no response, the process is killed, and the next process
 /// starts when the destination has forgotten the idempotency key. A step back of the clock must not make the
 /// window seem open.
 #[test]
--- a/crates/sailcart-sender/tests/end_to_end.rs
+++ b/crates/sailcart-sender/tests/end_to_end.rs
@@ -37,7 +37,7 @@
 }
 
 /// A packet is dispatched again after a 429 with Retry-After, not before that wait has passed, and after its
-/// connection was closed without an answer.
+/// connection was closed without a response.
 #[test]
 fn packet_is_repeated_after_retry_after_and_after_a_reset() {
     let harness = Harness::new("again", |number, _| match number {
@@ -53,11 +53,11 @@
     assert!(harness.log().contains("code=peer_closed"));
 }
 
-/// Malformed answers must not keep a call open until it times out. A status line with 200 completes a single
-/// packet, whatever follows. Any other malformed answer ends its call at once, as one that may have been
-/// executed. The connection of such an answer is not used again.
+/// Malformed responses must not keep a call open until it times out. A status line with 200 completes a
+/// single packet, whatever follows. Any other malformed response ends its call at once, as one that may have
+/// been executed. The connection of such a response is not used again.
 #[test]
-fn malformed_answers_end_their_call_at_once() {
+fn malformed_responses_end_their_call_at_once() {
     let harness = Harness::new("malformed", |number, _| {
         Some(match number {
             0 => "HTTP/1.1 200 OK\r\n\u{1}\u{2} no head".to_owned(),
@@ -77,7 +77,7 @@
     let calls = ["a1", "b2", "b2", "b2", "b2", "b2"];
     harness.wait_until("the calls", |harness| harness.received_ids() == calls);
     assert!(start.elapsed() < Duration::from_secs(6), "{:?}", start.elapsed());
-    harness.wait_until("the answer", |harness| {
+    harness.wait_until("the response", |harness| {
         harness.log().contains("packet b2 from") && harness.log().contains("Done")
     });
     assert_eq!(harness.submit("c3"), "+OK");
@@ -109,7 +109,7 @@
                     sleep(Duration::from_millis(300));
                     stream
                         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-                        .expect("the answer is written");
+                        .expect("the response is written");
                 }
             });
         }
@@ -409,10 +409,10 @@
     assert_eq!(harness.log().matches("code=no_list").count(), 1);
 }
 
-/// A limit reported in answers has to reach the decision module. One of a hundred senders starts at one call
-/// per second and is allowed a higher rate by the reported limit.
+/// A limit reported in responses has to reach the decision module. One of a hundred senders starts at one
+/// call per second and is allowed a higher rate by the reported limit.
 #[test]
-fn limits_reported_in_answers_are_applied() {
+fn limits_reported_in_responses_are_applied() {
     let report = |number: usize| format!("X-Load-Report: x0=0.{},x1=100\r\n", 99 - number);
     let mut harness =
         Harness::new("reported-limit", move |number, _| http_response("200 OK", &report(number), ""));
--- a/crates/sailcart-sender/tests/failing_state_folder.rs
+++ b/crates/sailcart-sender/tests/failing_state_folder.rs
@@ -116,7 +116,7 @@
 }
 
 /// All writes fail for ten seconds while forty packets complete and many more are submitted. The queue of
-/// unwritten records must be bounded by the number of stored packets, each client gets an answer, and all
+/// unwritten records must be bounded by the number of stored packets, each client gets a reply, and all
 /// completions are recorded and reported once the folder works again.
 #[test]
 fn unwritten_records_are_bounded_and_reported_later() {
@@ -189,10 +189,10 @@
     );
     harness.kill();
     page.clear().expect("the control page");
-    for (id, answer) in replies.iter().filter(|(_, answer)| answer.starts_with("-BUSY")) {
+    for (id, reply) in replies.iter().filter(|(_, reply)| reply.starts_with("-BUSY")) {
         assert!(
             !harness.store_summary().contains(&format!("packet {id}: ")),
-            "{id} got {answer} and is stored as accepted"
+            "{id} got {reply} and is stored as accepted"
         );
     }
 }
@@ -292,7 +292,7 @@
     harness.start();
     let replies: Vec<(String, String)> =
         clients.into_iter().map(|client| client.join().expect("no panic")).collect();
-    for (id, _) in replies.iter().filter(|(_, answer)| answer == "+OK") {
+    for (id, _) in replies.iter().filter(|(_, reply)| reply == "+OK") {
         harness.wait_until("the completion", |harness| {
             harness.received_ids().contains(id) || notices_of(harness, id) > 0
         });
--- a/crates/sailcart-sender/tests/journal.rs
+++ b/crates/sailcart-sender/tests/journal.rs
@@ -150,7 +150,7 @@
 /// its outcome.
 #[test]
 fn completed_ids_survive_a_restart() {
-    let folder = folder("over");
+    let folder = folder("completed");
     let mut ledger = open(&folder);
     let rejection = Some(Notice::Dismissed(Some(Duration::from_millis(70))));
     for n in 0..6 {
--- a/crates/sailcart-sender/tests/kill_points.rs
+++ b/crates/sailcart-sender/tests/kill_points.rs
@@ -61,7 +61,7 @@
 }
 
 fn submit_accepted(harness: &Harness, category: &str, id: &str, body: &str) {
-    let reply = submit(harness.listen_address, id, &fields(category, id, 7), body).expect("an answer");
+    let reply = submit(harness.listen_address, id, &fields(category, id, 7), body).expect("a reply");
     assert_eq!(reply, "+OK");
 }
 
@@ -78,22 +78,24 @@
     notices
 }
 
-/// Replies for an endpoint that answers only calls that arrive after `answers` has been set, and never
-/// earlier ones.
-fn reply_once_set(answers: &Arc<AtomicBool>) -> impl Fn(usize, &Call) -> HttpReply + Send + Sync + 'static {
-    let answers = answers.clone();
+/// Reply function of an endpoint that replies only to calls that arrive after `replies_enabled` has been set,
+/// and never to earlier ones.
+fn reply_once_enabled(
+    replies_enabled: &Arc<AtomicBool>,
+) -> impl Fn(usize, &Call) -> HttpReply + Send + Sync + 'static {
+    let replies_enabled = replies_enabled.clone();
     move |_, _| {
-        while !answers.load(Ordering::SeqCst) {
+        while !replies_enabled.load(Ordering::SeqCst) {
             thread::park();
         }
         http_response("200 OK", "", "")
     }
 }
 
-/// Starts the next process over a packet whose call is in flight according to the journal and whose answer
+/// Starts the next process over a packet whose call is in flight according to the journal and whose response
 /// was lost. A repeatable packet is sent again under the same idempotency key; an unrepeatable one is
 /// scrapped.
-fn restart_after_lost_answer(harness: &mut Harness, category: &str, calls_before: &[&str]) {
+fn restart_after_lost_response(harness: &mut Harness, category: &str, calls_before: &[&str]) {
     harness.start();
     if category == REPEATABLE {
         let calls_after = [calls_before, &["a1"]].concat();
@@ -108,7 +110,7 @@
     }
 }
 
-/// The packet is in the journal, and its client has no answer yet. The next process delivers the packet once,
+/// The packet is in the journal, and its client has no reply yet. The next process delivers the packet once,
 /// and the client, which submits it again, gets `+OK`.
 #[test]
 fn between_the_acceptance_record_and_ok() {
@@ -126,7 +128,7 @@
     harness.kill();
     let mut received = Vec::new();
     let _ = client.read_to_end(&mut received);
-    assert_eq!(received, b"", "the client got an answer");
+    assert_eq!(received, b"", "the client got a reply");
     let calls = harness.received_ids();
     assert!(!calls.contains(&"a1".to_owned()), "the packet was dispatched");
     replace_in_config(&mut harness, (LONG_PERIOD, PERIOD));
@@ -201,32 +203,33 @@
             harness.store_summary()
         );
         harness.platform.set_list(&[list_entry("e", harness.endpoint_address, 7, "Ready")]);
-        restart_after_lost_answer(&mut harness, category, &[]);
+        restart_after_lost_response(&mut harness, category, &[]);
     }
 }
 
-/// The endpoint has received the full call and has not answered.
+/// The endpoint has received the full call and has not responded.
 #[test]
-fn between_the_last_byte_and_the_answer() {
+fn between_the_last_byte_and_the_response() {
     for category in [REPEATABLE, UNREPEATABLE] {
-        let answers = Arc::new(AtomicBool::new(false));
-        let mut harness = start_sender(&format!("last-byte-{category}"), reply_once_set(&answers));
+        let replies_enabled = Arc::new(AtomicBool::new(false));
+        let mut harness =
+            start_sender(&format!("last-byte-{category}"), reply_once_enabled(&replies_enabled));
         submit_accepted(&harness, category, "a1", "");
         harness.wait_until("the full call", |harness| harness.received_ids() == ["a1"]);
         harness.kill();
-        answers.store(true, Ordering::SeqCst);
-        restart_after_lost_answer(&mut harness, category, &["a1"]);
+        replies_enabled.store(true, Ordering::SeqCst);
+        restart_after_lost_response(&mut harness, category, &["a1"]);
     }
 }
 
-/// The answer was received and parsed, and the process ends while it writes the outcome to the journal.
+/// The response was received and parsed, and the process ends while it writes the outcome to the journal.
 #[test]
-fn between_the_answer_and_its_record() {
+fn between_the_response_and_its_record() {
     for category in [REPEATABLE, UNREPEATABLE] {
-        let answers = Arc::new(AtomicBool::new(false));
-        let answer_allowed = answers.clone();
+        let replies_enabled = Arc::new(AtomicBool::new(false));
+        let endpoint_replies_enabled = replies_enabled.clone();
         let mut harness = start_sender(&format!("outcome-{category}"), move |_, _| {
-            while !answer_allowed.load(Ordering::SeqCst) {
+            while !endpoint_replies_enabled.load(Ordering::SeqCst) {
                 thread::yield_now();
             }
             http_response("200 OK", "", "")
@@ -236,11 +239,11 @@
         harness.wait_until_store_shows("1 dispatches, one in flight");
         assert!(harness.log_bytes() < LARGE_BYTES as u64);
         harness.limit_file_size(harness.segment_bytes());
-        answers.store(true, Ordering::SeqCst);
+        replies_enabled.store(true, Ordering::SeqCst);
         harness.wait_for_file_size_signal();
-        assert!(harness.log().contains("Done after"), "the answer was not parsed");
+        assert!(harness.log().contains("Done after"), "the response was not parsed");
         assert!(harness.store_summary().contains("one in flight"), "{}", harness.store_summary());
-        restart_after_lost_answer(&mut harness, category, &["a1"]);
+        restart_after_lost_response(&mut harness, category, &["a1"]);
     }
 }
 
@@ -279,14 +282,14 @@
     assert_eq!(harness.notices(), vec![scrapped_notice("a1"); notices_before + 1]);
 }
 
-/// The process is killed twice during recovery, before it accepts clients: while discovery does not answer,
+/// The process is killed twice during recovery, before it accepts clients: while discovery does not respond,
 /// and while its port is in use and calls are in flight. Neither may lose a packet or a pending notice.
 #[test]
 fn during_recovery() {
-    let answers = Arc::new(AtomicBool::new(false));
-    let reply_when_set = reply_once_set(&answers);
+    let replies_enabled = Arc::new(AtomicBool::new(false));
+    let endpoint_reply = reply_once_enabled(&replies_enabled);
     let mut harness = start_sender("recovery", move |number, call| {
-        if call.header("X-Call-Id") == "reset" { None } else { reply_when_set(number, call) }
+        if call.header("X-Call-Id") == "reset" { None } else { endpoint_reply(number, call) }
     });
     let list = |state| {
         [
@@ -303,7 +306,7 @@
     submit_accepted(&harness, REPEATABLE, "doubt", "");
     submit_accepted(&harness, UNREPEATABLE, "scrap", "");
     let reply = submit(harness.listen_address, "untried", &fields(REPEATABLE, "untried", 8), "");
-    assert_eq!(reply.expect("an answer"), "+OK");
+    assert_eq!(reply.expect("a reply"), "+OK");
     harness.wait_until("the calls", |harness| harness.received_ids().len() == 3);
     harness.kill();
     let stored = harness.store_summary();
@@ -341,7 +344,7 @@
     assert_eq!(harness.log().matches(" listens on ").count(), listen_lines, "the sender accepted clients");
     drop(port);
 
-    answers.store(true, Ordering::SeqCst);
+    replies_enabled.store(true, Ordering::SeqCst);
     harness.platform.reject_notices.store(false, Ordering::SeqCst);
     harness.start();
     harness.wait_until("the calls", |harness| harness.received_ids().len() == 7);
--- a/crates/sailcart-sender/tests/reload.rs
+++ b/crates/sailcart-sender/tests/reload.rs
@@ -1,4 +1,4 @@
-//! Reload of a large configuration on SIGHUP: the sender keeps answering clients while it reads the file.
+//! Reload of a large configuration on SIGHUP: the sender keeps replying to clients while it reads the file.
 
 use std::fmt::Write;
 use std::time::{Duration, Instant};
@@ -13,7 +13,7 @@
 const ENTRIES: usize = 100_000;
 
 /// A configuration with 100,000 entries takes long to parse; parsing it on the thread that serves clients
-/// would delay their answers. No PING may take longer than 200 ms.
+/// would delay their replies. No PING may take longer than 200 ms.
 #[test]
 fn clients_are_answered_during_a_large_reload() {
     let mut harness = Harness::new("large-reload", |_, _| http_response("200 OK", "", ""));
