--- a/crates/sailcart-sender/src/config/known_list.rs
+++ b/crates/sailcart-sender/src/config/known_list.rs
@@ -32,7 +32,7 @@
     /// Validates the list in this range of `text`.
     fn new(text: String, range: Option<Range<usize>>) -> Result<Self, ValueError> {
         let mut reader = ListReader::default();
-        let empty = Summary { version: 0, full: true, read: 0, skipped: 0 };
+        let empty = Summary { version: 0, full: true, entries_read: 0, entries_skipped: 0 };
         let mut list = KnownList { text, range, summary: empty };
         if list.range.is_some() {
             for piece in list.pieces() {
--- a/crates/sailcart-sender/src/config/mod.rs
+++ b/crates/sailcart-sender/src/config/mod.rs
@@ -258,6 +258,6 @@
         settings.max_held,
         settings.categories.len(),
         settings.kinds.len(),
-        known_list.summary().read,
+        known_list.summary().entries_read,
     )
 }
--- a/crates/sailcart-sender/src/exchange/directory/destinations.rs
+++ b/crates/sailcart-sender/src/exchange/directory/destinations.rs
@@ -22,7 +22,7 @@
     endpoint_counts: HashMap<DestinationId, u32, RandomState>,
     departed: Departed,
     /// Destinations that the list being applied names, perhaps without a live endpoint.
-    mentioned: Vec<DestinationId>,
+    named: Vec<DestinationId>,
     /// When the previous list took effect: destinations that leave with the next list were last listed then.
     last_update: Duration,
 }
@@ -58,14 +58,14 @@
     }
 
     /// Notes that the list being applied names a destination, perhaps without a live endpoint.
-    pub(super) fn mention(&mut self, destination: DestinationId) {
-        self.mentioned.push(destination);
+    pub(super) fn mark_named(&mut self, destination: DestinationId) {
+        self.named.push(destination);
     }
 
-    /// Ends the application of a list. The destinations that it mentioned count as listed now; those last
+    /// Ends the application of a list. The destinations that it named count as listed now; those last
     /// listed [`RETENTION`] or longer ago are dropped, as are the oldest departed ones beyond `max_departed`.
     pub(super) fn finish_update(&mut self, now: Duration, max_departed: usize) {
-        for destination in std::mem::take(&mut self.mentioned) {
+        for destination in std::mem::take(&mut self.named) {
             if !self.is_listed(destination) {
                 self.departed.push(destination, now);
             }
--- a/crates/sailcart-sender/src/exchange/directory/mod.rs
+++ b/crates/sailcart-sender/src/exchange/directory/mod.rs
@@ -244,8 +244,8 @@
 
     /// Notes that the list being applied names a destination, perhaps without a live endpoint: packets for it
     /// are not rejected as having an unknown destination.
-    pub(super) fn mention(&mut self, destination: DestinationId) {
-        self.destinations.mention(destination);
+    pub(super) fn mark_destination_named(&mut self, destination: DestinationId) {
+        self.destinations.mark_named(destination);
     }
 
     /// Ends the application of a list, after which at most `max_endpoints` endpoints may be live.
--- a/crates/sailcart-sender/src/exchange/update.rs
+++ b/crates/sailcart-sender/src/exchange/update.rs
@@ -8,8 +8,8 @@
 use super::directory::Directory;
 use super::staged::{MAX_CHANGES_PER_STEP, StagedEntry, StagedList};
 
-/// Number of directory slots that one step searches for endpoints that a full list does not name.
-const SEARCH_SLOTS: u32 = 16 * 1024;
+/// How many slots one step searches for endpoints that a full list does not name.
+const DIRECTORY_SLOTS_PER_STEP: u32 = 16 * 1024;
 
 /// Result of one step of an [`Update`].
 #[derive(Debug)]
@@ -29,14 +29,14 @@
     staged: StagedList,
     now: Duration,
     phase: Phase,
-    /// Slots of endpoints that a full list does not name.
+    /// Directory slots of endpoints that a full list does not name.
     unlisted: Vec<u32>,
     /// The changes are spread over several steps.
     in_steps: bool,
 }
 
 enum Phase {
-    /// Searches for unlisted endpoints from this slot on.
+    /// Searches for unlisted endpoints from this directory slot on.
     Search(u32),
     RemoveUnlisted,
     /// Removes the draining endpoints of the chunks from this one on.
@@ -62,7 +62,7 @@
         loop {
             match self.phase {
                 Phase::Search(from) if from < directory.end() => {
-                    let to = directory.end().min(from.saturating_add(SEARCH_SLOTS));
+                    let to = directory.end().min(from.saturating_add(DIRECTORY_SLOTS_PER_STEP));
                     self.unlisted.extend(directory.unnamed(self.staged.generation, from..to));
                     self.phase = Phase::Search(to);
                     if to < directory.end() {
@@ -96,7 +96,7 @@
         let mut list_entries = self.remove_unlisted(directory);
         for entry in mem::take(&mut self.staged.chunks).into_iter().flatten() {
             if !entry.live || entry.overridden {
-                directory.mention(entry.destination);
+                directory.mark_destination_named(entry.destination);
             }
             if entry.live {
                 put(entry, directory, &mut list_entries);
@@ -111,8 +111,8 @@
     fn remove_unlisted(&mut self, directory: &mut Directory) -> Vec<ListEntry> {
         let mut list_entries = Vec::new();
         let remaining = self.unlisted.split_off(self.unlisted.len().min(MAX_CHANGES_PER_STEP));
-        for slot in mem::replace(&mut self.unlisted, remaining) {
-            directory.remove(slot, &mut list_entries);
+        for directory_slot in mem::replace(&mut self.unlisted, remaining) {
+            directory.remove(directory_slot, &mut list_entries);
         }
         list_entries
     }
@@ -122,7 +122,7 @@
         let mut list_entries = Vec::new();
         for entry in self.staged.chunks.get(chunk).into_iter().flatten() {
             if !entry.live || entry.overridden {
-                directory.mention(entry.destination);
+                directory.mark_destination_named(entry.destination);
             }
             if !entry.live && !entry.overridden {
                 directory.drain(&entry.name, &mut list_entries);
@@ -148,7 +148,7 @@
 
     fn finish(&mut self, directory: &mut Directory, list_entries: Vec<ListEntry>) -> Step {
         for destination in mem::take(&mut self.staged.overridden_destinations) {
-            directory.mention(destination);
+            directory.mark_destination_named(destination);
         }
         directory.finish_update(self.now, self.staged.max_endpoints);
         Step::Last(list_entries)
--- a/crates/sailcart-sender/src/life/reload.rs
+++ b/crates/sailcart-sender/src/life/reload.rs
@@ -44,7 +44,7 @@
             (Ok((Source::Static, Some(known_list))), ReloadTarget::EndpointList(exchange)) => {
                 let list = known_list.summary();
                 exchange.apply_current_list(list.full, known_list.entries());
-                log::info!("reload: {} endpoints listed, code=listed", list.read);
+                log::info!("reload: {} endpoints listed, code=listed", list.entries_read);
             }
             (Ok(_), _) => log::warn!("reload: the kind of source has changed, code=next_start"),
             (Err(error), _) => {
--- a/crates/sailcart-sender/src/life/stop.rs
+++ b/crates/sailcart-sender/src/life/stop.rs
@@ -25,8 +25,8 @@
 /// How much work is unfinished.
 #[derive(PartialEq, Default)]
 struct Outstanding {
-    /// Packets in flight.
-    calls: usize,
+    /// In flight.
+    packets: usize,
     connections: usize,
     notices: usize,
     /// Groups of journal changes that could not be written to the state folder.
@@ -36,7 +36,7 @@
 impl Outstanding {
     fn now(exchange: &Exchange, clients: &Clients) -> Self {
         Outstanding {
-            calls: exchange.packets_in_flight(),
+            packets: exchange.packets_in_flight(),
             connections: clients.open_connections(),
             notices: exchange.pending_notices(|pending| pending.count()),
             unwritten: exchange.unwritten_groups(),
@@ -61,9 +61,9 @@
     if let Err(error) = drain_accept_queue(clients, accepting, start).await {
         log::warn!("clients: code=not_accepted {error}");
     }
-    let Outstanding { calls, connections, notices, unwritten } = Outstanding::now(exchange, clients);
+    let Outstanding { packets, connections, notices, unwritten } = Outstanding::now(exchange, clients);
     log::info!(
-        "{calls} packets still out, {connections} connections still open, {notices} notices still owed, {unwritten} changes unwritten, {} violations",
+        "{packets} packets still out, {connections} connections still open, {notices} notices still owed, {unwritten} changes unwritten, {} violations",
         exchange.violations()
     );
 }
--- a/crates/sailcart-sender/src/platform/follower.rs
+++ b/crates/sailcart-sender/src/platform/follower.rs
@@ -224,9 +224,9 @@
         exchange.fits(&sink.staged, list.full)?;
         // Also without changes: applying a list removes endpoints that left the list long ago.
         exchange.apply(sink.staged, list.full).await;
-        let received = if list.read > 0 { Received::Entries } else { Received::NoEntries };
+        let received = if list.entries_read > 0 { Received::Entries } else { Received::NoEntries };
         if list.full || received == Received::Entries {
-            log::info!("discovery: version {}, {} entries", list.version, list.read);
+            log::info!("discovery: version {}, {} entries", list.version, list.entries_read);
         }
         self.record_in_force(&list);
         Ok(received)
--- a/crates/sailcart-sender/src/wire/list_reader.rs
+++ b/crates/sailcart-sender/src/wire/list_reader.rs
@@ -24,10 +24,9 @@
     pub version: u64,
     /// A full snapshot, which replaces everything that was listed before. Otherwise the list is incremental.
     pub full: bool,
-    /// Number of entries that were read.
-    pub read: usize,
-    /// Number of entries that were skipped as malformed or too large.
-    pub skipped: usize,
+    pub entries_read: usize,
+    /// Malformed or too large.
+    pub entries_skipped: usize,
 }
 
 /// The members of the list's top-level object.
@@ -64,8 +63,8 @@
     full: Option<bool>,
     /// The member `instances` has occurred.
     instances_seen: bool,
-    read: usize,
-    skipped: usize,
+    entries_read: usize,
+    entries_skipped: usize,
     /// The most skipped entries that are logged individually.
     max_warnings: usize,
 }
@@ -82,8 +81,8 @@
             version: None,
             full: None,
             instances_seen: false,
-            read: 0,
-            skipped: 0,
+            entries_read: 0,
+            entries_skipped: 0,
             max_warnings: MAX_WARNINGS,
         }
     }
@@ -121,8 +120,8 @@
         if !self.scanner.is_complete() {
             return Err("expected JSON: it ends too early".into());
         }
-        if self.max_warnings > 0 && self.skipped > self.max_warnings {
-            log::warn!("discovery: code=entry {} entries skipped", self.skipped);
+        if self.max_warnings > 0 && self.entries_skipped > self.max_warnings {
+            log::warn!("discovery: code=entry {} entries skipped", self.entries_skipped);
         }
         if !self.instances_seen {
             return Err("expected instances".into());
@@ -130,8 +129,8 @@
         Ok(Summary {
             version: self.version.ok_or("expected generation")?,
             full: self.full.ok_or("expected reset")?,
-            read: self.read,
-            skipped: self.skipped,
+            entries_read: self.entries_read,
+            entries_skipped: self.entries_skipped,
         })
     }
 
@@ -213,7 +212,7 @@
     /// Returns the entry, or skips it if it is malformed or too large, so that it does not invalidate the
     /// others.
     fn end_entry(&mut self) -> Option<Entry> {
-        let log_if_skipped = self.skipped < self.max_warnings;
+        let log_if_skipped = self.entries_skipped < self.max_warnings;
         let entry = match self.end_capture() {
             Some(bytes) => read_entry_bytes(bytes, log_if_skipped),
             None => {
@@ -226,8 +225,8 @@
             }
         };
         match entry {
-            Some(_) => self.read += 1,
-            None => self.skipped += 1,
+            Some(_) => self.entries_read += 1,
+            None => self.entries_skipped += 1,
         }
         entry
     }
--- a/crates/sailcart-sender/tests/list_reader.rs
+++ b/crates/sailcart-sender/tests/list_reader.rs
@@ -75,7 +75,7 @@
 #[test]
 fn the_sample_is_parsed_completely() {
     let (summary, entries) = parse_at_once(SAMPLE).expect("valid list");
-    assert_eq!(summary, Summary { version: 43, full: true, read: 3, skipped: 6 });
+    assert_eq!(summary, Summary { version: 43, full: true, entries_read: 3, entries_skipped: 6 });
     let names: Vec<&str> = entries.iter().map(|entry| &*entry.name).collect();
     assert_eq!(names, ["a-1", "b-2 \"\\ é 😀 ☃", "c"]);
     let second = &entries[1];
@@ -127,7 +127,7 @@
     }
     let (summary, entries) =
         parse_at_once(&full_list(&[entry("a"), entry("a")].join(","))).expect("valid list");
-    assert_eq!((summary.read, entries.len()), (2, 2), "a repeated entry is returned twice");
+    assert_eq!((summary.entries_read, entries.len()), (2, 2), "a repeated entry is returned twice");
 }
 
 #[test]
@@ -231,13 +231,19 @@
     for piece_bytes in [1, 100, 4096, 1 << 20] {
         let text = full_list(&[entry("a"), large.clone(), entry("b")].join(" , "));
         let (summary, entries) = parse(text.as_bytes().chunks(piece_bytes)).expect("valid list");
-        assert_eq!((summary.read, summary.skipped), (2, 1));
+        assert_eq!((summary.entries_read, summary.entries_skipped), (2, 1));
         assert_eq!((&*entries[0].name, &*entries[1].name), ("a", "b"));
     }
     let max_name_bytes = MAX_ENTRY_BYTES - entry("").len();
-    assert_eq!(parse_at_once(&full_list(&entry(&"n".repeat(max_name_bytes)))).expect("valid list").0.read, 1);
     assert_eq!(
-        parse_at_once(&full_list(&entry(&"n".repeat(max_name_bytes + 1)))).expect("valid list").0.read,
+        parse_at_once(&full_list(&entry(&"n".repeat(max_name_bytes)))).expect("valid list").0.entries_read,
+        1
+    );
+    assert_eq!(
+        parse_at_once(&full_list(&entry(&"n".repeat(max_name_bytes + 1))))
+            .expect("valid list")
+            .0
+            .entries_read,
         0
     );
 }
@@ -246,7 +252,7 @@
 fn nesting_depth_is_limited() {
     for (open, close) in [("[", "]"), (r#"{"x":"#, "}")] {
         let nested = |depth: usize| format!("{}1{}", open.repeat(depth), close.repeat(depth));
-        assert_eq!(parse_at_once(&full_list(&nested(125))).expect("valid list").0.skipped, 1);
+        assert_eq!(parse_at_once(&full_list(&nested(125))).expect("valid list").0.entries_skipped, 1);
         assert!(error_text(&full_list(&nested(126))).contains("nested too deeply"));
         assert!(error_text(&full_list(&open.repeat(1_000_000))).contains("nested too deeply"));
     }
@@ -263,7 +269,7 @@
         [r#""weight":null"#, r#""weight":"1""#, r#""cell":1.0"#, r#""cell":-1"#, r#""hostPort":7"#]
     {
         let text = full_list(&entry("d").replace('}', &format!(",{mistyped}}}")));
-        assert_eq!(parse_at_once(&text).expect("valid list").0.skipped, 1, "{mistyped}");
+        assert_eq!(parse_at_once(&text).expect("valid list").0.entries_skipped, 1, "{mistyped}");
     }
 }
 
--- a/crates/sailcart-terms/src/lib.rs
+++ b/crates/sailcart-terms/src/lib.rs
@@ -43,8 +43,7 @@
 
 /// Settings that concern only the host and influence no decision.
 pub struct HostSettings {
-    /// The minimum time from one round to the next.
-    pub round: Duration,
+    pub min_round_interval: Duration,
     /// Endpoints close a connection that has been idle for this long, or earlier.
     pub idle_close: Duration,
 }
@@ -52,7 +51,7 @@
 /// Reads the settings of the host. A simulator is its own host and doesn't need them.
 pub fn read_host_settings(value: &Value) -> Result<HostSettings, ValueError> {
     Ok(HostSettings {
-        round: milliseconds_in(value, "period_ms")?,
+        min_round_interval: milliseconds_in(value, "period_ms")?,
         idle_close: milliseconds_in(member(value, "bounds")?, "idle_close_ms")?,
     })
 }
