--- a/crates/sailcart-sender/src/life/start.rs
+++ b/crates/sailcart-sender/src/life/start.rs
@@ -79,7 +79,7 @@
             if max_list_staleness.is_none() {
                 // The sender must know the agent's current list from its start on, and the list of the
                 // previous process may contain endpoints that have drained since. If the agent does not
-                // answer, the start waits for one call at most.
+                // respond, the start waits for one call at most.
                 let _ = first_call.await;
             }
             ReloadTarget::DiscoveryAddress(address_sender)
--- a/crates/sailcart-sender/src/platform/connection.rs
+++ b/crates/sailcart-sender/src/platform/connection.rs
@@ -33,7 +33,7 @@
     pub(super) address_receiver: AddressReceiver,
     /// The open connection while no call is using it.
     pub(super) stream: Option<Socket>,
-    /// Limits the time for connecting alone; the answer has a limit of its own.
+    /// Limits the time for connecting alone; the response has a limit of its own.
     pub(super) connect_timeout: Duration,
 }
 
@@ -42,14 +42,14 @@
         *self.address_receiver.borrow()
     }
 
-    /// Sends one call and reads its answer.
+    /// Sends one call and reads its response.
     ///
     /// If the address changes meanwhile, the call fails at once with [`AddressChangedError`] instead of
-    /// waiting for an answer from the old address, and the next call goes to the new one.
+    /// waiting for a response from the old address, and the next call goes to the new one.
     pub(super) async fn call<S: BodySink>(
         &mut self,
         bytes: &[u8],
-        limits: AnswerLimits,
+        limits: ResponseLimits,
         sink: &mut S,
     ) -> Result<Response, S::Error> {
         let (mut address_receiver, old_address) = (self.address_receiver.clone(), self.address());
@@ -80,15 +80,15 @@
         log::info!("platform {old_address}: connection ended, code=moved");
     }
 
-    /// Sends one call and reads its answer within the limits, connecting first if necessary. A connection
-    /// on which no complete answer arrived is closed.
+    /// Sends one call and reads its response within the limits, connecting first if necessary. A connection
+    /// on which no complete response arrived is closed.
     async fn call_current_address<S: BodySink>(
         &mut self,
         bytes: &[u8],
-        limits: AnswerLimits,
+        limits: ResponseLimits,
         sink: &mut S,
     ) -> Result<Response, S::Error> {
-        let AnswerLimits { base_time, min_bytes_per_second, max_body_bytes } = limits;
+        let ResponseLimits { base_time, min_bytes_per_second, max_body_bytes } = limits;
         let time_limit = TimeLimit { started_at: Instant::now(), base_time, min_bytes_per_second };
         let mut stream = timeout(base_time, self.send(bytes)).await.map_err(io::Error::from)??;
         let response = response::read_to_sink(&mut stream, max_body_bytes, time_limit, sink).await?;
@@ -114,10 +114,10 @@
     }
 }
 
-/// Bounds on the answer to a call.
+/// Bounds on the response to a call.
 #[derive(Clone, Copy)]
-pub(super) struct AnswerLimits {
-    /// Time for the call and its answer, connecting included. A large body has more by
+pub(super) struct ResponseLimits {
+    /// Time for the call and its response, connecting included. A large body has more by
     /// `min_bytes_per_second`.
     pub(super) base_time: Duration,
     /// In bytes per second, as in [`TimeLimit`].
--- a/crates/sailcart-sender/src/platform/follower.rs
+++ b/crates/sailcart-sender/src/platform/follower.rs
@@ -10,7 +10,7 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use super::connection::{AddressReceiver, AnswerLimits, Connection, is_address_change};
+use super::connection::{AddressReceiver, Connection, ResponseLimits, is_address_change};
 use crate::exchange::{Exchange, ListTooLarge, StagedList};
 use crate::polling::{self, Failure, PollingSchedule};
 use crate::response::{BodySink, TooLarge};
@@ -33,9 +33,9 @@
 enum ListError {
     /// A reload changed the address of discovery.
     AddressChanged,
-    /// The connection failed or broke, or the answer took too long.
+    /// The connection failed or broke, or the response took too long.
     ConnectionFailed(io::Error),
-    /// An answer with a status other than 200: discovery is overloaded.
+    /// A response with a status other than 200: discovery is overloaded.
     Status(u16),
     /// The body is no valid list, or the list is older than the one in force.
     Malformed(String),
@@ -130,8 +130,8 @@
 /// A list that is too large is refused and the last valid one stays in force. The refused request is
 /// repeated after delays that grow to a minute. If it was for the full list (after a malformed one), the
 /// watch from the last valid version continues meanwhile on its own schedule, so updates after that version
-/// still arrive in time. If the answer to the watch itself was too large, no update can be received without
-/// reading that answer again, so no update is guaranteed to arrive before the delay has passed.
+/// still arrive in time. If the response to the watch itself was too large, no update can be received without
+/// reading that response again, so no update is guaranteed to arrive before the delay has passed.
 ///
 /// [`response::MAX_PIECE_BYTES`]: crate::response::MAX_PIECE_BYTES
 pub struct Follower {
@@ -193,7 +193,7 @@
             match polled {
                 Ok(Received::Entries) => {}
                 Ok(Received::NoEntries) => {
-                    // A watch that is answered at once is not repeated at once, to bound the rate of calls.
+                    // A watch with an immediate response is not repeated at once, to bound the rate of calls.
                     // The delay is short enough that updates still arrive on schedule.
                     let delay = polling::MIN_RETRY_DELAY.saturating_sub(start.elapsed());
                     self.wait(delay).await;
@@ -208,8 +208,11 @@
         let (path, base_time) = self.next_call();
         let call = http::get(&self.connection.address().to_string(), &path);
         let max_body_bytes = self.max_endpoints.saturating_mul(MAX_ENTRY_BYTES);
-        let limits =
-            AnswerLimits { base_time, min_bytes_per_second: Some(MIN_LIST_BYTES_PER_SECOND), max_body_bytes };
+        let limits = ResponseLimits {
+            base_time,
+            min_bytes_per_second: Some(MIN_LIST_BYTES_PER_SECOND),
+            max_body_bytes,
+        };
         let exchange = self.exchange.clone();
         let staged = exchange.stage(self.max_endpoints);
         let mut sink =
@@ -232,7 +235,7 @@
         Ok(received)
     }
 
-    /// The path of the next call, and the time within which its answer must arrive.
+    /// The path of the next call, and the time within which its response must arrive.
     fn next_call(&self) -> (String, Duration) {
         let Some(from) = self.watch_from else {
             return (discovery::FULL_LIST_PATH.to_owned(), self.schedule.call_timeout());
--- a/crates/sailcart-sender/src/platform/notices.rs
+++ b/crates/sailcart-sender/src/platform/notices.rs
@@ -10,7 +10,7 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use super::connection::{AddressReceiver, AnswerLimits, Connection, is_address_change};
+use super::connection::{AddressReceiver, Connection, ResponseLimits, is_address_change};
 use super::refused::RefusedNotices;
 use crate::exchange::Exchange;
 use crate::memory::Notice;
@@ -25,7 +25,7 @@
 /// The longest wait while no notice is pending.
 const MAX_IDLE_WAIT: Duration = Duration::from_secs(3600);
 
-/// Ignores the body of an answer.
+/// Ignores the body of a response.
 struct DiscardBody;
 
 impl BodySink for DiscardBody {
@@ -36,10 +36,10 @@
     }
 }
 
-/// The number of calls with notices that may be in flight at once. While the platform does not answer one
+/// The number of calls with notices that may be in flight at once. While the platform does not respond to one
 /// call, the notices that become pending are sent with another.
 const MAX_CONCURRENT_CALLS: usize = 4;
-/// How long a call is in flight before another may start: no other is needed if the platform answers within
+/// How long a call is in flight before another may start: no other is needed if the platform responds within
 /// this time.
 const ADDITIONAL_CALL_DELAY: Duration = Duration::from_millis(50);
 
@@ -122,7 +122,7 @@
     connection: Connection,
     /// The error that was logged last; an outage has one line, not one for each attempt.
     logged_error: Option<io::ErrorKind>,
-    /// Calls without an answer since the last one that had an answer.
+    /// Calls without a response since the last one that had one.
     consecutive_losses: u32,
 }
 
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Sends one call with the available notices and handles its answer; false if no notice is available.
+    /// Sends one call with the available notices and handles its response; false if no notice is available.
     async fn call(&mut self, exchange: &Exchange, shared: &SharedState) -> bool {
         let (numbers, body) = shared.select(exchange);
         if numbers.is_empty() {
@@ -143,7 +143,7 @@
         }
         exchange.notices_sent.notify_waiters();
         let call = http::post(&self.connection.address().to_string(), notice::PATH, "", body.as_bytes());
-        let limits = AnswerLimits {
+        let limits = ResponseLimits {
             base_time: polling::notice_timeout(self.consecutive_losses),
             min_bytes_per_second: None,
             max_body_bytes: MAX_BODY_BYTES,
@@ -163,7 +163,7 @@
         true
     }
 
-    /// Handles the status of an answer; true if the next call must be delayed.
+    /// Handles the status of a response; true if the next call must be delayed.
     fn handle_status(
         &mut self,
         status: io::Result<u16>,
@@ -178,7 +178,7 @@
                 return false;
             }
             Ok(400) => {
-                // Either the platform cannot read one of these notices, or the answer was corrupted. Each
+                // Either the platform cannot read one of these notices, or the response was corrupted. Each
                 // is sent again in a call of its own.
                 let abandoned = shared.refused.borrow_mut().record_refusal(numbers);
                 if !abandoned.is_empty() {
--- a/crates/sailcart-sender/src/platform/refused.rs
+++ b/crates/sailcart-sender/src/platform/refused.rs
@@ -1,6 +1,6 @@
-//! Notices to which the platform answered 400.
+//! Notices to which the platform responded with 400.
 //!
-//! A notice that the platform cannot read would block all others in its call, and the answer itself may
+//! A notice that the platform cannot read would block all others in its call, and the response itself may
 //! have been corrupted on its way. So each notice of a refused call is sent in a call of its own from then
 //! on, the least refused first, and is abandoned only after a number of refusals.
 
--- a/crates/sailcart-sender/src/polling.rs
+++ b/crates/sailcart-sender/src/polling.rs
@@ -1,5 +1,5 @@
-//! The polling schedule of discovery: when the sender calls it, and how long it waits for the answer. Pure:
-//! this module neither sleeps nor reads a clock.
+//! The polling schedule of discovery: when the sender calls it, and how long it waits for the response.
+//! Pure: this module neither sleeps nor reads a clock.
 //!
 //! The protocol expects a sender to know of an update [`MAX_UPDATE_DELAY`] after discovery had it and could
 //! be reached, even if calls in between failed, were refused or were abandoned. So the longest sequence of
@@ -14,7 +14,7 @@
 pub const MAX_UPDATE_DELAY: Duration = Duration::from_secs(6);
 /// The shortest delay before a call is repeated.
 pub const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// How long the first call with a notice waits for its answer. A notice that becomes pending at its
+/// How long the first call with a notice waits for its response. A notice that becomes pending at its
 /// packet's deadline counts as late 300 ms after the deadline, so its call is repeated before that.
 const FIRST_NOTICE_TIMEOUT: Duration = Duration::from_millis(250);
 /// The shortest delay before a list that was too large is requested again. The first delay is drawn from up
@@ -22,16 +22,16 @@
 const MIN_TOO_LARGE_DELAY: Duration = Duration::from_secs(1);
 /// The longest delay before a list that was too large is requested again.
 const MAX_TOO_LARGE_DELAY: Duration = Duration::from_secs(60);
-/// How late the answer to a watch may be, counted from the end of its hold, where all senders share one
+/// How late the response to a watch may be, counted from the end of its hold, where all senders share one
 /// discovery.
 const MAX_WATCH_OVERDUE: Duration = Duration::from_secs(1);
 
 /// Why a call brought no list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// The call was refused, broke off, was abandoned, or brought a malformed answer.
+    /// The call was refused, broke off, was abandoned, or brought a malformed response.
     CallFailed,
-    /// An answer without a list: discovery is overloaded.
+    /// A response without a list: discovery is overloaded.
     Overloaded,
 }
 
@@ -39,9 +39,9 @@
 pub struct PollingSchedule {
     /// How long discovery may hold a watch while there is no update.
     hold: Duration,
-    /// How long a call that is answered at once may take, connecting included.
+    /// How long a call with an immediate response may take, connecting included.
     call_timeout: Duration,
-    /// How late the answer to a watch may be, counted from the end of its hold.
+    /// How late the response to a watch may be, counted from the end of its hold.
     max_watch_overdue: Duration,
     /// The longest delays after [`Failure::CallFailed`] and after [`Failure::Overloaded`], in this order.
     max_delays: (Duration, Duration),
@@ -49,16 +49,16 @@
     /// For lists that are too large. Separate from `failure_delays`, since calls that bring updates succeed
     /// meanwhile.
     too_large_delays: Backoff,
-    /// Whether the next watch has only the shortest hold, so that it is answered at once.
+    /// Whether the next watch has only the shortest hold, so that the response is immediate.
     skip_hold: bool,
 }
 
 impl PollingSchedule {
     /// `max_list_staleness` is set where discovery sends lists only on request: the sender must know what was
-    /// listed that long ago. There all senders share one discovery, which may need two seconds for an answer.
+    /// listed that long ago. There all senders share one discovery, which may need two seconds to respond.
     ///
-    /// Without it, each sender has a local agent that answers at once and at no cost, and a watch without an
-    /// answer is abandoned soon after its short hold.
+    /// Without it, each sender has a local agent that responds at once and at no cost, and a watch without a
+    /// response is abandoned soon after its short hold.
     pub fn new(max_list_staleness: Option<Duration>, seed: u64) -> Self {
         let (hold, call_timeout, max_watch_overdue, max_delays) = match max_list_staleness {
             Some(staleness) => (
@@ -88,7 +88,7 @@
         }
     }
 
-    /// How long discovery may hold the next watch, and the time within which its answer must arrive. The
+    /// How long discovery may hold the next watch, and the time within which its response must arrive. The
     /// first watch of a local agent, and each one after a failure, has only the shortest hold, so that it
     /// returns what discovery has now.
     pub fn watch_timing(&self) -> (Duration, Duration) {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// The time within which the answer to a call for the full list must arrive, connecting included.
+    /// The time within which the response to a call for the full list must arrive, connecting included.
     pub fn call_timeout(&self) -> Duration {
         self.call_timeout
     }
@@ -134,7 +134,7 @@
     }
 }
 
-/// How long a call with notices waits for its answer, after `consecutive_losses` calls without an answer.
+/// How long a call with notices waits for its response, after `consecutive_losses` calls without one.
 /// Doubles with the first two losses.
 pub fn notice_timeout(consecutive_losses: u32) -> Duration {
     FIRST_NOTICE_TIMEOUT.saturating_mul(1 << consecutive_losses.min(2))
--- a/crates/sailcart-sender/src/wire/call.rs
+++ b/crates/sailcart-sender/src/wire/call.rs
@@ -1,5 +1,5 @@
 //! Calls to endpoints: writes the HTTP request for one or more packets, and reads the outcome of each packet
-//! from the answer.
+//! from the response.
 
 use std::time::Duration;
 
@@ -46,8 +46,8 @@
     entry
 }
 
-/// Whether the status line alone proves that the call's only packet was delivered. The rest of the answer may
-/// then be missing or malformed.
+/// Whether the status line alone proves that the call's only packet was delivered. The rest of the response
+/// may then be missing or malformed.
 pub fn proves_delivery(status: Option<u16>, packets: usize) -> bool {
     status == Some(200) && packets == 1
 }
@@ -58,7 +58,7 @@
     let states = if has_states { packet_states(body) } else { None };
     let outcome_of = |id: &&str| match &states {
         None if has_states => (Outcome::Error, false),
-        None => outcome_of_answer(head),
+        None => outcome_of_response(head),
         Some(states) => {
             let state = states.iter().find(|(other, _)| other == id);
             outcome_of_state(state.map(|(_, state)| state.as_str()), head.retry_after)
@@ -67,7 +67,7 @@
     ids.iter().map(outcome_of).collect()
 }
 
-/// The endpoint's limit as reported in an answer's `X-Load-Report` header, such as `x0=0.4,x1=25`. The
+/// The endpoint's limit as reported in a response's `X-Load-Report` header, such as `x0=0.4,x1=25`. The
 /// settings name the fields.
 pub fn limit_report(head: &Head, report_fields: &ReportFields) -> Option<LimitReport> {
     let fields =
@@ -76,13 +76,13 @@
 }
 
 /// The outcome that status and headers give to each packet of a call.
-fn outcome_of_answer(head: &Head) -> PacketOutcome {
+fn outcome_of_response(head: &Head) -> PacketOutcome {
     match head.status {
         200 => (Outcome::Done, true),
         429 => (Outcome::Full(head.retry_after.filter(|wait| !wait.is_zero())), false),
         503 if head.line_busy => (Outcome::NoSlot, false),
         // The endpoint's connection limit is reached. An endpoint that is merely busy keeps its connections
-        // open and states the length of its answer.
+        // open and states the length of its response.
         503 if head.close && head.body_length != BodyLength::UntilClose => (Outcome::NoRoom, false),
         503 => (Outcome::Full(None), false),
         504 => (Outcome::Moot, false),
@@ -91,18 +91,18 @@
     }
 }
 
-/// The outcome of one packet of a call with several, from its state in the answer's list.
+/// The outcome of one packet of a call with several, from its state in the response's list.
 fn outcome_of_state(state: Option<&str>, wait: Option<Duration>) -> PacketOutcome {
     match state {
         Some("accepted") => (Outcome::Done, true),
         Some("deferred") => (Outcome::Full(wait.filter(|wait| !wait.is_zero())), false),
         Some("expired") => (Outcome::Moot, true),
         Some("no_more") => (Outcome::Moot, false),
-        _ => (Outcome::Error, false), // the endpoint reports an error, or its answer leaves the packet out
+        _ => (Outcome::Error, false), // the endpoint reports an error, or its response leaves the packet out
     }
 }
 
-/// Id and state of each packet that the answer's body lists.
+/// Id and state of each packet that the response's body lists.
 fn packet_states(body: &[u8]) -> Option<Vec<(String, String)>> {
     let list: Value = serde_json::from_slice(body).ok()?;
     let text = |entry: &Value, name: &str| entry.get(name)?.as_str().map(str::to_owned);
--- a/crates/sailcart-sender/src/wire/http.rs
+++ b/crates/sailcart-sender/src/wire/http.rs
@@ -1,5 +1,5 @@
-//! The client side of HTTP/1.1: writes requests, parses status lines and heads of answers. Bodies are left to
-//! the caller; [`chunked`](super::chunked) parses the framing of chunks.
+//! The client side of HTTP/1.1: writes requests, parses status lines and heads of responses. Bodies are left
+//! to the caller; [`chunked`](super::chunked) parses the framing of chunks.
 
 use std::time::Duration;
 
@@ -13,10 +13,10 @@
 
 use super::{ParseResult, parse_result};
 
-/// The largest head of an answer, in bytes.
+/// The largest head of a response, in bytes.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-/// How the length of an answer's body is determined.
+/// How the length of a response's body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyLength {
     /// By `Content-Length`, in bytes.
@@ -29,12 +29,12 @@
     Invalid,
 }
 
-/// The head of an answer, reduced to what the sender uses.
+/// The head of a response, reduced to what the sender uses.
 #[derive(Debug, PartialEq)]
 pub struct Head {
     pub status: u16,
     pub body_length: BodyLength,
-    /// The endpoint closes the connection after this answer.
+    /// The endpoint closes the connection after this response.
     pub close: bool,
     /// Retry-After wait. Fractions of a second are accepted; a negative or malformed value counts as none.
     pub retry_after: Option<Duration>,
@@ -66,7 +66,7 @@
     }
 }
 
-/// Parses the head of an answer, up to and including the empty line.
+/// Parses the head of a response, up to and including the empty line.
 pub fn head(input: &[u8]) -> ParseResult<Head> {
     let result = parse_result(input, head_lines(input), "expected the head of an HTTP answer");
     match result {
--- a/src/host.rs
+++ b/src/host.rs
@@ -192,7 +192,8 @@
     Reset,
     /// Cancelled by the sender; the dispatch may have executed.
     Cancelled,
-    /// Not sent, because no slot was free.
+    /// Not sent, because no slot was free. The sender reports it too for a call that it refused before its
+    /// first byte (`Refusal::NotNow` in sailcart-sender), such as one to an endpoint that has left the list.
     NoSlot,
     /// Not sent, because the packet was completed or must not be dispatched again.
     Moot,
