--- a/crates/sailcart-sender/tests/clock_steps.rs
+++ b/crates/sailcart-sender/tests/clock_steps.rs
@@ -21,7 +21,7 @@
 
 fn submit_with_deadline(harness: &Harness, id: &str, deadline_ms: u32) -> String {
     submit(harness.listen_address, id, &format!("c=notice,t=acme,d={deadline_ms},k={id},dest=7"), "hello")
-        .expect("an answer")
+        .expect("the sender replies")
 }
 
 /// An endpoint that reads its first call and does not respond to it.
@@ -46,7 +46,8 @@
                 // The scenario calls this before and after the process ends; one of the calls steps.
                 let step = move |page: &ControlPage, running: bool| {
                     if running == while_running {
-                        page.set(Setting::WallClockStepMs, seconds * 1000).expect("the control page");
+                        page.set(Setting::WallClockStepMs, seconds * 1000)
+                            .expect("write to the control page");
                     }
                 };
                 run(&format!("{scenario}-{while_running}-{seconds}"), &step);
--- a/crates/sailcart-sender/tests/configuration.rs
+++ b/crates/sailcart-sender/tests/configuration.rs
@@ -40,7 +40,7 @@
     let (status, output) = run(&["check"], &malformed, None);
     assert_eq!(status, Some(1), "{output}");
     let errors: Vec<&str> =
-        output.lines().map(|line| line.split(".toml: ").nth(1).expect("position")).collect();
+        output.lines().map(|line| line.split(".toml: ").nth(1).expect("the line names a position")).collect();
     // `name` is missing as well, as its key is misspelt.
     let expected = [
         "line 1, column 1: name: expected it",
--- a/crates/sailcart-sender/tests/end_to_end.rs
+++ b/crates/sailcart-sender/tests/end_to_end.rs
@@ -96,8 +96,8 @@
 #[test]
 fn endpoint_at_a_reused_address_gets_new_connections() {
     let harness = Harness::new("replaced", |_, _| None);
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a free address");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a listener");
+    let address = listener.local_addr().expect("read the local address");
     let (call_sender, calls) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         for (number, stream) in listener.incoming().flatten().enumerate() {
@@ -130,14 +130,19 @@
 #[test]
 fn no_call_is_sent_on_a_connection_closed_by_its_peer() {
     let harness = Harness::new("closed", |_, _| None);
-    let endpoint = TcpListener::bind("127.0.0.1:0").expect("a free address");
-    harness.platform.set_list(&[list_entry("f", endpoint.local_addr().expect("an address"), 7, "Ready")]);
+    let endpoint = TcpListener::bind("127.0.0.1:0").expect("bind a listener");
+    harness.platform.set_list(&[list_entry(
+        "f",
+        endpoint.local_addr().expect("read the local address"),
+        7,
+        "Ready",
+    )]);
     let calls = std::thread::spawn(move || {
         for _ in 0..3 {
-            let (mut stream, _) = endpoint.accept().expect("a connection");
-            let read = stream.read(&mut [0; 4096]).expect("a call");
+            let (mut stream, _) = endpoint.accept().expect("accept a connection");
+            let read = stream.read(&mut [0; 4096]).expect("read a call");
             assert!(read > 0, "a connection without a call");
-            stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").expect("an answer");
+            stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").expect("write to the socket");
         }
     });
     harness.wait_until("the list update", |harness| harness.log().contains("discovery: version 2"));
@@ -205,9 +210,10 @@
 fn call_with_a_future_time_is_not_repeated() {
     let mut harness = Harness::new("clock", |_, _| http_response("200 OK", "", ""));
     harness.kill();
-    let future = SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock") + Duration::from_secs(3600);
-    let mut ledger =
-        Ledger::open(&harness.folder, 3_000_000, 100, sailcart_store::SyncPolicy::None).expect("a journal");
+    let future =
+        SystemTime::now().duration_since(UNIX_EPOCH).expect("read the clock") + Duration::from_secs(3600);
+    let mut ledger = Ledger::open(&harness.folder, 3_000_000, 100, sailcart_store::SyncPolicy::None)
+        .expect("open the journal");
     let number = ledger.next_number();
     let packet = Packet {
         number,
@@ -220,8 +226,8 @@
         deadline: Moment::by_wall_clock(future + Duration::from_secs(20)),
         body: b"hello"[..].into(),
     };
-    ledger.accept(packet).expect("capacity");
-    ledger.record_dispatch(&[number], Moment::by_wall_clock(future)).expect("capacity");
+    ledger.accept(packet).expect("the journal has capacity");
+    ledger.record_dispatch(&[number], Moment::by_wall_clock(future)).expect("the journal has capacity");
     drop(ledger);
     harness.start();
     harness.wait_until("the notice", |harness| !harness.notices().is_empty());
@@ -263,14 +269,14 @@
     });
     assert_eq!(harness.submit("a1"), "+OK");
     harness.wait_until("the call", |harness| harness.received_ids().len() == 1);
-    let pid = harness.sender.as_ref().expect("a sender").id().to_string();
-    assert!(Command::new("kill").arg(pid).status().expect("a signal").success());
+    let pid = harness.sender.as_ref().expect("the sender is running").id().to_string();
+    assert!(Command::new("kill").arg(pid).status().expect("run kill").success());
     harness.wait_until("the stop", |harness| harness.log().contains("code=sigterm"));
     assert_eq!(harness.submit("b2"), "-BUSY 2000");
     let elapsed = {
-        let mut sender = harness.sender.take().expect("a sender");
+        let mut sender = harness.sender.take().expect("the sender is running");
         let start = Instant::now();
-        assert!(sender.wait().expect("an exit status").success());
+        assert!(sender.wait().expect("wait for the process").success());
         start.elapsed()
     };
     assert!(elapsed < Duration::from_secs(3), "{elapsed:?}");
@@ -333,7 +339,7 @@
         "the sender waited for the watch held at the old address"
     );
     let fields = "c=notice,t=acme,d=700,dest=8";
-    assert_eq!(submit(harness.listen_address, "a1", fields, "").expect("an answer"), "+OK");
+    assert_eq!(submit(harness.listen_address, "a1", fields, "").expect("the sender replies"), "+OK");
     harness.wait_until("the notice", |_| !platform.notices.lock().expect("no panic").is_empty());
     assert_eq!(harness.notices().len(), 0);
 }
@@ -397,11 +403,12 @@
         r#""generation": 5, "reset": true, "instances": [{}]"#,
         list_entry("e", harness.endpoint_address, 7, "Ready")
     );
-    let unreachable =
-        TcpListener::bind("127.83.2.1:0").and_then(|socket| socket.local_addr()).expect("an address");
+    let unreachable = TcpListener::bind("127.83.2.1:0")
+        .and_then(|socket| socket.local_addr())
+        .expect("read the local address");
     let config = harness.config.replace(r#""generation": 0, "reset": true, "instances": []"#, &known_list);
     harness.config = config.replace(&harness.discovery_address.to_string(), &unreachable.to_string());
-    fs::write(harness.folder.join("log"), "").expect("an empty log");
+    fs::write(harness.folder.join("log"), "").expect("empty the log");
     harness.start();
     assert_eq!(harness.submit("a1"), "+OK");
     harness.wait_until("the call", |harness| harness.received_ids() == ["a1"]);
@@ -438,13 +445,13 @@
     let bulk = |argument: &str| format!("${}\r\n{argument}\r\n", argument.len());
     let command = format!("*5\r\n{}", arguments.map(bulk).concat());
     let mut clients: Vec<_> =
-        (0..4).map(|_| TcpStream::connect(harness.listen_address).expect("a connection")).collect();
+        (0..4).map(|_| TcpStream::connect(harness.listen_address).expect("connect to the sender")).collect();
     clients
         .iter_mut()
         .for_each(|client| client.write_all(command.as_bytes()).expect("the command is written"));
     for client in &mut clients {
         let mut reply = [0; 5];
-        client.read_exact(&mut reply).expect("an answer");
+        client.read_exact(&mut reply).expect("the sender replies");
         assert_eq!(&reply, b"+OK\r\n");
     }
     harness.wait_until("the call", |harness| harness.received_ids() == ["a1"]);
@@ -460,22 +467,28 @@
 fn invalid_input_gets_an_error_reply() {
     let harness = Harness::new("bad", |_, _| http_response("200 OK", "", ""));
     assert_eq!(
-        send_command(harness.listen_address, "GET / HTTP/1.1\r\n\r\n").expect("a reply"),
+        send_command(harness.listen_address, "GET / HTTP/1.1\r\n\r\n").expect("the sender replies"),
         "-ERR expected an array of bulk strings"
     );
-    assert_eq!(send_command(harness.listen_address, "*1\r\n$999999\r\n").expect("a reply"), "-ERR too large");
-    assert_eq!(send_command(harness.listen_address, "*1\r\n$4\r\nPI").expect("a reply"), "-ERR slow");
     assert_eq!(
-        send_command(harness.listen_address, "*1\r\n$5\r\nHELLO\r\n").expect("a reply"),
+        send_command(harness.listen_address, "*1\r\n$999999\r\n").expect("the sender replies"),
+        "-ERR too large"
+    );
+    assert_eq!(
+        send_command(harness.listen_address, "*1\r\n$4\r\nPI").expect("the sender replies"),
+        "-ERR slow"
+    );
+    assert_eq!(
+        send_command(harness.listen_address, "*1\r\n$5\r\nHELLO\r\n").expect("the sender replies"),
         "-ERR unknown command"
     );
-    let mut malformed_client = TcpStream::connect(harness.listen_address).expect("a connection");
-    malformed_client.set_read_timeout(Some(Duration::from_secs(5))).expect("a time-out");
+    let mut malformed_client = TcpStream::connect(harness.listen_address).expect("connect to the sender");
+    malformed_client.set_read_timeout(Some(Duration::from_secs(5))).expect("set the read timeout");
     malformed_client.write_all(b"*2\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n").expect("the command is written");
     let mut reply = String::new();
-    malformed_client.read_to_string(&mut reply).expect("the end of the connection");
+    malformed_client.read_to_string(&mut reply).expect("read until the end of the stream");
     assert_eq!(reply, "-ERR wrong number of arguments\r\n");
-    let mut slow_client = TcpStream::connect(harness.listen_address).expect("a connection");
+    let mut slow_client = TcpStream::connect(harness.listen_address).expect("connect to the sender");
     let start = Instant::now();
     slow_client.write_all(b"*1\r\n$600\r\n").expect("the command is written");
     while slow_client.write_all(b"x").is_ok() && start.elapsed() < Duration::from_secs(5) {
@@ -486,17 +499,17 @@
         "a client that sends single bytes keeps its connection"
     );
     let unknown_category =
-        submit(harness.listen_address, "a1", "c=other,t=acme,d=8000,dest=7", "").expect("a reply");
+        submit(harness.listen_address, "a1", "c=other,t=acme,d=8000,dest=7", "").expect("the sender replies");
     assert_eq!(unknown_category, "-ERR unknown category");
-    let unknown_destination =
-        submit(harness.listen_address, "a1", "c=notice,t=acme,d=8000,dest=70000", "").expect("a reply");
+    let unknown_destination = submit(harness.listen_address, "a1", "c=notice,t=acme,d=8000,dest=70000", "")
+        .expect("the sender replies");
     assert_eq!(unknown_destination, "-ERR unknown destination");
-    let mut persistent_client = TcpStream::connect(harness.listen_address).expect("a connection");
+    let mut persistent_client = TcpStream::connect(harness.listen_address).expect("connect to the sender");
     persistent_client
         .write_all("*1\r\n$5\r\nHELLO\r\n".repeat(300).as_bytes())
         .expect("the command is written");
-    persistent_client.shutdown(std::net::Shutdown::Write).expect("a half-closed connection");
-    persistent_client.read_to_string(&mut String::new()).expect("the end of the connection");
+    persistent_client.shutdown(std::net::Shutdown::Write).expect("shut down the write side");
+    persistent_client.read_to_string(&mut String::new()).expect("read until the end of the stream");
     harness.wait_until("the counts of the replies", |harness| {
         harness.log().contains("answers=300 turned_away=300")
     });
@@ -515,7 +528,7 @@
     harness.kill();
     harness.config = harness.config.replace(r#""period_ms": 5"#, r#""period_ms": 50"#);
     harness.start();
-    let mut client = TcpStream::connect(harness.listen_address).expect("a connection");
+    let mut client = TcpStream::connect(harness.listen_address).expect("connect to the sender");
     let submission = |number: usize| {
         let (id, fields) = (format!("a{number}"), "c=notice,t=acme,d=8000,dest=7");
         let bulk = |argument: &str| format!("${}\r\n{argument}\r\n", argument.len());
@@ -525,9 +538,9 @@
     let pings = "*1\r\n$4\r\nPING\r\n".repeat(600);
     let start = Instant::now();
     client.write_all(format!("{submissions}{pings}nonsense\r\n").as_bytes()).expect("the command is written");
-    client.shutdown(std::net::Shutdown::Write).expect("a half-closed connection");
+    client.shutdown(std::net::Shutdown::Write).expect("shut down the write side");
     let mut replies = String::new();
-    client.read_to_string(&mut replies).expect("the end of the connection");
+    client.read_to_string(&mut replies).expect("read until the end of the stream");
     let error_reply = "-ERR expected an array of bulk strings\r\n";
     assert_eq!(replies, format!("{}{}{error_reply}", "+OK\r\n".repeat(40), "+PONG\r\n".repeat(600)));
     assert!(start.elapsed() < Duration::from_secs(1), "{:?}", start.elapsed());
@@ -540,7 +553,7 @@
     let harness = Harness::new("shared", |_, _| http_response("200 OK", "", ""));
     let mut second = Command::new(env!("CARGO_BIN_EXE_sailcart"));
     let second = second.arg("serve").arg("--config").arg(harness.folder.join("config.json")).output();
-    let second = second.expect("a run");
+    let second = second.expect("run sailcart");
     let stderr = String::from_utf8_lossy(&second.stderr).into_owned();
     assert!(!second.status.success() && stderr.contains("is in use by another sender"), "{stderr}");
     assert_eq!(harness.submit("a1"), "+OK");
@@ -556,10 +569,13 @@
     harness.start();
     let fields = "c=notice,t=acme,d=8000,dest=7";
     assert_eq!(
-        submit(harness.listen_address, "a1", fields, &"x".repeat(6000)).expect("an answer"),
+        submit(harness.listen_address, "a1", fields, &"x".repeat(6000)).expect("the sender replies"),
         "-BUSY 2000"
     );
-    assert_eq!(submit(harness.listen_address, "a2", fields, &"x".repeat(600)).expect("an answer"), "+OK");
+    assert_eq!(
+        submit(harness.listen_address, "a2", fields, &"x".repeat(600)).expect("the sender replies"),
+        "+OK"
+    );
     harness.wait_until("the call", |harness| harness.received_ids() == ["a2"]);
 }
 
@@ -571,12 +587,12 @@
     harness.kill();
     harness.config = harness.config.replace(r#""sockets": 1024"#, r#""sockets": 56"#);
     harness.start();
-    let sockets = format!("/proc/{}/fd", harness.sender.as_ref().expect("a sender").id());
-    let count_open = || fs::read_dir(&sockets).expect("its descriptors").count();
+    let sockets = format!("/proc/{}/fd", harness.sender.as_ref().expect("the sender is running").id());
+    let count_open = || fs::read_dir(&sockets).expect("list the descriptors").count();
     let mut idle_clients: Vec<TcpStream> = Vec::new();
     let mut max_open = 0;
     for _ in 0..200 {
-        idle_clients.push(TcpStream::connect(harness.listen_address).expect("a connection"));
+        idle_clients.push(TcpStream::connect(harness.listen_address).expect("connect to the sender"));
         max_open = max_open.max(count_open());
     }
     assert_eq!(harness.submit("a1"), "+OK");
@@ -593,21 +609,21 @@
     harness.config = harness.config.replace(r#""sockets": 1024"#, r#""sockets": 56"#);
     harness.start();
     let ping = "*1\r\n$4\r\nPING\r\n";
-    let mut unanswered = TcpStream::connect(harness.listen_address).expect("a connection");
+    let mut unanswered = TcpStream::connect(harness.listen_address).expect("connect to the sender");
     sleep(Duration::from_millis(2500));
     let answered: Vec<TcpStream> = (0..40)
         .map(|_| {
-            let mut stream = TcpStream::connect(harness.listen_address).expect("a connection");
+            let mut stream = TcpStream::connect(harness.listen_address).expect("connect to the sender");
             stream
                 .write_all(ping.as_bytes())
                 .and_then(|()| stream.read_exact(&mut [0; 7]))
-                .expect("an answer");
+                .expect("the sender replies");
             stream
         })
         .collect();
     unanswered.write_all(ping.as_bytes()).expect("the command is written");
     let mut reply = [0; 7];
-    unanswered.read_exact(&mut reply).expect("an answer");
+    unanswered.read_exact(&mut reply).expect("the sender replies");
     assert_eq!((&reply, answered.len()), (b"+PONG\r\n", 40));
     assert!(harness.log().contains("code=evicted answers=1"));
 }
@@ -622,11 +638,16 @@
         (r#""cold_ms": 10000"#, r#""cold_ms": 0"#, "settings: expected more than 0 in cold_ms"),
     ] {
         let file = std::env::temp_dir().join(format!("sailcart-{}-config", std::process::id()));
-        let state = std::env::temp_dir().to_str().expect("a plain path").to_owned();
-        fs::write(&file, CONFIG.replace("examples/state", &state).replace(from, to)).expect("a file");
+        let state = std::env::temp_dir().to_str().expect("the path is UTF-8").to_owned();
+        fs::write(&file, CONFIG.replace("examples/state", &state).replace(from, to)).expect("write the file");
         let mut command = Command::new(env!("CARGO_BIN_EXE_sailcart"));
-        let output =
-            command.arg("check").arg("--config").arg(&file).stdin(Stdio::null()).output().expect("a run");
+        let output = command
+            .arg("check")
+            .arg("--config")
+            .arg(&file)
+            .stdin(Stdio::null())
+            .output()
+            .expect("run sailcart");
         assert_eq!(String::from_utf8_lossy(&output.stderr).trim_end(), format!("sailcart: {message}"));
         assert!(!output.status.success());
     }
--- a/crates/sailcart-sender/tests/failing_state_folder.rs
+++ b/crates/sailcart-sender/tests/failing_state_folder.rs
@@ -26,7 +26,7 @@
 
 fn submit_with_deadline(harness: &Harness, id: &str, deadline_ms: u32) -> String {
     submit(harness.listen_address, id, &format!("c=notice,t=acme,d={deadline_ms},k={id},dest=7"), "hello")
-        .expect("an answer")
+        .expect("the sender replies")
 }
 
 fn notices_of(harness: &Harness, id: &str) -> usize {
@@ -44,13 +44,13 @@
         harness.platform.set_list(&[list_entry("e", harness.endpoint_address, 7, "Terminating")]);
         harness.wait_until("the draining endpoint", |harness| harness.log().contains("discovery: version 2"));
         assert_eq!(submit_with_deadline(&harness, "a1", 20_000), "+OK");
-        page.fail_files(errno).expect("the control page");
+        page.fail_files(errno).expect("write to the control page");
         harness.wait_until("the completion", |harness| harness.log().contains("ends Dismissed"));
         sleep(Duration::from_millis(400)); // time for a notice to be sent
         assert!(page.count(FaultCounter::FileWrite) > 0, "no write failed");
         let notices_before_kill = notices_of(&harness, "a1");
         harness.kill();
-        page.clear().expect("the control page");
+        page.clear().expect("write to the control page");
         harness.platform.set_list(&[list_entry("f", harness.endpoint_address, 7, "Ready")]);
         harness.start();
         harness.wait_until("the completion", |harness| {
@@ -86,14 +86,14 @@
         }
         harness.kill();
         if !packet_stored {
-            for file in std::fs::read_dir(&harness.folder).expect("a folder").flatten() {
+            for file in std::fs::read_dir(&harness.folder).expect("read the folder").flatten() {
                 let name = file.file_name().to_string_lossy().into_owned();
                 if name == "lock" || name.starts_with("manifest") || name.starts_with("segment") {
-                    std::fs::remove_file(file.path()).expect("a file");
+                    std::fs::remove_file(file.path()).expect("remove the file");
                 }
             }
         }
-        page.fail_files(ENOSPC).expect("the control page");
+        page.fail_files(ENOSPC).expect("write to the control page");
         let start = Instant::now();
         harness.start();
         assert!(start.elapsed() < Duration::from_secs(3), "ready after {:?}", start.elapsed());
@@ -102,7 +102,7 @@
             "a packet was accepted that cannot be recorded"
         );
         sleep(Duration::from_millis(700));
-        page.clear().expect("the control page");
+        page.clear().expect("write to the control page");
         harness
             .wait_until("an accepted packet", |harness| submit_with_deadline(harness, "c3", 20_000) == "+OK");
         harness.wait_until("the call", |harness| harness.received_ids().contains(&"c3".to_owned()));
@@ -127,7 +127,7 @@
     for number in 0..STORED_PACKETS {
         assert_eq!(submit_with_deadline(&harness, &format!("kept-{number}-"), 20_000), "+OK");
     }
-    page.fail_files(ENOSPC).expect("the control page");
+    page.fail_files(ENOSPC).expect("write to the control page");
     let start = Instant::now();
     let mut rejected = 0;
     while start.elapsed() < Duration::from_secs(10) {
@@ -136,14 +136,14 @@
     }
     assert!(rejected > 500, "only {rejected} submissions were answered");
     assert_eq!(harness.notices().len(), 0, "a notice was sent for an unrecorded completion");
-    page.clear().expect("the control page");
+    page.clear().expect("write to the control page");
     harness.wait_until("writes succeed again", |harness| harness.log().contains("code=written_again"));
     let log = harness.log();
     let waiting = log
         .split("code=written_again waiting=")
         .nth(1)
         .and_then(|log_after| log_after.split_whitespace().next());
-    let waiting: usize = waiting.and_then(|word| word.parse().ok()).expect("a number");
+    let waiting: usize = waiting.and_then(|word| word.parse().ok()).expect("parse the number");
     assert!(waiting <= 3 * STORED_PACKETS, "{waiting} groups waited");
     harness.wait_until("all notices", |harness| {
         (0..STORED_PACKETS).all(|number| notices_of(harness, &format!("kept-{number}-")) == 1)
@@ -173,12 +173,12 @@
             let id = format!("b{number}");
             let fields = format!("c=notice,t=acme,d=20000,k={id},dest=7");
             std::thread::spawn(move || {
-                (id.clone(), submit(listen, &id, &fields, "hello").expect("an answer"))
+                (id.clone(), submit(listen, &id, &fields, "hello").expect("the sender replies"))
             })
         })
         .collect();
     harness.wait_until("the last record", |harness| harness.store_summary().matches("packet b").count() >= 6);
-    page.fail_files(ENOSPC).expect("the control page");
+    page.fail_files(ENOSPC).expect("write to the control page");
     let replies: Vec<(String, String)> =
         clients.into_iter().map(|client| client.join().expect("no panic")).collect();
     assert!(page.count(FaultCounter::FileWrite) > 0, "no write failed: {}", harness.log());
@@ -188,7 +188,7 @@
         harness.log()
     );
     harness.kill();
-    page.clear().expect("the control page");
+    page.clear().expect("write to the control page");
     for (id, reply) in replies.iter().filter(|(_, reply)| reply.starts_with("-BUSY")) {
         assert!(
             !harness.store_summary().contains(&format!("packet {id}: ")),
@@ -208,7 +208,7 @@
         harness.restart_with(&[(r#""disk_mb": 3 "#, &format!(r#""disk_mb": 3, "sync": "{sync}" "#))]);
         assert_eq!(submit_with_deadline(&harness, "a1", 20_000), "+OK");
         harness.wait_until("the call", |harness| harness.received_ids() == ["a1"]);
-        page.set(Setting::FileSyncErrno, EIO.into()).expect("the control page");
+        page.set(Setting::FileSyncErrno, EIO.into()).expect("write to the control page");
         let listen = harness.listen_address;
         let client = std::thread::spawn(move || {
             submit(listen, "b2", "c=notice,t=acme,d=20000,k=b2,dest=7", "hello").unwrap_or_default()
@@ -220,7 +220,7 @@
             "a call was sent before its record was synced"
         );
         let answered_early = client.is_finished();
-        page.clear().expect("the control page");
+        page.clear().expect("write to the control page");
         let reply = client.join().expect("no panic");
         assert!(!answered_early || reply.starts_with("-BUSY"), "+OK for an unsynced packet");
         assert!(reply == "+OK" || reply.starts_with("-BUSY"), "{reply}");
@@ -246,7 +246,7 @@
 fn stop_during_failing_syncs_answers_clients() {
     let (mut harness, page) = start_sender("failing-sync-stop", |_, _| http_response("200 OK", "", ""));
     harness.restart_with(&[(r#""disk_mb": 3 "#, r#""disk_mb": 3, "sync": "round" "#)]);
-    page.set(Setting::FileSyncErrno, EIO.into()).expect("the control page");
+    page.set(Setting::FileSyncErrno, EIO.into()).expect("write to the control page");
     let listen = harness.listen_address;
     let client = std::thread::spawn(move || {
         submit(listen, "a1", "c=notice,t=acme,d=20000,k=a1,dest=7", "hello").unwrap_or_default()
@@ -254,7 +254,7 @@
     harness.wait_until_store_shows("packet a1: ");
     assert!(harness.terminate() < Duration::from_millis(3700), "the stop took too long");
     assert_eq!(client.join().expect("no panic"), "+OK", "{}", harness.log());
-    page.clear().expect("the control page");
+    page.clear().expect("write to the control page");
     harness.start();
     harness.wait_until("the call", |harness| harness.received_ids() == ["a1"]);
 }
@@ -282,13 +282,13 @@
         })
         .collect();
     harness.wait_until("the last record", |harness| harness.store_summary().matches("packet b").count() >= 6);
-    page.set(Setting::FileSyncErrno, EIO.into()).expect("the control page");
+    page.set(Setting::FileSyncErrno, EIO.into()).expect("write to the control page");
     harness.wait_until("a completion that may be on disk", |harness| {
         page.count(FaultCounter::FileSync) > 0 && harness.log().contains("ends Dismissed")
     });
     sleep(Duration::from_millis(200));
     harness.kill();
-    page.clear().expect("the control page");
+    page.clear().expect("write to the control page");
     harness.start();
     let replies: Vec<(String, String)> =
         clients.into_iter().map(|client| client.join().expect("no panic")).collect();
@@ -305,7 +305,7 @@
 fn busy_is_not_sent_for_a_packet_that_may_be_stored() {
     let (mut harness, page) = start_sender("busy-unsynced", |_, _| http_response("200 OK", "", ""));
     harness.restart_with(&[(r#""disk_mb": 3 "#, r#""disk_mb": 3, "sync": "each" "#)]);
-    page.set(Setting::FileSyncErrno, EIO.into()).expect("the control page");
+    page.set(Setting::FileSyncErrno, EIO.into()).expect("write to the control page");
     let listen = harness.listen_address;
     let client = std::thread::spawn(move || {
         submit(listen, "a1", "c=notice,t=acme,d=20000,k=a1,dest=7", "hello").unwrap_or_default()
@@ -314,7 +314,7 @@
     sleep(Duration::from_millis(300));
     harness.kill();
     let reply = client.join().expect("no panic");
-    page.clear().expect("the control page");
+    page.clear().expect("write to the control page");
     harness.start();
     sleep(Duration::from_millis(800));
     assert!(
--- a/crates/sailcart-sender/tests/journal.rs
+++ b/crates/sailcart-sender/tests/journal.rs
@@ -17,12 +17,12 @@
 fn folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("sailcart-{}-{name}", std::process::id()));
     let _ = fs::remove_dir_all(&folder);
-    fs::create_dir_all(&folder).expect("a folder");
+    fs::create_dir_all(&folder).expect("create the folder");
     folder
 }
 
 fn open(folder: &Path) -> Ledger {
-    Ledger::open(folder, CAPACITY_BYTES, 4, SyncPolicy::None).expect("a journal")
+    Ledger::open(folder, CAPACITY_BYTES, 4, SyncPolicy::None).expect("open the journal")
 }
 
 fn packet(ledger: &Ledger, id: &str, bytes: usize) -> Packet {
@@ -42,7 +42,7 @@
 fn accept(ledger: &mut Ledger, id: &str) -> PacketId {
     let packet = packet(ledger, id, 100);
     let number = packet.number;
-    ledger.accept(packet).expect("capacity");
+    ledger.accept(packet).expect("the journal has capacity");
     number
 }
 
@@ -59,10 +59,10 @@
     let [a, b, c, d, e] = ["a", "b", "c", "d", "e"].map(|id| accept(&mut ledger, id));
     let at = |ms| Moment::by_wall_clock(Duration::from_millis(ms));
     for id in [a, b, c] {
-        ledger.record_dispatch(&[id], at(5)).expect("capacity");
+        ledger.record_dispatch(&[id], at(5)).expect("the journal has capacity");
     }
     ledger.record_outcome(b, true);
-    ledger.record_dispatch(&[b], at(9)).expect("capacity");
+    ledger.record_dispatch(&[b], at(9)).expect("the journal has capacity");
     ledger.record_outcome(c, false);
     ledger.complete(d);
     ledger.complete_with_notice(e, Notice::Dismissed(Some(Duration::from_millis(500))));
@@ -100,10 +100,14 @@
     let folder = folder("possible-execution");
     let mut ledger = open(&folder);
     let id = accept(&mut ledger, "a");
-    ledger.record_dispatch(&[id], Moment::by_wall_clock(Duration::from_secs(5))).expect("capacity");
+    ledger
+        .record_dispatch(&[id], Moment::by_wall_clock(Duration::from_secs(5)))
+        .expect("the journal has capacity");
     drop(ledger);
     let mut ledger = open(&folder);
-    ledger.record_dispatch(&[id], Moment::by_wall_clock(Duration::from_secs(9))).expect("capacity");
+    ledger
+        .record_dispatch(&[id], Moment::by_wall_clock(Duration::from_secs(9)))
+        .expect("the journal has capacity");
     ledger.record_outcome(id, false);
     drop(ledger);
     let possibly_executed_at = Some(Moment::by_wall_clock(Duration::from_secs(5)));
@@ -115,8 +119,8 @@
 
 /// Bytes that the files of the folder occupy on disk, in blocks of 512 bytes.
 fn disk_usage_bytes(folder: &Path) -> u64 {
-    let files = fs::read_dir(folder).expect("a folder").flatten();
-    files.map(|file| file.metadata().expect("a file").len().div_ceil(512) * 512).sum()
+    let files = fs::read_dir(folder).expect("read the folder").flatten();
+    files.map(|file| file.metadata().expect("read the metadata of the file").len().div_ceil(512) * 512).sum()
 }
 
 /// SIGKILL may interrupt a write. The torn record at the end is dropped and all earlier ones are restored,
@@ -129,17 +133,17 @@
     accept(&mut ledger, "b");
     drop(ledger);
     let segment = folder.join("segment-0000000000000001");
-    let intact = fs::read(&segment).expect("a segment");
-    fs::write(&segment, &intact[..intact.len() - 3]).expect("a torn segment");
+    let intact = fs::read(&segment).expect("read the segment");
+    fs::write(&segment, &intact[..intact.len() - 3]).expect("write the segment");
     let mut ledger = open(&folder);
     assert_eq!(ids(&ledger), ["a"]);
     accept(&mut ledger, "c");
     drop(ledger);
     assert_eq!(ids(&open(&folder)), ["a", "c"]);
     // A crash does not change a byte within a record: opening fails and names the segment.
-    let mut corrupted = fs::read(&segment).expect("a segment");
+    let mut corrupted = fs::read(&segment).expect("read the segment");
     corrupted[60] ^= 1;
-    fs::write(&segment, &corrupted).expect("a bad segment");
+    fs::write(&segment, &corrupted).expect("write the segment");
     let error = Ledger::open(&folder, CAPACITY_BYTES, 4, SyncPolicy::None)
         .map(|_| ())
         .expect_err("the segment is corrupted");
@@ -200,7 +204,7 @@
         format_1_record(4, 5, &[]),
         b"torn".to_vec(),
     ];
-    fs::write(folder.join("journal"), records.concat()).expect("a journal");
+    fs::write(folder.join("journal"), records.concat()).expect("write the journal");
     for start in 0..2 {
         let ledger = open(&folder);
         assert_eq!(ids(&ledger), ["a"], "start {start}");
@@ -216,7 +220,7 @@
         assert_eq!(ledger.completed("c"), Some(None));
         assert!(!folder.join("journal").exists());
     }
-    fs::write(folder.join("journal"), b"sailcart journal 9\n").expect("a journal");
+    fs::write(folder.join("journal"), b"sailcart journal 9\n").expect("write the journal");
     assert!(
         Ledger::open(&folder, CAPACITY_BYTES, 4, SyncPolicy::None).is_err(),
         "a newer version was opened"
@@ -234,7 +238,9 @@
     let uncompleted = accept(&mut ledger, "staying");
     for n in 0..2000 {
         let id = accept(&mut ledger, &format!("{n}"));
-        ledger.record_dispatch(&[id], Moment::by_wall_clock(Duration::from_secs(n))).expect("capacity");
+        ledger
+            .record_dispatch(&[id], Moment::by_wall_clock(Duration::from_secs(n)))
+            .expect("the journal has capacity");
         ledger.complete(id);
         let bytes = disk_usage_bytes(&folder);
         assert!(bytes <= CAPACITY_BYTES, "{bytes} bytes");
--- a/crates/sailcart-sender/tests/kill_points.rs
+++ b/crates/sailcart-sender/tests/kill_points.rs
@@ -61,7 +61,8 @@
 }
 
 fn submit_accepted(harness: &Harness, category: &str, id: &str, body: &str) {
-    let reply = submit(harness.listen_address, id, &fields(category, id, 7), body).expect("a reply");
+    let reply =
+        submit(harness.listen_address, id, &fields(category, id, 7), body).expect("the sender replies");
     assert_eq!(reply, "+OK");
 }
 
@@ -119,8 +120,8 @@
     replace_in_config(&mut harness, (PERIOD, LONG_PERIOD));
     harness.start();
     submit_accepted(&harness, REPEATABLE, "a0", ""); // a round has just run
-    let mut client = TcpStream::connect(harness.listen_address).expect("a connection");
-    client.set_read_timeout(Some(Duration::from_secs(8))).expect("a time-out");
+    let mut client = TcpStream::connect(harness.listen_address).expect("connect to the sender");
+    client.set_read_timeout(Some(Duration::from_secs(8))).expect("set the read timeout");
     client
         .write_all(submit_command("a1", &fields(REPEATABLE, "a1", 7), "hello").as_bytes())
         .expect("the command is written");
@@ -177,8 +178,7 @@
         harness.platform.set_list(&[list_entry("f", late.address, 7, "Ready")]);
         harness.wait_until("the list update", |harness| harness.log().contains("discovery: version 2"));
         let log = OpenOptions::new().append(true).open(harness.folder.join("log"));
-        log.and_then(|mut log| log.write_all(" ".repeat(LARGE_BYTES).as_bytes()))
-            .expect("the padding of the log");
+        log.and_then(|mut log| log.write_all(" ".repeat(LARGE_BYTES).as_bytes())).expect("write to the log");
         let _queue_filler = late.fill_backlog();
         submit_accepted(&harness, category, "a1", "");
         late.wait_for_pending_connect();
@@ -306,7 +306,7 @@
     submit_accepted(&harness, REPEATABLE, "doubt", "");
     submit_accepted(&harness, UNREPEATABLE, "scrap", "");
     let reply = submit(harness.listen_address, "untried", &fields(REPEATABLE, "untried", 8), "");
-    assert_eq!(reply.expect("a reply"), "+OK");
+    assert_eq!(reply.expect("the sender replies"), "+OK");
     harness.wait_until("the calls", |harness| harness.received_ids().len() == 3);
     harness.kill();
     let stored = harness.store_summary();
@@ -331,7 +331,7 @@
     );
 
     // Killed while its port is in use, its calls are in flight, and a completion is recorded.
-    let port = TcpListener::bind(harness.listen_address).expect("the port");
+    let port = TcpListener::bind(harness.listen_address).expect("bind the port of the sender");
     harness.platform.set_list(&ready);
     harness.platform.unresponsive.store(false, Ordering::SeqCst);
     harness.spawn_sender(None);
--- a/crates/sailcart-sender/tests/known_list.rs
+++ b/crates/sailcart-sender/tests/known_list.rs
@@ -89,8 +89,9 @@
     let reachable_entry = list_entry("e", harness.endpoint_address, 7, "Ready");
     let members =
         format!(r#""generation": 5, "reset": true, "instances": [{reachable_entry},{}]"#, entries.join(","));
-    let unused_address =
-        TcpListener::bind("127.83.2.1:0").and_then(|socket| socket.local_addr()).expect("local address");
+    let unused_address = TcpListener::bind("127.83.2.1:0")
+        .and_then(|socket| socket.local_addr())
+        .expect("read the local address");
     let config = harness.config.replace(r#""generation": 0, "reset": true, "instances": []"#, &members);
     assert!(config.len() > members.len());
     harness.config = config.replace(&harness.discovery_address.to_string(), &unused_address.to_string());
--- a/crates/sailcart-sender/tests/list_loading.rs
+++ b/crates/sailcart-sender/tests/list_loading.rs
@@ -41,7 +41,7 @@
         reply: impl Fn(usize, &str, &mut TcpStream) -> io::Result<()> + Send + Sync + 'static,
     ) -> Discovery {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bind to a free port");
-        let address = listener.local_addr().expect("local address");
+        let address = listener.local_addr().expect("read the local address");
         let requests = Arc::new(Mutex::new(Vec::new()));
         let (request_log, reply) = (requests.clone(), Arc::new(reply));
         thread::spawn(move || {
@@ -152,7 +152,7 @@
 
 fn put_to(harness: &Harness, id: &str, destination: u64) -> String {
     let fields = format!("c=notice,t=acme,d=8000,k={id},dest={destination}");
-    submit(harness.listen_address, id, &fields, "hello").expect("reply")
+    submit(harness.listen_address, id, &fields, "hello").expect("the sender replies")
 }
 
 /// Submits a packet and waits for its delivery.
--- a/crates/sailcart-sender/tests/list_reader.rs
+++ b/crates/sailcart-sender/tests/list_reader.rs
@@ -329,7 +329,7 @@
     ) {
         let value = serde_json::json!({"a": extra, "generation": 3, "instances": entries, "reset": false});
         let formatted = if indented { serde_json::to_string_pretty(&value) } else { serde_json::to_string(&value) };
-        let text = formatted.expect("text");
+        let text = formatted.expect("write the JSON");
         let mut rest = text.as_bytes();
         let mut pieces = Vec::new();
         while !rest.is_empty() {
--- a/crates/sailcart-sender/tests/reboot.rs
+++ b/crates/sailcart-sender/tests/reboot.rs
@@ -21,7 +21,8 @@
 fn after_a_reboot_only_undispatched_packets_are_sent() {
     let mut harness = Harness::new("other-boot", |_, _| http_response("200 OK", "", ""));
     harness.kill();
-    let mut ledger = Ledger::open(&harness.folder, 1_000_000, 16, SyncPolicy::None).expect("a journal");
+    let mut ledger =
+        Ledger::open(&harness.folder, 1_000_000, 16, SyncPolicy::None).expect("open the journal");
     let in_another_boot = |moment: Moment| Moment {
         uptime: Some(Uptime {
             boot: BootId(!boot_id().map_or(0, |boot| boot.0)),
@@ -43,11 +44,11 @@
             body: b"hello".to_vec().into(),
         };
         let number = packet.number;
-        ledger.accept(packet).expect("capacity");
+        ledger.accept(packet).expect("the journal has capacity");
         number
     };
     let (dispatched, _undispatched) = (accept("called"), accept("untried"));
-    ledger.record_dispatch(&[dispatched], in_another_boot(now)).expect("capacity");
+    ledger.record_dispatch(&[dispatched], in_another_boot(now)).expect("the journal has capacity");
     drop(ledger);
     harness.start();
     harness.wait_until("the call", |harness| harness.received_ids() == ["untried"]);
--- a/crates/sailcart-sender/tests/reload.rs
+++ b/crates/sailcart-sender/tests/reload.rs
@@ -33,7 +33,10 @@
     let (start, mut longest) = (Instant::now(), Duration::ZERO);
     while !harness.log().contains("reload: discovery at 127.0.0.1:9, code=moved") {
         let ping_sent_at = Instant::now();
-        assert_eq!(send_command(harness.listen_address, "*1\r\n$4\r\nPING\r\n").expect("an answer"), "+PONG");
+        assert_eq!(
+            send_command(harness.listen_address, "*1\r\n$4\r\nPING\r\n").expect("the sender replies"),
+            "+PONG"
+        );
         longest = longest.max(ping_sent_at.elapsed());
         assert!(start.elapsed() < Duration::from_secs(60), "the configuration was not read within 60 s");
     }
--- a/crates/sailcart-sender/tests/response_body.rs
+++ b/crates/sailcart-sender/tests/response_body.rs
@@ -28,9 +28,9 @@
 /// Starts a server that writes these bytes to the first connection and closes it.
 fn serve_once(bytes: Vec<u8>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bind to a free port");
-    let address = listener.local_addr().expect("local address");
+    let address = listener.local_addr().expect("read the local address");
     thread::spawn(move || {
-        let (mut stream, _) = listener.accept().expect("accept");
+        let (mut stream, _) = listener.accept().expect("accept a connection");
         let _ = stream.write_all(&bytes); // the reader may close the connection early
     });
     address
@@ -86,7 +86,7 @@
             yield_now().await;
         }
     });
-    let mut stream = TcpStream::connect(serve_once(bytes)).await.expect("connect");
+    let mut stream = TcpStream::connect(serve_once(bytes)).await.expect("connect to the listener");
     let time_limit = TimeLimit {
         started_at: Instant::now(),
         base_time: Duration::from_secs(20),
@@ -160,7 +160,8 @@
     ] {
         let bytes = response_bytes(headers, &rest);
         let collect_body = async |max_bytes: usize| {
-            let mut stream = TcpStream::connect(serve_once(bytes.clone())).await.expect("connect");
+            let mut stream =
+                TcpStream::connect(serve_once(bytes.clone())).await.expect("connect to the listener");
             let mut response = Response::default();
             let result =
                 response::read_collected(&mut stream, max_bytes, Duration::from_secs(20), &mut response)
--- a/crates/sailcart-sender/tests/static_list.rs
+++ b/crates/sailcart-sender/tests/static_list.rs
@@ -39,7 +39,7 @@
         });
         let free_address = |address: &str| {
             let listener = TcpListener::bind(address).expect("bind to a free port");
-            listener.local_addr().expect("local address")
+            listener.local_addr().expect("read the local address")
         };
         let (sender_address, closed_address) = (free_address("127.84.1.1:0"), free_address("127.84.1.2:0"));
         let folder = tempfile::tempdir().expect("temporary folder");
@@ -89,7 +89,7 @@
 
     fn put(&self, id: &str, destination: u64) -> String {
         submit(self.sender_address, id, &format!("c=notice,t=acme,d=8000,k={id},dest={destination}"), "hello")
-            .expect("reply")
+            .expect("the sender replies")
     }
 
     fn delivered(&self) -> Vec<String> {
--- a/crates/sailcart-sender/tests/store_formats.rs
+++ b/crates/sailcart-sender/tests/store_formats.rs
@@ -22,15 +22,15 @@
 fn copy_of_format_2(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("sailcart-{}-{name}", std::process::id()));
     let _ = fs::remove_dir_all(&folder);
-    fs::create_dir_all(&folder).expect("a folder");
-    for file in fs::read_dir(FORMAT_2).expect("the fixture folder").flatten() {
-        fs::copy(file.path(), folder.join(file.file_name())).expect("a copy");
+    fs::create_dir_all(&folder).expect("create the folder");
+    for file in fs::read_dir(FORMAT_2).expect("read the fixture folder").flatten() {
+        fs::copy(file.path(), folder.join(file.file_name())).expect("copy the file");
     }
     folder
 }
 
 fn open(folder: &Path) -> Ledger {
-    Ledger::open(folder, 64 * 1024, 16, SyncPolicy::None).expect("a journal")
+    Ledger::open(folder, 64 * 1024, 16, SyncPolicy::None).expect("open the journal")
 }
 
 /// An upgrade must lose nothing: every state of a packet in format 2 is restored, and records of format 3 are
@@ -68,7 +68,7 @@
         unix: DEADLINE,
         uptime: Some(Uptime { boot: BootId(7), since_boot: Duration::from_secs(5) }),
     };
-    ledger.record_dispatch(&[uncompleted[0].number], now).expect("capacity");
+    ledger.record_dispatch(&[uncompleted[0].number], now).expect("the journal has capacity");
     drop(ledger);
     let ledger = open(&folder);
     assert_eq!(
