--- a/crates/sailcart-lab/src/experiment/mod.rs
+++ b/crates/sailcart-lab/src/experiment/mod.rs
@@ -415,7 +415,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Network {
-    /// One-way delay between a sender and an endpoint, in virtual mode.
+    /// One-way delay between a sender and an endpoint, in simulated mode (`mode = "virtual"`).
     #[serde(with = "humantime_serde")]
     pub transit: Duration,
     /// Maximum delay until a sender learns of a change of the list.
--- a/crates/sailcart-lab/src/policies/mod.rs
+++ b/crates/sailcart-lab/src/policies/mod.rs
@@ -1,5 +1,5 @@
-//! Policies: what makes the decisions of a sender in virtual mode, either the `sailcart` crate or one of the
-//! baselines that it is compared with.
+//! Policies: what makes the decisions of a sender in simulated mode (`mode = "virtual"`), either the
+//! `sailcart` crate or one of the baselines that it is compared with.
 
 mod baseline;
 
--- a/crates/sailcart-lab/src/results/outcome.rs
+++ b/crates/sailcart-lab/src/results/outcome.rs
@@ -41,7 +41,7 @@
     pub delivery_ms: Vec<(f64, u64)>,
     /// Histogram of the times to the client's answer, in the same form.
     pub answer_ms: Vec<(f64, u64)>,
-    /// The resources that each process used; empty in virtual mode.
+    /// The resources that each process used; empty in simulated mode (`mode = "virtual"`).
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub cost: Vec<Cost>,
 }
