--- a/crates/sailcart-sender/src/life/start.rs
+++ b/crates/sailcart-sender/src/life/start.rs
@@ -79,7 +79,7 @@
             if max_list_staleness.is_none() {
                 // The sender must know the agent's current list from its start on, and the list of the
                 // previous process may contain endpoints that have drained since. If the agent does not
-                // answer, the start waits for one call at most.
+                // respond, the start waits for one call at most.
                 let _ = first_call.await;
             }
             ReloadTarget::DiscoveryAddress(address_sender)
@@ -93,7 +93,7 @@
     };
     spawn_local(reload(sighup, config.file, read, reload_target));
     spawn_local(endpoints.clone().sweep());
-    spawn_local(exchange.clone().run_rounds(config.host_settings.round, endpoints.clone()));
+    spawn_local(exchange.clone().run_rounds(config.host_settings.min_round_interval, endpoints.clone()));
     let listener = bind(config.listen).await.map_err(|e| with_key("listen", e))?;
     log::info!("{} listens on {}", config.name, config.listen);
     let clients = Clients::new(exchange.clone(), limits.max_clients);
